--- a/src/main/kotlin/mountmast/CommandLineTool.kt
+++ b/src/main/kotlin/mountmast/CommandLineTool.kt
@@ -37,7 +37,9 @@
             ).footer("", "Exit codes: 0 done, 1 the service cannot be reached or refuses, 2 wrong usage or settings.")
             addOption(option(CONFIG, "FILE", "the platform's settings (TOML); serves until it is stopped"))
             addOption(option("--tuning", "FILE", "operators' settings (XML), see deploy/mountmast.example.xml"))
-            addOption(OptionSpec.builder("--check").type(Boolean::class.java).arity("0").description("checks the settings and ends").build())
+            addOption(
+                OptionSpec.builder("--check").type(Boolean::class.java).arity("0").description("checks the settings and ends").build(),
+            )
             addSubcommand("submit", client("Submits the job in a JSON file; - reads standard input.", "FILE"))
             addSubcommand("status", client("Tells the state of a job.", "JOB"))
             addSubcommand("cancel", client("Cancels a job.", "JOB"))
@@ -120,7 +122,13 @@
             println(reply.text)
             return DONE
         }
-        val next = if (reply.status == 429 || reply.status >= 500) "try again in a second, or another node" else "this will not change by trying again"
+        val next = if (reply.status == 429 ||
+            reply.status >= 500
+        ) {
+            "try again in a second, or another node"
+        } else {
+            "this will not change by trying again"
+        }
         return fail("$at refused with ${reply.status}: ${reply.text}; $next")
     }
 
--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -8,10 +8,10 @@
 import mountmast.protocol.MachineId
 import mountmast.protocol.Member
 import mountmast.protocol.NodeId
+import mountmast.protocol.Order
 import mountmast.protocol.OrdersMessage
 import mountmast.protocol.PeerHello
 import mountmast.protocol.RelayRequest
-import mountmast.protocol.Order
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Session
 import mountmast.protocol.Settings
--- a/src/main/kotlin/mountmast/coordination/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/Controller.kt
@@ -46,7 +46,8 @@
     private val clock: Clock,
     /** Drawn at each start, so that no two processes are ever taken for one another. */
     private val run: String,
-) : BeatService, PeerService {
+) : BeatService,
+    PeerService {
     private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.reportS)
     private val leadership = Leadership(store, settings.node, run, timing, clock)
     private val notices = CancellationNotices(settings.members.map { it.node }, clock, timing.noticesMs)
@@ -217,8 +218,11 @@
     /** What a node that does not know the jobs can tell a worker all the same: to stop what other nodes said is cancelled. */
     private fun stopsOf(report: WorkerReport): List<Order> = report.tasks.mapNotNull { reported ->
         val job = TaskId.parse(reported.task)?.job
-        if (reported.state == TaskState.EXITED || job == null || job !in notices) null
-        else Order(Verb.STOP, reported.task, reported.attempt, 0.0)
+        if (reported.state == TaskState.EXITED || job == null || job !in notices) {
+            null
+        } else {
+            Order(Verb.STOP, reported.task, reported.attempt, 0.0)
+        }
     }
 
     /** Before a user is told of a cancellation the leader is, if it can be reached, so that nothing of the job starts after it. */
@@ -258,7 +262,10 @@
     }
 
     private fun ownHello() = PeerHello(
-        settings.node.text, leadership.highestTerm().number.toLong(), canServe(), leadership.mandate() != null,
+        settings.node.text,
+        leadership.highestTerm().number.toLong(),
+        canServe(),
+        leadership.mandate() != null,
     )
 
     private fun freshHellos() = hellos.values.filter { (_, at) -> clock.now().ms - at < HELLO_FRESH_MS }.map { it.first }
--- a/src/main/kotlin/mountmast/coordination/DelayReports.kt
+++ b/src/main/kotlin/mountmast/coordination/DelayReports.kt
@@ -26,7 +26,11 @@
             job.lastStallReport = now
             log.info(
                 "job {} stalls for {} s: {} tasks of {} CPUs and {} GB wait for a machine with room",
-                job.id, since / 1000, waits.tasks, job.spec.cpus, job.spec.memoryGb,
+                job.id,
+                since / 1000,
+                waits.tasks,
+                job.spec.cpus,
+                job.spec.memoryGb,
             )
         }
     }
--- a/src/main/kotlin/mountmast/coordination/Dispatch.kt
+++ b/src/main/kotlin/mountmast/coordination/Dispatch.kt
@@ -149,9 +149,12 @@
      * A worker that still reports to the leader before, which may be cut off from everybody else, learns of us only
      * from a command: our token in it, even without any order, makes it look for the new leader.
      */
-    private fun needsCall(machine: Machine, now: Moment) =
-        machine.address != null && !machine.deleting && !machine.sawTerm && machine.state != MachineState.EXPIRED &&
-            machine.state != MachineState.BOOTING && now - machine.calledAt > CALL_AFTER_MS
+    private fun needsCall(machine: Machine, now: Moment) = machine.address != null &&
+        !machine.deleting &&
+        !machine.sawTerm &&
+        machine.state != MachineState.EXPIRED &&
+        machine.state != MachineState.BOOTING &&
+        now - machine.calledAt > CALL_AFTER_MS
 
     /** Has those workers called that have not shown our token although this node has led since [readyAt]. */
     fun callWorkers(readyAt: Moment, now: Moment) {
--- a/src/main/kotlin/mountmast/coordination/Fleet.kt
+++ b/src/main/kotlin/mountmast/coordination/Fleet.kt
@@ -3,7 +3,6 @@
 import mountmast.protocol.Clock
 import mountmast.protocol.ListedMachine
 import mountmast.protocol.ListedState
-import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.Moment
@@ -169,13 +168,20 @@
             // dead is listed as failed soon, and costs nothing.
             MachineState.EXPIRED -> machine.listedFailed || now - machine.expiredAt > timing.leaseOverMs
             MachineState.SILENT -> machine.listedFailed
-            MachineState.BOOTING -> machine.listedFailed ||
-                now - maxOf(machine.rentedAt, machine.knownAt + -bootMs) > BOOT_PATIENCE * bootMs + BOOT_EXTRA_MS
+            MachineState.BOOTING ->
+                machine.listedFailed ||
+                    now - maxOf(machine.rentedAt, machine.knownAt + -bootMs) > BOOT_PATIENCE * bootMs + BOOT_EXTRA_MS
             MachineState.UP -> {
                 val empty = machine.live.isEmpty()
-                machine.listedFailed || unreachedForGood(machine, now) || (empty && (machine.quarantined || machine.noticed)) ||
-                    (empty && machine.reservedFor == null && now - machine.idleSince > idleReturnMs(machine, type) &&
-                        now - machine.rentedAt > LEAST_PAID_MS)
+                machine.listedFailed ||
+                    unreachedForGood(machine, now) ||
+                    (empty && (machine.quarantined || machine.noticed)) ||
+                    (
+                        empty &&
+                            machine.reservedFor == null &&
+                            now - machine.idleSince > idleReturnMs(machine, type) &&
+                            now - machine.rentedAt > LEAST_PAID_MS
+                        )
             }
         }
     }
@@ -222,7 +228,14 @@
             RentalOutcome.NoCapacity -> unavailable[offer] = now + policy.noCapacityPauseMs
             is RentalOutcome.Rented -> {
                 if (outcome.machines.size < request.count) unavailable[offer] = now + policy.noCapacityPauseMs
-                log.info("rented {} of {} {} in {}{}", outcome.machines.size, request.count, offer.type, offer.zone, if (offer.spot) ", spot" else "")
+                log.info(
+                    "rented {} of {} {} in {}{}",
+                    outcome.machines.size,
+                    request.count,
+                    offer.type,
+                    offer.zone,
+                    if (offer.spot) ", spot" else "",
+                )
                 reign.lock.withLock {
                     for (id in outcome.machines) {
                         if (id in ledger.machines || id in ledger.tombstones) continue
@@ -274,11 +287,13 @@
     private val soonHeardMs get() = timing.quietMs + SLOW_MS
 
     /** Whether it boots, or its worker has yet to show our token: no pass has given it work so far. */
-    private fun comesSoon(machine: Machine, now: Moment): Boolean = !machine.deleting && !machine.noticed && when (machine.state) {
-        MachineState.BOOTING -> if (machine.listedRunning) now - machine.knownAt < soonHeardMs else !isLate(machine, now)
-        MachineState.UP -> !machine.sawTerm && machine.live.isEmpty() && now - machine.sessionSince < soonHeardMs
-        else -> false
-    }
+    private fun comesSoon(machine: Machine, now: Moment): Boolean = !machine.deleting &&
+        !machine.noticed &&
+        when (machine.state) {
+            MachineState.BOOTING -> if (machine.listedRunning) now - machine.knownAt < soonHeardMs else !isLate(machine, now)
+            MachineState.UP -> !machine.sawTerm && machine.live.isEmpty() && now - machine.sessionSince < soonHeardMs
+            else -> false
+        }
 
     /**
      * Whether it has booted for longer than machines mostly take. It may still come up, and is used then; but what waits for
@@ -348,13 +363,15 @@
         class Priced(val offer: Offer, val type: MachineType, val perSlot: Double)
         val priced = ArrayList<Priced>()
         for (type in ledger.types.values) {
-            for (zone in type.zones) for (spot in listOf(true, false)) {
-                val slots = job.perTask.timesIn(type.capacity, minOf(wanted, zones.left(zone)))
-                if (slots <= 0) continue
-                val offer = Offer(type.id, zone, spot)
-                if (!allows(job, offer) || pauses(offer, now)) continue
-                val price = (if (spot) type.spotPrice else type.price) * (1 + (losses[offer] ?: 0.0) * LOSS_WEIGHT)
-                priced += Priced(offer, type, price / slots)
+            for (zone in type.zones) {
+                for (spot in listOf(true, false)) {
+                    val slots = job.perTask.timesIn(type.capacity, minOf(wanted, zones.left(zone)))
+                    if (slots <= 0) continue
+                    val offer = Offer(type.id, zone, spot)
+                    if (!allows(job, offer) || pauses(offer, now)) continue
+                    val price = (if (spot) type.spotPrice else type.price) * (1 + (losses[offer] ?: 0.0) * LOSS_WEIGHT)
+                    priced += Priced(offer, type, price / slots)
+                }
             }
         }
         if (priced.any { it.offer !in late }) priced.removeIf { it.offer in late }
@@ -368,7 +385,8 @@
     private companion object {
         fun allows(job: Job, offer: Offer): Boolean {
             val spec = job.spec
-            return (spec.types == null || offer.type in spec.types) && (spec.zone == null || spec.zone == offer.zone) &&
+            return (spec.types == null || offer.type in spec.types) &&
+                (spec.zone == null || spec.zone == offer.zone) &&
                 (spec.spotAllowed || !offer.spot)
         }
 
--- a/src/main/kotlin/mountmast/coordination/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/Health.kt
@@ -41,7 +41,11 @@
     /** A task completed on [machine] after [runS]. */
     fun completedIn(machine: Machine, assignment: Assignment, runS: Double) {
         val job = assignment.job
-        if (isSlow(job, machine.id, runS)) slowTask(machine, assignment) else if (!assignment.calledSlow) machine.slowStrikes = 0
+        if (isSlow(job, machine.id, runS)) {
+            slowTask(machine, assignment)
+        } else if (!assignment.calledSlow) {
+            machine.slowStrikes = 0
+        }
         // A slow machine's run says nothing of what the job takes elsewhere.
         if (!assignment.calledSlow) {
             job.runs++
@@ -74,7 +78,11 @@
             if (machine.state != MachineState.UP) continue
             for (assignment in machine.live.values) {
                 val since = assignment.runningSince ?: continue
-                if (assignment.phase == Phase.COMMITTED && isSlow(assignment.job, machine.id, (now - since) / 1000.0)) slowTask(machine, assignment)
+                if (assignment.phase == Phase.COMMITTED &&
+                    isSlow(assignment.job, machine.id, (now - since) / 1000.0)
+                ) {
+                    slowTask(machine, assignment)
+                }
             }
         }
     }
--- a/src/main/kotlin/mountmast/coordination/Hearing.kt
+++ b/src/main/kotlin/mountmast/coordination/Hearing.kt
@@ -28,9 +28,13 @@
             }
         }
         // A node that has just begun answers so slowly that workers drop its answers: that says nothing of them.
-        if (now - readyAt < SETTLING_MS) machine.unheard = 0
-        else if (missing) machine.unheard++
-        else if (shown) machine.unheard = 0
+        if (now - readyAt < SETTLING_MS) {
+            machine.unheard = 0
+        } else if (missing) {
+            machine.unheard++
+        } else if (shown) {
+            machine.unheard = 0
+        }
         if (machine.unheard >= MOST_UNHEARD && machine.unreachedSince == null) {
             machine.unreachedSince = now
             log.info("machine {} reports, but nothing seems to reach it", machine.id)
--- a/src/main/kotlin/mountmast/coordination/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/Leadership.kt
@@ -94,7 +94,11 @@
             val ttl = (lease * TTL_SHARE).toLong().coerceIn(LEAST_TTL_MS, MOST_TTL_MS)
             val informed = (cancelS * 1000).toLong() - lease - RESERVE_MS
             return Timing(
-                ttl, (informed - ttl).coerceIn(0, 60_000), lease, Math.ceil(clockOffMs).toLong(), (reportS * 1000).toLong(),
+                ttl,
+                (informed - ttl).coerceIn(0, 60_000),
+                lease,
+                Math.ceil(clockOffMs).toLong(),
+                (reportS * 1000).toLong(),
                 maxOf(informed, ttl),
             )
         }
--- a/src/main/kotlin/mountmast/coordination/Ledger.kt
+++ b/src/main/kotlin/mountmast/coordination/Ledger.kt
@@ -90,7 +90,8 @@
 
     /** The low watermark of cancellations, where all changes before [knownUpTo] are taken in. */
     fun watermark(knownUpTo: WallTime): WallTime =
-        jobs.values.filter { it.cancelled && !it.nothingLives() }.minOfOrNull { it.cancelledAfter }?.let { minOf(it, knownUpTo) } ?: knownUpTo
+        jobs.values.filter { it.cancelled && !it.nothingLives() }.minOfOrNull { it.cancelledAfter }?.let { minOf(it, knownUpTo) }
+            ?: knownUpTo
 
     /** Rebuilds from what earlier leaders wrote. */
     fun replay(now: Moment) = object : JournalReader {
@@ -115,7 +116,10 @@
                 release(older, now)
             }
             val known = machines.getOrPut(machine) {
-                Machine(machine, null, null, false, MachineState.SILENT).apply { answeredAt = now; heardAt = now }
+                Machine(machine, null, null, false, MachineState.SILENT).apply {
+                    answeredAt = now
+                    heardAt = now
+                }
             }
             val assignment = Assignment(job, task.index, machine, session, attempt, zone, Phase.COMMITTED, now)
             assignment.written = true
@@ -169,8 +173,14 @@
     /** Intends to run a task on a machine. Nothing may be sent before the journal says so. */
     fun assign(job: Job, index: Int, machine: Machine, now: Moment): Assignment {
         val assignment = Assignment(
-            job, index, machine.id, checkNotNull(machine.session), Attempt(++lastAttempt), checkNotNull(machine.zone),
-            Phase.INTENDED, now,
+            job,
+            index,
+            machine.id,
+            checkNotNull(machine.session),
+            Attempt(++lastAttempt),
+            checkNotNull(machine.zone),
+            Phase.INTENDED,
+            now,
         )
         add(assignment, machine)
         machine.touchImage(job.spec.image, job.spec.imageGb, types[machine.type]?.cacheGb ?: 0.0)
@@ -297,7 +307,10 @@
             val assignment = machine.live[reported.task]
             if (assignment == null || assignment.attempt != reported.attempt || assignment.session != report.session) {
                 strangers += Stranger(
-                    reported.task, reported.attempt, reported.state == TaskState.EXITED, reported.cause == ExitCause.DONE,
+                    reported.task,
+                    reported.attempt,
+                    reported.state == TaskState.EXITED,
+                    reported.cause == ExitCause.DONE,
                 )
                 continue
             }
@@ -336,8 +349,7 @@
     }
 
     /** Estimate of the whole run of one of the job's tasks, in seconds. */
-    fun runEstimateS(job: Job): Double =
-        if (job.spec.estimateS > 0) job.spec.estimateS else meanRunS[job.spec.team] ?: UNKNOWN_RUN_S
+    fun runEstimateS(job: Job): Double = if (job.spec.estimateS > 0) job.spec.estimateS else meanRunS[job.spec.team] ?: UNKNOWN_RUN_S
 
     private companion object {
         const val ATTEMPT_BITS = 32
--- a/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
@@ -21,7 +21,6 @@
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
 import mountmast.storage.ProgressRecord
-import mountmast.storage.Ranges
 import mountmast.storage.SnapshotPart
 import mountmast.storage.SnapshotRecord
 import mountmast.storage.StateStore
@@ -174,7 +173,13 @@
             }
             is Unwritten.Ended -> {
                 val assignment = change.assignment
-                val end = if (assignment.completed) TaskEnd.DONE else if (assignment.evicted) TaskEnd.EVICTED else TaskEnd.UNDONE
+                val end = if (assignment.completed) {
+                    TaskEnd.DONE
+                } else if (assignment.evicted) {
+                    TaskEnd.EVICTED
+                } else {
+                    TaskEnd.UNDONE
+                }
                 text.ended(assignment.taskName, end)
             }
             is Unwritten.Reserved -> text.reserved(change.machine, change.job, change.victims)
@@ -215,7 +220,11 @@
         val snapshot = checkNotNull(snapshotting)
         // Parts are written while the pointer still names the snapshot before: late ones then change nothing.
         batch.conditions += Condition(Keys.SNAPSHOT, journal.snapshotStamp)
-        while (batch.parts < snapshotParts.size && batch.parts < PARTS_PER_BATCH && batch.bytes < MOST_BYTES && batch.writes.size < limits.txnOps) {
+        while (batch.parts < snapshotParts.size &&
+            batch.parts < PARTS_PER_BATCH &&
+            batch.bytes < MOST_BYTES &&
+            batch.writes.size < limits.txnOps
+        ) {
             val text = snapshotParts[batch.parts]
             val key = Keys.snapshotPart(snapshot.generation, nextPart + batch.parts++)
             put(batch, key, WireJson.encodeToJsonElement(SnapshotPart(text)), text.length)
--- a/src/main/kotlin/mountmast/coordination/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/Machine.kt
@@ -114,9 +114,14 @@
     var slowStrikes = 0
     var quarantined = false
 
-    fun usable(now: Moment) =
-        state == MachineState.UP && sawTerm && unreachedSince == null && !noticed && !deleting && !quarantined &&
-            session != null && now >= notBefore
+    fun usable(now: Moment) = state == MachineState.UP &&
+        sawTerm &&
+        unreachedSince == null &&
+        !noticed &&
+        !deleting &&
+        !quarantined &&
+        session != null &&
+        now >= notBefore
 
     /** Takes over what was known of this machine before its kind was. */
     fun takeOver(before: Machine) {
--- a/src/main/kotlin/mountmast/coordination/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/Node.kt
@@ -37,7 +37,10 @@
             PULSE_MS
         }
         loop("loader") { if (controller.load()) 0 else IDLE_MS }
-        loop("greeter") { controller.greet(); GREET_MS }
+        loop("greeter") {
+            controller.greet()
+            GREET_MS
+        }
         whileLeading("pass") { reign ->
             val began = System.nanoTime()
             controller.pass()
@@ -46,16 +49,21 @@
             // However large the ledger, passes leave most of the processor to the workers' reports.
             maxOf(PASS_GAP_MS, tookMs * PASS_SHARE)
         }
-        whileLeading("writer") { reign -> if (!controller.write()) reign.awaitWritable(WRITE_IDLE_MS); WRITE_GAP_MS }
+        whileLeading("writer") { reign ->
+            if (!controller.write()) reign.awaitWritable(WRITE_IDLE_MS)
+            WRITE_GAP_MS
+        }
         whileLeading("follow") { if (controller.follow(FOLLOW_MS)) FOLLOW_GAP_MS else FAILED_MS }
-        whileLeading("fleet") { controller.manageFleet(); FLEET_MS }
+        whileLeading("fleet") {
+            controller.manageFleet()
+            FLEET_MS
+        }
         repeat(CALLERS) { number -> whileLeading("caller-$number") { if (controller.call()) 0 else CALL_GAP_MS } }
         repeat(sockets.posters) { number -> whileLeading("poster-$number") { if (controller.post(POST_WAIT_MS)) 0 else POST_GAP_MS } }
         log.info("{} serves on {}", settings.node, settings.serveOn)
     }
 
-    private fun whileLeading(name: String, step: (Reign) -> Long) =
-        loop(name) { controller.reign()?.let(step) ?: IDLE_MS }
+    private fun whileLeading(name: String, step: (Reign) -> Long) = loop(name) { controller.reign()?.let(step) ?: IDLE_MS }
 
     /** Repeats [step] on a thread of its own, pausing as long as it says. */
     private fun loop(name: String, step: () -> Long) {
@@ -94,6 +102,7 @@
         const val NANOS_PER_MS = 1_000_000L
         const val WRITE_GAP_MS = 120L
         const val WRITE_IDLE_MS = 500L
+
         /** Short, since what is known of cancellations is as old as the call that waits for more. */
         const val FOLLOW_MS = 2000L
         const val FOLLOW_GAP_MS = 150L
--- a/src/main/kotlin/mountmast/coordination/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/OperatorSettings.kt
@@ -95,8 +95,11 @@
             }
             val policy = settings.policy
             settings = settings.copy(
-                policy = if (team == null) policy.copy(guaranteedFrom = urgency)
-                else policy.copy(guaranteedFromOf = policy.guaranteedFromOf + (TeamId(team) to urgency)),
+                policy = if (team == null) {
+                    policy.copy(guaranteedFrom = urgency)
+                } else {
+                    policy.copy(guaranteedFromOf = policy.guaranteedFromOf + (TeamId(team) to urgency))
+                },
             )
         }
 
--- a/src/main/kotlin/mountmast/coordination/Reign.kt
+++ b/src/main/kotlin/mountmast/coordination/Reign.kt
@@ -68,7 +68,10 @@
     private var placeSoon = false
 
     /** Commands to the workers. */
-    val dispatch = Dispatch(lock, ledger, mandate, workers, timing, clock, { now -> now - knownUpTo < timing.ttlMs }) { report, now -> takeReport(report, now, isBeat = false) }
+    val dispatch =
+        Dispatch(lock, ledger, mandate, workers, timing, clock, { now ->
+            now - knownUpTo < timing.ttlMs
+        }) { report, now -> takeReport(report, now, isBeat = false) }
 
     /** Machine types that the store does not hold yet. */
     var pendingTypes: MachineTypes? = null
@@ -116,8 +119,11 @@
             readyAt = now
             ready = true
             log.info(
-                "term {}: {} jobs, {} assignments on {} machines", mandate.term, ledger.jobs.size,
-                ledger.machines.values.sumOf { it.live.size }, ledger.machines.size,
+                "term {}: {} jobs, {} assignments on {} machines",
+                mandate.term,
+                ledger.jobs.size,
+                ledger.machines.values.sumOf { it.live.size },
+                ledger.machines.size,
             )
         }
         return true
@@ -282,7 +288,8 @@
         for (assignment in machine.live.values) {
             if (assignment.phase != Phase.COMMITTED || assignment.stopGraceS == null || assignment.reported != null) continue
             val inBeat = assignment.startedInBeat
-            val mayArrive = assignment.postsOut > 0 || assignment.key in machine.mayStillStart ||
+            val mayArrive = assignment.postsOut > 0 ||
+                assignment.key in machine.mayStillStart ||
                 (inBeat != null && report.tally <= inBeat)
             // What the report lists has been noted as reported by now.
             if (!mayArrive) ledger.end(assignment, completed = false)
@@ -348,8 +355,13 @@
     }
 
     private fun tellStart(start: Start, job: Job, machine: Machine, plan: Plan) = log.debug(
-        "{}/{} to {}, which {} its image; team {} has degree {}", start.job, start.index, start.machine,
-        if (job.spec.image in machine.images) "holds" else "must fetch", job.spec.team, plan.assurance[job.spec.team],
+        "{}/{} to {}, which {} its image; team {} has degree {}",
+        start.job,
+        start.index,
+        start.machine,
+        if (job.spec.image in machine.images) "holds" else "must fetch",
+        job.spec.team,
+        plan.assurance[job.spec.team],
     )
 
     /** What need not be looked at in each pass. */
@@ -422,7 +434,13 @@
             val type = ledger.types[machine.type] ?: continue
             val zone = machine.zone ?: continue
             machines += MachineView(
-                machine.id, type, zone, machine.spot, type.capacity - machine.used, machine.images.keys, machine.reservedFor,
+                machine.id,
+                type,
+                zone,
+                machine.spot,
+                type.capacity - machine.used,
+                machine.images.keys,
+                machine.reservedFor,
             ) { machine.live.values.map { resident(it, now) } }
         }
         val jobs = ArrayList<JobView>(ledger.jobs.size)
@@ -439,14 +457,19 @@
     private fun resident(assignment: Assignment, now: Moment): Resident {
         val job = assignment.job
         return Resident(
-            TaskId(job.id, assignment.index), job.spec, remainingS(assignment, now), job.evictions.get(assignment.index),
+            TaskId(job.id, assignment.index),
+            job.spec,
+            remainingS(assignment, now),
+            job.evictions.get(assignment.index),
             assignment.stopGraceS != null || assignment.phase == Phase.ENDED,
         )
     }
 
     private fun view(job: Job, now: Moment): JobView {
         val runS = ledger.runEstimateS(job)
-        val perZone = if (!job.spec.oneZone && !job.spec.spread) emptyMap() else {
+        val perZone = if (!job.spec.oneZone && !job.spec.spread) {
+            emptyMap()
+        } else {
             job.live.values.groupingBy { it.zone }.eachCount()
         }
         return JobView(
@@ -455,8 +478,7 @@
         ) { count -> job.firstOpen(count) }
     }
 
-    private fun untilDueS(job: Job): Double =
-        (job.spec.deadlineS ?: NO_DEADLINE_S) - (clock.wall().ms - job.submitted.ms) / 1000.0
+    private fun untilDueS(job: Job): Double = (job.spec.deadlineS ?: NO_DEADLINE_S) - (clock.wall().ms - job.submitted.ms) / 1000.0
 
     /** Has the next pass come soon; the caller holds the lock. */
     fun wakePlacement() {
--- a/src/main/kotlin/mountmast/coordination/Scheduler.kt
+++ b/src/main/kotlin/mountmast/coordination/Scheduler.kt
@@ -97,8 +97,7 @@
          * Exception: where no team has a guarantee the degree orders nothing, and shorter runs alone would keep long
          * jobs waiting for good; so among them the one that can wait least goes first.
          */
-        private fun slack(job: JobView): Double =
-            if (snapshot.teams[job.spec.team]?.hasGuarantee == true) 0.0 else job.slackS
+        private fun slack(job: JobView): Double = if (snapshot.teams[job.spec.team]?.hasGuarantee == true) 0.0 else job.slackS
 
         /** Splits each team's work into guaranteed and borrowed, and smooths its degree of assurance. */
         private fun assess(): Map<TeamId, Double> {
--- a/src/main/kotlin/mountmast/protocol/Ids.kt
+++ b/src/main/kotlin/mountmast/protocol/Ids.kt
@@ -107,6 +107,7 @@
 @JvmInline
 value class Term(val number: ULong) : Comparable<Term> {
     override fun compareTo(other: Term) = number.compareTo(other.number)
+
     /** Which reign the token belongs to. */
     val reign: ULong get() = number / TOKENS
 
@@ -205,16 +206,13 @@
 
 /** What a task takes of a machine, or what a machine or team has. */
 data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
-    operator fun plus(other: Resources) =
-        Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
+    operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
 
-    operator fun minus(other: Resources) =
-        Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
+    operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
 
     operator fun times(count: Int) = Resources(cpus * count, gpus * count, memoryGb * count)
 
-    fun fitsIn(room: Resources) =
-        cpus <= room.cpus + EPSILON && gpus <= room.gpus + EPSILON && memoryGb <= room.memoryGb + EPSILON
+    fun fitsIn(room: Resources) = cpus <= room.cpus + EPSILON && gpus <= room.gpus + EPSILON && memoryGb <= room.memoryGb + EPSILON
 
     /** How many times this fits into [room], at most [most]. */
     fun timesIn(room: Resources, most: Int): Int {
--- a/src/main/kotlin/mountmast/protocol/JobValidation.kt
+++ b/src/main/kotlin/mountmast/protocol/JobValidation.kt
@@ -17,8 +17,7 @@
     private const val LONGEST_NAME = 200
 
     /** The id in a submission, read before anything else: a known job is answered whatever the rest says. */
-    fun idOf(body: JsonObject): JobId =
-        JobId.parse(string(body, "nameId")) ?: throw Malformed("nameId: not a job id")
+    fun idOf(body: JsonObject): JobId = JobId.parse(string(body, "nameId")) ?: throw Malformed("nameId: not a job id")
 
     fun parseObject(text: String): JsonObject {
         val element = try {
@@ -36,10 +35,13 @@
         team = TeamId(string(body, "owner")),
         shape = choice(body, "shape", mapOf("array" to Shape.ARRAY, "daemon" to Shape.SERVICE)),
         urgency = choice(
-            body, "urgency",
+            body,
+            "urgency",
             mapOf(
-                "prod" to Urgency.PRODUCTION, "high" to Urgency.HIGH,
-                "normal" to Urgency.NORMAL, "best_effort" to Urgency.BEST_EFFORT,
+                "prod" to Urgency.PRODUCTION,
+                "high" to Urgency.HIGH,
+                "normal" to Urgency.NORMAL,
+                "best_effort" to Urgency.BEST_EFFORT,
             ),
         ),
         tasks = count(body, "pieces"),
@@ -64,7 +66,8 @@
         val team = teams[job.team] ?: return "unknown team ${job.team}"
         val fitting = types.filter { type ->
             (job.types == null || type.id in job.types) &&
-                (job.zone == null || job.zone in type.zones) && job.perTask.fitsIn(type.capacity)
+                (job.zone == null || job.zone in type.zones) &&
+                job.perTask.fitsIn(type.capacity)
         }
         if (fitting.isEmpty()) return "a task fits no allowed machine type"
         val atOnce = if (job.shape == Shape.SERVICE) job.perTask * job.tasks else job.perTask
@@ -72,11 +75,9 @@
         return null
     }
 
-    private fun optional(body: JsonObject, name: String): JsonElement? =
-        body[name]?.takeUnless { it is JsonNull }
+    private fun optional(body: JsonObject, name: String): JsonElement? = body[name]?.takeUnless { it is JsonNull }
 
-    private fun required(body: JsonObject, name: String): JsonElement =
-        optional(body, name) ?: throw Malformed("$name: missing")
+    private fun required(body: JsonObject, name: String): JsonElement = optional(body, name) ?: throw Malformed("$name: missing")
 
     private fun string(body: JsonObject, name: String) = string(required(body, name), name)
 
--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -19,16 +19,8 @@
 
 /** A user's request that the sender cannot serve itself. */
 @Serializable
-data class RelayRequest(
-    @ProtoNumber(1) val method: String,
-    @ProtoNumber(2) val path: String,
-    @ProtoNumber(3) val body: String,
-)
+data class RelayRequest(@ProtoNumber(1) val method: String, @ProtoNumber(2) val path: String, @ProtoNumber(3) val body: String)
 
 /** The answer to a relayed request. */
 @Serializable
-data class RelayAnswer(
-    @ProtoNumber(1) val status: Int,
-    @ProtoNumber(2) val body: String,
-    @ProtoNumber(3) val retryAfterS: Int = 0,
-)
+data class RelayAnswer(@ProtoNumber(1) val status: Int, @ProtoNumber(2) val body: String, @ProtoNumber(3) val retryAfterS: Int = 0)
--- a/src/main/kotlin/mountmast/protocol/Settings.kt
+++ b/src/main/kotlin/mountmast/protocol/Settings.kt
@@ -11,19 +11,12 @@
 class BadSettings(message: String) : Exception(message)
 
 /** What a team is guaranteed and what it may use at most; zero means none of either. */
-data class TeamQuota(
-    val id: TeamId,
-    val cpus: Double,
-    val cpusMax: Double,
-    val gpus: Double,
-    val gpusMax: Double,
-) {
+data class TeamQuota(val id: TeamId, val cpus: Double, val cpusMax: Double, val gpus: Double, val gpusMax: Double) {
     val hasGuarantee: Boolean get() = cpus > 0 || gpus > 0
 
     /** Whether [use] in all lies within the limit. */
-    fun limitAllows(use: Resources) =
-        (cpusMax <= 0 || use.cpus <= cpusMax + Resources.EPSILON) &&
-            (gpusMax <= 0 || use.gpus <= gpusMax + Resources.EPSILON)
+    fun limitAllows(use: Resources) = (cpusMax <= 0 || use.cpus <= cpusMax + Resources.EPSILON) &&
+        (gpusMax <= 0 || use.gpus <= gpusMax + Resources.EPSILON)
 
     /** Whether [use] in all lies within [times] the guarantee. */
     fun guaranteeCovers(use: Resources, times: Double = 1.0) =
@@ -88,7 +81,8 @@
             val members = tables(toml, "members").mapIndexed { i, member ->
                 val at = "members[$i]."
                 Member(
-                    NodeId(string(member, "node", at)), zone(member, at),
+                    NodeId(string(member, "node", at)),
+                    zone(member, at),
                     address(member, "endpoint", at),
                 )
             }
@@ -111,7 +105,13 @@
                 cloud = address(toml, "endpoints.cloud"),
                 state = address(toml, "endpoints.state"),
                 teams = teams.associateBy { it.id },
-                clockOffMs = if (toml.get<Any?>("deployment.clock_off_ms") == null) CLOCK_OFF_MS else amount(toml, "deployment.clock_off_ms"),
+                clockOffMs = if (toml.get<Any?>("deployment.clock_off_ms") ==
+                    null
+                ) {
+                    CLOCK_OFF_MS
+                } else {
+                    amount(toml, "deployment.clock_off_ms")
+                },
                 reportS = report,
                 leaseS = lease,
                 cancelS = positive(toml, "deployment.workers.cancel_s"),
@@ -137,8 +137,10 @@
         private fun quota(team: UnmodifiableConfig, at: String): TeamQuota {
             val quota = TeamQuota(
                 TeamId(string(team, "name", at)),
-                cpus = amount(team, "cpus", at), cpusMax = amount(team, "cpus_max", at),
-                gpus = amount(team, "gpus", at), gpusMax = amount(team, "gpus_max", at),
+                cpus = amount(team, "cpus", at),
+                cpusMax = amount(team, "cpus_max", at),
+                gpus = amount(team, "gpus", at),
+                gpusMax = amount(team, "gpus_max", at),
             )
             if (quota.cpusMax > 0 && quota.cpusMax < quota.cpus) throw BadSettings("${at}cpus_max: below cpus")
             if (quota.gpusMax > 0 && quota.gpusMax < quota.gpus) throw BadSettings("${at}gpus_max: below gpus")
--- a/src/main/kotlin/mountmast/protocol/Wire.kt
+++ b/src/main/kotlin/mountmast/protocol/Wire.kt
@@ -16,19 +16,28 @@
 @Serializable
 enum class Shape {
     /** Independent tasks, each of which runs to completion. */
-    @SerialName("array") ARRAY,
+    @SerialName("array")
+    ARRAY,
 
     /** Replicas that run until the job is cancelled. */
-    @SerialName("daemon") SERVICE,
+    @SerialName("daemon")
+    SERVICE,
 }
 
 /** Urgency of a job, most urgent first. */
 @Serializable
 enum class Urgency {
-    @SerialName("prod") PRODUCTION,
-    @SerialName("high") HIGH,
-    @SerialName("normal") NORMAL,
-    @SerialName("best_effort") BEST_EFFORT,
+    @SerialName("prod")
+    PRODUCTION,
+
+    @SerialName("high")
+    HIGH,
+
+    @SerialName("normal")
+    NORMAL,
+
+    @SerialName("best_effort")
+    BEST_EFFORT,
 }
 
 /** A job as its user submitted it. */
@@ -65,10 +74,19 @@
 /** State of a job as users see it. */
 @Serializable
 enum class JobStatus {
-    @SerialName("pending") PENDING,
-    @SerialName("running") RUNNING,
-    @SerialName("done") DONE,
-    @SerialName("cancelled") CANCELLED;
+    @SerialName("pending")
+    PENDING,
+
+    @SerialName("running")
+    RUNNING,
+
+    @SerialName("done")
+    DONE,
+
+    @SerialName("cancelled")
+    CANCELLED,
+
+    ;
 
     val isFinal: Boolean get() = this == DONE || this == CANCELLED
 }
@@ -89,24 +107,48 @@
 /** State of a task on a worker. */
 @Serializable
 enum class TaskState {
-    @SerialName("pulling") FETCHING,
-    @SerialName("waiting") WAITING,
-    @SerialName("running") RUNNING,
-    @SerialName("flushing") SAVING,
-    @SerialName("exited") EXITED,
+    @SerialName("pulling")
+    FETCHING,
+
+    @SerialName("waiting")
+    WAITING,
+
+    @SerialName("running")
+    RUNNING,
+
+    @SerialName("flushing")
+    SAVING,
+
+    @SerialName("exited")
+    EXITED,
 }
 
 /** Why a task exited. */
 @Serializable
 enum class ExitCause {
-    @SerialName("done") DONE,
-    @SerialName("halted") STOPPED,
-    @SerialName("error") FAILED,
-    @SerialName("full") NO_ROOM,
-    @SerialName("in_use") BUSY,
-    @SerialName("no_such") UNKNOWN,
-    @SerialName("peers") PEERS,
-    @SerialName("alone") ALONE,
+    @SerialName("done")
+    DONE,
+
+    @SerialName("halted")
+    STOPPED,
+
+    @SerialName("error")
+    FAILED,
+
+    @SerialName("full")
+    NO_ROOM,
+
+    @SerialName("in_use")
+    BUSY,
+
+    @SerialName("no_such")
+    UNKNOWN,
+
+    @SerialName("peers")
+    PEERS,
+
+    @SerialName("alone")
+    ALONE,
 }
 
 /** A task in a worker's report. */
@@ -137,9 +179,14 @@
 /** What a command tells a worker to do. */
 @Serializable
 enum class Verb {
-    @SerialName("start") START,
-    @SerialName("kill") STOP,
-    @SerialName("forget") FORGET,
+    @SerialName("start")
+    START,
+
+    @SerialName("kill")
+    STOP,
+
+    @SerialName("forget")
+    FORGET,
 }
 
 /** A command to a worker. */
@@ -153,10 +200,7 @@
 
 /** Answer to a worker's report. */
 @Serializable
-data class BeatAnswer(
-    @SerialName("helm") val term: Term,
-    @SerialName("orders") val orders: List<Order>,
-)
+data class BeatAnswer(@SerialName("helm") val term: Term, @SerialName("orders") val orders: List<Order>)
 
 /** Answer that sends a worker to another node. */
 @Serializable
@@ -208,9 +252,14 @@
 /** State of a machine in the cloud's list. */
 @Serializable
 enum class ListedState {
-    @SerialName("booting") BOOTING,
-    @SerialName("running") RUNNING,
-    @SerialName("failed") FAILED,
+    @SerialName("booting")
+    BOOTING,
+
+    @SerialName("running")
+    RUNNING,
+
+    @SerialName("failed")
+    FAILED,
 }
 
 /** A machine in the cloud's list. */
@@ -227,7 +276,4 @@
 
 /** A page of the cloud's list. */
 @Serializable
-data class MachinePage(
-    @SerialName("hosts") val machines: List<ListedMachine>,
-    @SerialName("truncated") val more: Boolean = false,
-)
+data class MachinePage(@SerialName("hosts") val machines: List<ListedMachine>, @SerialName("truncated") val more: Boolean = false)
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -173,10 +173,7 @@
     )
 
     @Serializable
-    private class CommitBody(
-        @SerialName("if") val conditions: List<ConditionBody>,
-        @SerialName("writes") val writes: List<WriteBody>,
-    )
+    private class CommitBody(@SerialName("if") val conditions: List<ConditionBody>, @SerialName("writes") val writes: List<WriteBody>)
 
     @Serializable
     private class RevisionBody(@SerialName("ledger") val revision: Revision)
@@ -191,10 +188,7 @@
     private class HoldBody(@SerialName("hold") val hold: HoldId)
 
     @Serializable
-    private class FollowBody(
-        @SerialName("ledger") val revision: Revision,
-        @SerialName("news") val news: List<ChangeBody> = emptyList(),
-    )
+    private class FollowBody(@SerialName("ledger") val revision: Revision, @SerialName("news") val news: List<ChangeBody> = emptyList())
 
     @Serializable
     private class ChangeBody(
--- a/src/main/kotlin/mountmast/storage/JournalText.kt
+++ b/src/main/kotlin/mountmast/storage/JournalText.kt
@@ -85,13 +85,17 @@
                 '=' -> reader.done(JobId.parse(fields[0]) ?: return false, fields[1])
                 '%' -> reader.evictedBefore(TaskId.parse(fields[0]) ?: return false, fields[1].toIntOrNull() ?: return false)
                 'x' -> reader.reserved(
-                    MachineId(fields[0]), JobId.parse(fields[1]) ?: return false, fields.drop(2).mapNotNull(TaskId::parse),
+                    MachineId(fields[0]),
+                    JobId.parse(fields[1]) ?: return false,
+                    fields.drop(2).mapNotNull(TaskId::parse),
                 )
                 '+' -> {
                     if (fields.size != STARTED_FIELDS) return false
                     reader.started(
-                        TaskId.parse(fields[0]) ?: return false, MachineId(fields[1]),
-                        Session(fields[2].toULongOrNull() ?: return false), Attempt(fields[3].toULongOrNull() ?: return false),
+                        TaskId.parse(fields[0]) ?: return false,
+                        MachineId(fields[1]),
+                        Session(fields[2].toULongOrNull() ?: return false),
+                        Attempt(fields[3].toULongOrNull() ?: return false),
                         Zone(fields[4]),
                     )
                 }
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -92,11 +92,7 @@
 
 /** The latest whole snapshot: it holds what the journal said up to record [upTo]. */
 @Serializable
-data class SnapshotRecord(
-    @SerialName("g") val generation: Long,
-    @SerialName("u") val upTo: Long,
-    @SerialName("n") val parts: Int,
-)
+data class SnapshotRecord(@SerialName("g") val generation: Long, @SerialName("u") val upTo: Long, @SerialName("n") val parts: Int)
 
 /** A part of a snapshot, in the form of [JournalText]. */
 @Serializable
--- a/src/main/kotlin/mountmast/transport/WebServer.kt
+++ b/src/main/kotlin/mountmast/transport/BoundedServer.kt
@@ -14,18 +14,18 @@
  * http4k on the JDK's server. http4k's own `SunHttp` binds every address and has an unbounded pool; this one
  * binds the address it is given and bounds threads and waiting requests.
  */
-class BoundedServer(
-    private val at: InetSocketAddress,
-    private val name: String,
-    private val threads: Int,
-    private val waiting: Int,
-) : ServerConfig {
+class BoundedServer(private val at: InetSocketAddress, private val name: String, private val threads: Int, private val waiting: Int) :
+    ServerConfig {
     override val stopMode = ServerConfig.StopMode.Immediate
 
     override fun toServer(http: HttpHandler): Http4kServer {
         val server = HttpServer.create(at, maxOf(BACKLOG, waiting))
         val pool = ThreadPoolExecutor(
-            threads, threads, IDLE_S, TimeUnit.SECONDS, LinkedBlockingQueue(waiting),
+            threads,
+            threads,
+            IDLE_S,
+            TimeUnit.SECONDS,
+            LinkedBlockingQueue(waiting),
             { task -> Thread(null, task, name, STACK_BYTES).apply { isDaemon = true } },
         )
         pool.allowCoreThreadTimeOut(true)
--- a/src/main/kotlin/mountmast/transport/Cloud.kt
+++ b/src/main/kotlin/mountmast/transport/Cloud.kt
@@ -38,15 +38,10 @@
 }
 
 /** The cloud over HTTP, within its rate. */
-class HttpCloud(
-    private val at: InetSocketAddress,
-    ratePerS: Double,
-    private val caller: HttpCaller = HttpCaller(),
-) : Cloud {
+class HttpCloud(private val at: InetSocketAddress, ratePerS: Double, private val caller: HttpCaller = HttpCaller()) : Cloud {
     private val rate = RateLimiter.create(ratePerS * RATE_SHARE)
 
-    override fun machineTypes(): List<MachineType> =
-        decode<MachineTypes>(ask("GET", "/machine_types", null)).types
+    override fun machineTypes(): List<MachineType> = decode<MachineTypes>(ask("GET", "/machine_types", null)).types
 
     override fun rent(request: RentalRequest): RentalOutcome {
         val reply = call("POST", "/machines", WireJson.encodeToString(request))
--- a/src/main/kotlin/mountmast/transport/HttpCaller.kt
+++ b/src/main/kotlin/mountmast/transport/HttpCaller.kt
@@ -24,7 +24,11 @@
  */
 class HttpCaller(private val connectMs: Int = 1000) {
     fun call(
-        to: InetSocketAddress, method: String, path: String, body: ByteArray?, waitMs: Int,
+        to: InetSocketAddress,
+        method: String,
+        path: String,
+        body: ByteArray?,
+        waitMs: Int,
         contentType: String = "application/json",
     ): Reply {
         val url = URI.create("http://${to.hostString}:${to.port}$path").toURL()
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -157,5 +157,4 @@
     return if (retryAfterS > 0) response.header("Retry-After", retryAfterS.toString()) else response
 }
 
-private fun protobuf(bytes: ByteArray) =
-    Response(Status.OK).header("Content-Type", "application/x-protobuf").body(MemoryBody(bytes))
+private fun protobuf(bytes: ByteArray) = Response(Status.OK).header("Content-Type", "application/x-protobuf").body(MemoryBody(bytes))
--- a/src/main/kotlin/mountmast/transport/Sockets.kt
+++ b/src/main/kotlin/mountmast/transport/Sockets.kt
@@ -20,7 +20,12 @@
         fun of(most: Int): Sockets {
             val own = maxOf(minOf(LEAST_OWN, most / 2), most / OWN_SHARE)
             val accepted = most - own
-            return Sockets(accepted, accepted, (most / WAITING_SHARE).coerceIn(LEAST_WAITING, MOST_WAITING), (most / PER_POSTER).coerceIn(LEAST_POSTERS, MOST_POSTERS))
+            return Sockets(
+                accepted,
+                accepted,
+                (most / WAITING_SHARE).coerceIn(LEAST_WAITING, MOST_WAITING),
+                (most / PER_POSTER).coerceIn(LEAST_POSTERS, MOST_POSTERS),
+            )
         }
 
         private const val LEAST_OWN = 64
--- a/src/test/kotlin/mountmast/LayersTest.kt
+++ b/src/test/kotlin/mountmast/LayersTest.kt
@@ -15,9 +15,11 @@
         for ((rank, layer) in layers.withIndex()) {
             val files = File("src/main/kotlin/mountmast/$layer").listFiles { file -> file.extension == "kt" }!!
             assertTrue(files.isNotEmpty(), layer)
-            for (file in files) for (line in file.readLines()) {
-                val used = Regex("mountmast\\.([a-z]+)\\.").find(line)?.groupValues?.get(1) ?: continue
-                if (line.startsWith("import") && layers.indexOf(used) > rank) wrong += "${file.name}: $line"
+            for (file in files) {
+                for (line in file.readLines()) {
+                    val used = Regex("mountmast\\.([a-z]+)\\.").find(line)?.groupValues?.get(1) ?: continue
+                    if (line.startsWith("import") && layers.indexOf(used) > rank) wrong += "${file.name}: $line"
+                }
             }
         }
         assertEquals(emptyList<String>(), wrong)
--- a/src/test/kotlin/mountmast/coordination/JobReaderTest.kt
+++ b/src/test/kotlin/mountmast/coordination/JobReaderTest.kt
@@ -1,5 +1,6 @@
 package mountmast.coordination
 
+import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.JobId
 import mountmast.protocol.Stamp
 import mountmast.protocol.WallTime
@@ -17,7 +18,6 @@
 import mountmast.storage.StoreTrouble
 import mountmast.storage.Transaction
 import mountmast.storage.Write
-import kotlinx.serialization.json.encodeToJsonElement
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/mountmast/coordination/LedgerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/LedgerTest.kt
@@ -31,13 +31,19 @@
 
     private fun report(machine: String, at: Long, vararg tasks: ReportedTask, session: ULong = 1u): Boolean = ledger.report(
         WorkerReport(
-            MachineId(machine), "127.0.0.1:1", TypeId("s"), Zone("a"), false, Session(session), Tally(++tally), Term(0u), null, tasks.toList(),
+            MachineId(
+                machine,
+            ),
+            "127.0.0.1:1", TypeId("s"), Zone("a"), false, Session(session), Tally(++tally), Term(0u), null, tasks.toList(),
         ),
         Moment(at),
     )
 
     private fun place(index: Int, machine: String, at: Long): Assignment =
-        ledger.assign(job, index, ledger.machines.getValue(MachineId(machine)), Moment(at)).apply { phase = Phase.COMMITTED; written = true }
+        ledger.assign(job, index, ledger.machines.getValue(MachineId(machine)), Moment(at)).apply {
+            phase = Phase.COMMITTED
+            written = true
+        }
 
     private fun Assignment.shown(state: TaskState, cause: ExitCause? = null) = ReportedTask(taskName, attempt, state, cause)
 
@@ -130,10 +136,16 @@
 
     @Test
     fun `failures on a machine that proves sick are not held against its jobs`() {
-        val others = (2..4).map { ledger.putJob(JobRecord(World(1).job(it) { s -> s.copy(shape = Shape.ARRAY, tasks = 9) }, WallTime(0)), Stamp(1u), Moment(0)) }
+        val others = (2..4).map {
+            ledger.putJob(JobRecord(World(1).job(it) { s -> s.copy(shape = Shape.ARRAY, tasks = 9) }, WallTime(0)), Stamp(1u), Moment(0))
+        }
         fun fails(of: Job, index: Int, machine: String, at: Long) {
             report(machine, at)
-            val assignment = ledger.assign(of, index, ledger.machines.getValue(MachineId(machine)), Moment(at)).apply { phase = Phase.COMMITTED; written = true }
+            val assignment = ledger.assign(of, index, ledger.machines.getValue(MachineId(machine)), Moment(at)).apply {
+                phase =
+                    Phase.COMMITTED
+                written = true
+            }
             report(machine, at + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
             ledger.release(assignment, Moment(at + 20))
         }
--- a/src/test/kotlin/mountmast/coordination/MeetingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/MeetingsTest.kt
@@ -39,68 +39,66 @@
         plainJob(number) { change(it.copy(team = TeamId("free"), estimateS = 300.0)) }
 
     @Test
-    fun `a leader refused alone stops what others cancelled, through an outage longer than a cancellation may take`() =
-        meeting {
-            // Its renewals fail and its reading of the jobs hangs, while the workers stay with it.
-            leading.trouble.storeRefusedUntil = world.time.now + 14_000
-            world.run(1500, busy = false)
-            jobs.forEach { confirm(it) }
-            world.store.outage(40_000)
-            world.run(60_000, busy = false)
-            jobs.forEach { assertEquals(0, runningOf(it)) }
-        }
+    fun `a leader refused alone stops what others cancelled, through an outage longer than a cancellation may take`() = meeting {
+        // Its renewals fail and its reading of the jobs hangs, while the workers stay with it.
+        leading.trouble.storeRefusedUntil = world.time.now + 14_000
+        world.run(1500, busy = false)
+        jobs.forEach { confirm(it) }
+        world.store.outage(40_000)
+        world.run(60_000, busy = false)
+        jobs.forEach { assertEquals(0, runningOf(it)) }
+    }
 
     @Test
-    fun `cancellations a leader cannot be told of end within their time, though a renewal gets through`() =
-        meeting {
-            // No notice arrives and no change is seen, but a lucky renewal makes the old grace begin anew.
-            leading.trouble.peersCutUntil = world.time.now + 90_000
-            leading.trouble.followsNothingUntil = world.time.now + 90_000
-            world.run(500, busy = false)
-            jobs.forEach { confirm(it) }
-            world.run(8000, busy = false)
-            world.store.outage(40_000)
-            world.run(70_000, busy = false)
-            jobs.forEach { assertEquals(0, runningOf(it)) }
-        }
+    fun `cancellations a leader cannot be told of end within their time, though a renewal gets through`() = meeting {
+        // No notice arrives and no change is seen, but a lucky renewal makes the old grace begin anew.
+        leading.trouble.peersCutUntil = world.time.now + 90_000
+        leading.trouble.followsNothingUntil = world.time.now + 90_000
+        world.run(500, busy = false)
+        jobs.forEach { confirm(it) }
+        world.run(8000, busy = false)
+        world.store.outage(40_000)
+        world.run(70_000, busy = false)
+        jobs.forEach { assertEquals(0, runningOf(it)) }
+    }
 
     @Test
-    fun `a leader elected just before an outage keeps no task alive that was cancelled in between`() =
-        meeting {
-            leading.trouble.storeCutUntil = world.time.now + 90_000
-            leading.trouble.workersCutUntil = world.time.now + 90_000
-            leading.trouble.peersCutUntil = world.time.now + 90_000
-            world.run(200, busy = false)
-            jobs.forEach { confirm(it) }
-            // The confirming node ends before it has told anybody, and the successor cannot read the jobs.
-            others.forEach { it.crash(200) }
-            others.forEach { it.loadsNothing = true }
-            world.run(8000, busy = false)
-            world.store.outage(40_000)
-            world.run(60_000, busy = false)
-            jobs.forEach { assertEquals(0, runningOf(it)) }
-        }
+    fun `a leader elected just before an outage keeps no task alive that was cancelled in between`() = meeting {
+        leading.trouble.storeCutUntil = world.time.now + 90_000
+        leading.trouble.workersCutUntil = world.time.now + 90_000
+        leading.trouble.peersCutUntil = world.time.now + 90_000
+        world.run(200, busy = false)
+        jobs.forEach { confirm(it) }
+        // The confirming node ends before it has told anybody, and the successor cannot read the jobs.
+        others.forEach { it.crash(200) }
+        others.forEach { it.loadsNothing = true }
+        world.run(8000, busy = false)
+        world.store.outage(40_000)
+        world.run(60_000, busy = false)
+        jobs.forEach { assertEquals(0, runningOf(it)) }
+    }
 
     @Test
-    fun `a start held up until after its job was cancelled starts nothing once its worker has shown a higher token`() =
-        meeting(jobs = 1) {
-            // Direct commands are held up for nine seconds, while reports and their answers go on.
-            world.cloud.workers.filter { it.alive }.forEach { world.holdCommands(it, 9000) }
-            val late = world.accept(world.longJob(90) { it.copy(tasks = 2, cpus = 1.0, memoryGb = 1.0, imageGb = 0.0) })
-            repeat(100) { if (world.heldCommands == 0) world.run(50, busy = false) }
-            confirm(late)
-            // What answers to reports told before may be under way for a moment; nothing may begin after that.
-            world.run(100, busy = false)
-            val began = world.rules.startsOf(late)
-            world.run(World.CANCEL_MS, busy = false)
-            assertEquals(began, world.rules.startsOf(late), "it began although it was cancelled")
-            assertTrue(world.seats.mapNotNull { it.controller?.reign() }.none { late in it.ledger.jobs }, "the job is never over")
-        }
+    fun `a start held up until after its job was cancelled starts nothing once its worker has shown a higher token`() = meeting(jobs = 1) {
+        // Direct commands are held up for nine seconds, while reports and their answers go on.
+        world.cloud.workers.filter { it.alive }.forEach { world.holdCommands(it, 9000) }
+        val late = world.accept(world.longJob(90) { it.copy(tasks = 2, cpus = 1.0, memoryGb = 1.0, imageGb = 0.0) })
+        repeat(100) { if (world.heldCommands == 0) world.run(50, busy = false) }
+        confirm(late)
+        // What answers to reports told before may be under way for a moment; nothing may begin after that.
+        world.run(100, busy = false)
+        val began = world.rules.startsOf(late)
+        world.run(World.CANCEL_MS, busy = false)
+        assertEquals(began, world.rules.startsOf(late), "it began although it was cancelled")
+        assertTrue(world.seats.mapNotNull { it.controller?.reign() }.none { late in it.ledger.jobs }, "the job is never over")
+    }
 
     @Test
     fun `a team at its limit stays within it while its machines cannot be asked, jobs are cancelled and the leader changes`() =
         meeting(jobs = 4, { it.copy(team = TeamId("blue"), cpus = 4.0, tasks = 2, estimateS = 40.0) }) {
-            val waiting = (20..24).map { world.accept(world.longJob(it) { spec -> spec.copy(team = TeamId("blue"), cpus = 4.0, tasks = 2, estimateS = 5.0) }) }
+            val waiting = (20..24).map {
+                world.accept(world.longJob(it) { spec -> spec.copy(team = TeamId("blue"), cpus = 4.0, tasks = 2, estimateS = 5.0) })
+            }
             world.cloud.workers.filter { it.busy }.take(3).forEach { it.cutUntil = world.time.now + 15_000 }
             world.run(1000, busy = false)
             leading.crash(6000)
@@ -184,7 +182,15 @@
     fun `ten leaders in two minutes, inside an outage too`() = meeting(jobs = 3, { it.copy(estimateS = 30.0) }) {
         repeat(10) { number ->
             if (number == 4) world.store.outage(25_000)
-            (world.seats.firstOrNull { it.controller?.reign() != null } ?: world.seats.random(world.random)).crash(if (number % 2 == 0) 200 else 4000)
+            (world.seats.firstOrNull { it.controller?.reign() != null } ?: world.seats.random(world.random)).crash(
+                if (number % 2 ==
+                    0
+                ) {
+                    200
+                } else {
+                    4000
+                },
+            )
             world.run(12_000, busy = false)
         }
         world.expectDone(jobs, 150_000)
@@ -194,7 +200,15 @@
     fun `a leader ends while machines with long tasks cannot be reached, or do not hear the new one`() =
         meeting(jobs = 3, { it.copy(estimateS = 60.0) }) {
             val busy = world.cloud.workers.filter { it.busy }
-            busy.forEachIndexed { i, it -> if (i % 2 == 0) it.cutUntil = world.time.now + 20_000 else it.deafUntil = world.time.now + 20_000 }
+            busy.forEachIndexed { i, it ->
+                if (i % 2 ==
+                    0
+                ) {
+                    it.cutUntil = world.time.now + 20_000
+                } else {
+                    it.deafUntil = world.time.now + 20_000
+                }
+            }
             leading.crash(30_000)
             world.run(2000, busy = false)
             confirm(jobs.first())
@@ -238,19 +252,20 @@
     }
 
     @Test
-    fun `machines that never come up are replaced, elsewhere where many are late, and rentals do not run away`() = (1L..3L).forEach { seed ->
-        val world = World(seed, quietNetwork = true, perOffer = 30)
-        world.cloud.neverBoots = { it.zone == world.zones[0] }
-        val job = world.accept(world.longJob(1) { it.copy(tasks = 12, cpus = 4.0, imageGb = 0.0) })
-        // A small machine is said to take 4 s: late after 13 s, given up after 31 s; others boot within 12 s.
-        world.run(30_000, busy = false)
-        assertTrue(world.rules.runningOf(job) > 8, "seed $seed: ${world.rules.runningOf(job)} of 12 run")
-        world.cloud.neverBoots = { true }
-        val rented = world.cloud.rented
-        world.accept(world.longJob(2) { it.copy(tasks = 8, cpus = 4.0) })
-        world.run(150_000, busy = false)
-        assertTrue(world.cloud.rented - rented <= 6 * 8, "seed $seed: ${world.cloud.rented - rented} machines for 8 tasks")
-    }
+    fun `machines that never come up are replaced, elsewhere where many are late, and rentals do not run away`() =
+        (1L..3L).forEach { seed ->
+            val world = World(seed, quietNetwork = true, perOffer = 30)
+            world.cloud.neverBoots = { it.zone == world.zones[0] }
+            val job = world.accept(world.longJob(1) { it.copy(tasks = 12, cpus = 4.0, imageGb = 0.0) })
+            // A small machine is said to take 4 s: late after 13 s, given up after 31 s; others boot within 12 s.
+            world.run(30_000, busy = false)
+            assertTrue(world.rules.runningOf(job) > 8, "seed $seed: ${world.rules.runningOf(job)} of 12 run")
+            world.cloud.neverBoots = { true }
+            val rented = world.cloud.rented
+            world.accept(world.longJob(2) { it.copy(tasks = 8, cpus = 4.0) })
+            world.run(150_000, busy = false)
+            assertTrue(world.cloud.rented - rented <= 6 * 8, "seed $seed: ${world.cloud.rented - rented} machines for 8 tasks")
+        }
 
     @Test
     fun `controllers hand over and back, all end, and one returns within a second`() = meeting(jobs = 3, { it.copy(estimateS = 25.0) }) {
--- a/src/test/kotlin/mountmast/coordination/OperatorSettingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/OperatorSettingsTest.kt
@@ -39,7 +39,8 @@
             "<mountmast>text</mountmast>" to listOf("text"),
             "<other/>" to listOf("root"),
             "<mountmast>" to listOf("well-formed"),
-            "<mountmast><overload><least-requests>9</least-requests><most-requests>3</most-requests></overload></mountmast>" to listOf("least-requests"),
+            "<mountmast><overload><least-requests>9</least-requests><most-requests>3</most-requests></overload></mountmast>" to
+                listOf("least-requests"),
         )
         for ((xml, words) in cases) {
             val refused = assertThrows(BadSettings::class.java, { read(xml) }, xml)
--- a/src/test/kotlin/mountmast/coordination/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/RecoveryTest.kt
@@ -1,7 +1,6 @@
 package mountmast.coordination
 
 import mountmast.protocol.JobId
-import mountmast.protocol.JobSpec
 import mountmast.protocol.JobStatus
 import mountmast.protocol.Order
 import mountmast.protocol.TeamId
@@ -34,7 +33,13 @@
         val good = (2..5).map { world.accept(world.plainJob(it)) }
         world.expectDone(good, 40_000)
         assertTrue(world.rules.started - starts < 16 + 12, "${world.rules.started - starts} starts: the doomed job is not backed off")
-        assertEquals(JobStatus.CANCELLED, world.run { cancel(doomed.id); poll(doomed.id) })
+        assertEquals(
+            JobStatus.CANCELLED,
+            world.run {
+                cancel(doomed.id)
+                poll(doomed.id)
+            },
+        )
     }
 
     @Test
@@ -146,7 +151,9 @@
     @Test
     fun `a job of very many tasks stays within the limits on values and transactions`() {
         val world = World(30, quietNetwork = true)
-        val job = world.plainJob(1) { it.copy(tasks = 3000, team = TeamId("free"), cpus = 0.1, memoryGb = 0.2, estimateS = 0.5, image = it.image, imageGb = 0.0) }
+        val job = world.plainJob(1) {
+            it.copy(tasks = 3000, team = TeamId("free"), cpus = 0.1, memoryGb = 0.2, estimateS = 0.5, image = it.image, imageGb = 0.0)
+        }
         world.expectDone(listOf(world.accept(job)), 150_000)
         assertTrue(world.store.largestValue < 2048, "${world.store.largestValue} bytes")
     }
@@ -189,11 +196,15 @@
     fun `a job passed over for long gets a task, with urgent work all around it`() {
         val world = World(34, quietNetwork = true)
         val free = TeamId("free")
-        val big = world.plainJob(1) { it.copy(team = free, tasks = 3, cpus = 16.0, memoryGb = 32.0, types = listOf(TypeId("l")), estimateS = 5.0) }
+        val big = world.plainJob(1) {
+            it.copy(team = free, tasks = 3, cpus = 16.0, memoryGb = 32.0, types = listOf(TypeId("l")), estimateS = 5.0)
+        }
         val jobs = ArrayList<JobId>()
         var number = 10
         fun flood() = repeat(12) {
-            val small = world.plainJob(number++) { it.copy(team = free, urgency = Urgency.HIGH, tasks = 30, cpus = 1.0, memoryGb = 2.0, estimateS = 8.0) }
+            val small = world.plainJob(number++) {
+                it.copy(team = free, urgency = Urgency.HIGH, tasks = 30, cpus = 1.0, memoryGb = 2.0, estimateS = 8.0)
+            }
             jobs += world.accept(small)
         }
         flood()
@@ -261,7 +272,12 @@
         world.run(9000, busy = false)
         val successor = world.seats.mapNotNull { it.controller?.reign() }.maxBy { it.mandate.term }
         assertTrue(successor !== leading.controller?.reign())
-        assertTrue(successor.ledger.machines.values.filter { it.live.isNotEmpty() }.all { it.sawTerm }, "workers are still with the old leader")
+        assertTrue(
+            successor.ledger.machines.values.filter {
+                it.live.isNotEmpty()
+            }.all { it.sawTerm },
+            "workers are still with the old leader",
+        )
         world.expectDone(listOf(job), 80_000)
         assertEquals(started, world.rules.started, "tasks were started again")
     }
--- a/src/test/kotlin/mountmast/coordination/RulesUnderFailureTest.kt
+++ b/src/test/kotlin/mountmast/coordination/RulesUnderFailureTest.kt
@@ -8,9 +8,8 @@
 /** Random days in virtual time. A failing seed is printed; run it again with `-Dmountmast.seed=N`. */
 class RulesUnderFailureTest {
     /** `-Dmountmast.days=N` plays more days than the build does. */
-    private fun seeds(count: Int): LongRange =
-        System.getProperty("mountmast.seed")?.toLong()?.let { it..it }
-            ?: 1L..(System.getProperty("mountmast.days")?.toLong() ?: count.toLong())
+    private fun seeds(count: Int): LongRange = System.getProperty("mountmast.seed")?.toLong()?.let { it..it }
+        ?: 1L..(System.getProperty("mountmast.days")?.toLong() ?: count.toLong())
 
     private fun day(seed: Long, quiet: Boolean, failures: Int) {
         val world = World(seed, quiet)
--- a/src/test/kotlin/mountmast/coordination/SchedulerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/SchedulerTest.kt
@@ -26,15 +26,43 @@
     private val teams = listOf(red, blue, free).associateBy { it.id }
     private val scheduler = Scheduler(Policy())
 
-    private fun machine(name: String, room: Double = 8.0, residents: List<Resident> = emptyList(), images: Set<String> = emptySet(), zone: String = "a") =
-        MachineView(MachineId(name), type, Zone(zone), false, Resources(room, 0.0, room * 4), images.map { ImageId(it) }.toSet(), null) { residents }
+    private fun machine(
+        name: String,
+        room: Double = 8.0,
+        residents: List<Resident> = emptyList(),
+        images: Set<String> = emptySet(),
+        zone: String = "a",
+    ) = MachineView(
+        MachineId(name),
+        type,
+        Zone(zone),
+        false,
+        Resources(room, 0.0, room * 4),
+        images.map {
+            ImageId(it)
+        }.toSet(),
+        null,
+    ) { residents }
 
     private fun job(
-        number: Int, team: TeamQuota, tasks: Int = 1, cpus: Double = 4.0, urgency: Urgency = Urgency.NORMAL, estimateS: Double = 50.0,
-        live: Int = 0, slackS: Double = 100.0, waitedS: Double = 10.0, poisoned: Boolean = false, spread: Boolean = false, perZone: Map<Zone, Int> = emptyMap(),
+        number: Int,
+        team: TeamQuota,
+        tasks: Int = 1,
+        cpus: Double = 4.0,
+        urgency: Urgency = Urgency.NORMAL,
+        estimateS: Double = 50.0,
+        live: Int = 0,
+        slackS: Double = 100.0,
+        waitedS: Double = 10.0,
+        poisoned: Boolean = false,
+        spread: Boolean = false,
+        perZone: Map<Zone, Int> = emptyMap(),
     ): JobView {
         val spec = JobSpec(
-            JobId("j-$number"), "c", team.id, Shape.ARRAY, urgency, tasks + live, cpus, 0.0, cpus, ImageId("i"), 5.0, null, null, false, spread,
+            JobId(
+                "j-$number",
+            ),
+            "c", team.id, Shape.ARRAY, urgency, tasks + live, cpus, 0.0, cpus, ImageId("i"), 5.0, null, null, false, spread,
             true, estimateS, 0.0, 0.0,
         )
         return JobView(
@@ -46,7 +74,9 @@
         Resident(TaskId(job.spec.id, index), job.spec, remainingS, preemptions, false)
 
     private fun plan(machines: List<MachineView>, jobs: List<JobView>, assurance: Map<TeamId, Double> = emptyMap()): Plan {
-        val uses = jobs.groupBy { it.spec.team }.mapValues { (_, of) -> of.fold(Resources.NONE) { sum, it -> sum + it.spec.perTask * it.live } }
+        val uses = jobs.groupBy {
+            it.spec.team
+        }.mapValues { (_, of) -> of.fold(Resources.NONE) { sum, it -> sum + it.spec.perTask * it.live } }
         return scheduler.plan(Snapshot(machines, jobs, uses, teams, assurance))
     }
 
@@ -63,7 +93,8 @@
     fun `borrowing ends at three times the guarantee, and not where there is none`() {
         assertEquals(6, plan(listOf(machine("m", 100.0)), listOf(job(1, red, tasks = 10))).starts.size)
         assertEquals(10, plan(listOf(machine("m", 100.0)), listOf(job(1, free, tasks = 10))).starts.size)
-        val limited = plan(listOf(machine("m", 100.0)), listOf(job(1, red, tasks = 10, cpus = 0.0001, live = 0), job(2, red, tasks = 1, cpus = 33.0)))
+        val limited =
+            plan(listOf(machine("m", 100.0)), listOf(job(1, red, tasks = 10, cpus = 0.0001, live = 0), job(2, red, tasks = 1, cpus = 33.0)))
         assertTrue(limited.starts.none { it.job.text == "j-2" }, "over the team's limit")
     }
 
@@ -98,7 +129,12 @@
         assertEquals(1, plan(listOf(full()), listOf(running, job(2, free, urgency = Urgency.HIGH))).evictions.size)
         val order = plan(
             listOf(machine("m", 40.0)),
-            listOf(job(3, free, slackS = 80.0), job(4, free, slackS = 20.0), job(5, free, slackS = -100.0), job(6, free, slackS = 500.0, urgency = Urgency.HIGH)),
+            listOf(
+                job(3, free, slackS = 80.0),
+                job(4, free, slackS = 20.0),
+                job(5, free, slackS = -100.0),
+                job(6, free, slackS = 500.0, urgency = Urgency.HIGH),
+            ),
         )
         assertEquals(listOf("j-6", "j-4", "j-3", "j-5"), order.starts.map { it.job.text })
     }
@@ -132,7 +168,8 @@
         fun full(name: String, remainingS: Double, from: Int) =
             machine(name, 0.0, (0..3).map { resident(running, from + it, remainingS + it) })
         val machines = listOf(full("late", 40.0, 0), full("soon", 2.0, 4), full("later", 60.0, 8), machine("tight", 3.0))
-        val plan = plan(machines, listOf(running, job(2, free, tasks = 2, cpus = 4.0), job(3, free, tasks = 20, cpus = 1.0, slackS = 500.0)))
+        val plan =
+            plan(machines, listOf(running, job(2, free, tasks = 2, cpus = 4.0), job(3, free, tasks = 20, cpus = 1.0, slackS = 500.0)))
         assertEquals(listOf(Hold(MachineId("soon"), JobId("j-2"))), plan.holds)
         assertTrue(plan.evictions.isEmpty())
         assertTrue(plan.starts.none { it.machine.text == "soon" }, "kept for the large tasks")
@@ -143,9 +180,13 @@
         // 24 of red's 32 CPUs are in use, three times its guarantee: the bound on borrowing is reached, the limit is not.
         fun startsAfter(waitedS: Double, failedHere: Boolean = false): Int {
             val waiting = job(2, red, tasks = 4, waitedS = waitedS)
-            val view = if (!failedHere) waiting else JobView(
-                waiting.spec, waiting.submitted, 4, 4, 0, emptyMap(), 50.0, setOf(MachineId("idle")), false, true, 100.0, waitedS,
-            ) { count -> IntArray(count) { it } }
+            val view = if (!failedHere) {
+                waiting
+            } else {
+                JobView(
+                    waiting.spec, waiting.submitted, 4, 4, 0, emptyMap(), 50.0, setOf(MachineId("idle")), false, true, 100.0, waitedS,
+                ) { count -> IntArray(count) { it } }
+            }
             return plan(listOf(machine("idle", 40.0)), listOf(job(1, red, tasks = 0, live = 6), view)).starts.size
         }
         assertEquals(0, startsAfter(50.0))
--- a/src/test/kotlin/mountmast/standin/Rules.kt
+++ b/src/test/kotlin/mountmast/standin/Rules.kt
@@ -92,7 +92,11 @@
         if (place.spot && !spec.spotAllowed) broken("wrong_place", "$task on spot")
         val others = running.filterKeys { it.job == task.job && it != task }.values
         if (spec.oneZone && others.any { it.zone != place.zone }) broken("wrong_place", "$task apart from its job")
-        if (spec.spread && others.count { it.zone == place.zone } + 1 > spec.perZoneLimit) broken("wrong_place", "$task: too many in ${place.zone}")
+        if (spec.spread &&
+            others.count { it.zone == place.zone } + 1 > spec.perZoneLimit
+        ) {
+            broken("wrong_place", "$task: too many in ${place.zone}")
+        }
         running[task] = place
         val use = running.keys.map { submitted.getValue(it.job) }.filter { it.team == spec.team }
             .fold(Resources.NONE) { sum, job -> sum + job.perTask }
--- a/src/test/kotlin/mountmast/standin/StandInCloud.kt
+++ b/src/test/kotlin/mountmast/standin/StandInCloud.kt
@@ -60,7 +60,11 @@
 
     private fun rentNow(request: RentalRequest): RentalOutcome {
         answers[request.id]?.let { return RentalOutcome.Rented(it) }
-        val used = machines.values.count { it.request.type == request.type && it.request.zone == request.zone && it.request.spot == request.spot }
+        val used = machines.values.count {
+            it.request.type == request.type &&
+                it.request.zone == request.zone &&
+                it.request.spot == request.spot
+        }
         val count = minOf(request.count, perOffer - used)
         if (count <= 0) return RentalOutcome.NoCapacity
         val ids = List(count) { MachineId("vm-" + (number++).toString().padStart(6, '0')) }
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -121,14 +121,23 @@
             return act().also { trouble.mayStrike(random) }
         }
 
-        override fun get(key: String): Entry? = ask(false) { expire(); values[key]?.let { Entry(key, it.data, Stamp(it.stamp.toULong())) } }
+        override fun get(key: String): Entry? = ask(false) {
+            expire()
+            values[key]?.let { Entry(key, it.data, Stamp(it.stamp.toULong())) }
+        }
 
         override fun list(prefix: String, after: String?, limit: Int): EntryPage = ask(false) {
             expire()
             val all = values.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.filter { after == null || it.key > after }
             // Small pages, so that listing in several parts is exercised.
             val page = all.take(minOf(limit, 7))
-            EntryPage(page.map { Entry(it.key, it.value.data, Stamp(it.value.stamp.toULong())) }, all.size > page.size, Revision(revision.toULong()))
+            EntryPage(
+                page.map {
+                    Entry(it.key, it.value.data, Stamp(it.value.stamp.toULong()))
+                },
+                all.size > page.size,
+                Revision(revision.toULong()),
+            )
         }
 
         override fun commit(transaction: Transaction): CommitOutcome = ask {
@@ -163,7 +172,8 @@
             val oldest = changes.firstOrNull()?.stamp?.number ?: 0u
             if (changes.size >= keptChanges && from.number < oldest) return@ask FollowOutcome.TooOld
             FollowOutcome.Changes(
-                changes.filter { it.stamp.number > from.number && it.key.startsWith(prefix) }, Revision(revision.toULong()),
+                changes.filter { it.stamp.number > from.number && it.key.startsWith(prefix) },
+                Revision(revision.toULong()),
             )
         }
     }
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/World.kt
@@ -23,8 +23,8 @@
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.Settings
 import mountmast.protocol.Shape
-import mountmast.protocol.TeamId
 import mountmast.protocol.TaskId
+import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 import mountmast.protocol.Term
 import mountmast.protocol.TypeId
@@ -46,7 +46,8 @@
     val time = VirtualTime()
     val zones = listOf(Zone("a"), Zone("b"))
     val teams = listOf(
-        TeamQuota(TeamId("red"), 16.0, 40.0, 0.0, 0.0), TeamQuota(TeamId("blue"), 8.0, 24.0, 0.0, 0.0),
+        TeamQuota(TeamId("red"), 16.0, 40.0, 0.0, 0.0),
+        TeamQuota(TeamId("blue"), 8.0, 24.0, 0.0, 0.0),
         TeamQuota(TeamId("free"), 0.0, 0.0, 0.0, 0.0),
     ).associateBy { it.id }
     private val types = listOf(
@@ -107,8 +108,14 @@
             }
             if (trouble.stalled()) return
             val steps = listOf<Pair<Long, () -> Unit>>(
-                1000L to running::lead, 100L to { if (!loadsNothing) running.load() }, 2000L to running::greet, 300L to running::pass, 100L to { running.write() },
-                150L to { running.follow(0) }, 1000L to running::manageFleet, 100L to { while (running.post(0) || running.call()) Unit },
+                1000L to running::lead,
+                100L to { if (!loadsNothing) running.load() },
+                2000L to running::greet,
+                300L to running::pass,
+                100L to { running.write() },
+                150L to { running.follow(0) },
+                1000L to running::manageFleet,
+                100L to { while (running.post(0) || running.call()) Unit },
             )
             for (i in steps.indices.shuffled(random)) {
                 if (time.now < due[i]) continue
@@ -164,7 +171,8 @@
 
     private fun apart(one: Zone, other: Zone) = time.now < cutZoneUntil && (one == cutZone) != (other == cutZone)
 
-    private fun unreachable(worker: StandInWorker, trouble: Trouble) = worker.cut || trouble.cutFromWorkers() ||
+    private fun unreachable(worker: StandInWorker, trouble: Trouble) = worker.cut ||
+        trouble.cutFromWorkers() ||
         seats.any { it.trouble === trouble && apart(it.zone, worker.zone) }
 
     private inner class WorkerLine(private val trouble: Trouble) : Workers {
@@ -173,16 +181,23 @@
             trouble.mayStrike(random)
             ordersSent++
             val worker = cloud.workers.firstOrNull { it.address == address && it.alive } ?: return OrdersOutcome.Unknown
-            fun execute(): OrdersOutcome =
-                if (worker.ordered(message.term, message.session, message.orders)) OrdersOutcome.Executed(worker.report())
-                else OrdersOutcome.Rejected(worker.report())
+            fun execute(): OrdersOutcome = if (worker.ordered(message.term, message.session, message.orders)) {
+                OrdersOutcome.Executed(worker.report())
+            } else {
+                OrdersOutcome.Rejected(worker.report())
+            }
             if (time.now < worker.calledByNobodyUntil) return OrdersOutcome.NotSent
             if (time.now < worker.commandsHeldUntil) {
                 heldCommands++
                 time.later(worker.commandsHeldMs) { if (worker.alive) execute() }
                 return OrdersOutcome.Unknown
             }
-            val lost = unreachable(worker, trouble) || worker.deaf || worker.hanging || trouble.sendsNothing() || random.nextDouble() < trouble.lossRate
+            val lost =
+                unreachable(worker, trouble) ||
+                    worker.deaf ||
+                    worker.hanging ||
+                    trouble.sendsNothing() ||
+                    random.nextDouble() < trouble.lossRate
             if (!lost) {
                 trouble.mayRepeat(random) { if (worker.alive) execute() }
                 return execute().also { trouble.mayStrike(random) }
@@ -196,7 +211,13 @@
 
     private inner class PeerLine(private val trouble: Trouble, private val zone: Zone) : Peers {
         private fun reach(to: Member) = seats.first { it.name == to.node }
-            .takeIf { !apart(it.zone, zone) && !trouble.stalled() && !it.trouble.stalled() && !trouble.cutFromPeers() && !it.trouble.cutFromPeers() }?.controller
+            .takeIf {
+                !apart(it.zone, zone) &&
+                    !trouble.stalled() &&
+                    !it.trouble.stalled() &&
+                    !trouble.cutFromPeers() &&
+                    !it.trouble.cutFromPeers()
+            }?.controller
 
         override fun hello(to: Member, hello: PeerHello): PeerHello? = reach(to)?.hello(hello)
         override fun relay(to: Member, request: RelayRequest): RelayAnswer? {
@@ -239,7 +260,11 @@
     }
 
     private fun hasRoomFor(spec: JobSpec, worker: StandInWorker): Boolean {
-        if (!spec.perTask.fitsIn(worker.room()) || !teams.getValue(spec.team).limitAllows(rules.useOf(spec.team) + spec.perTask)) return false
+        if (!spec.perTask.fitsIn(worker.room()) ||
+            !teams.getValue(spec.team).limitAllows(rules.useOf(spec.team) + spec.perTask)
+        ) {
+            return false
+        }
         if (spec.types?.contains(worker.type.id) == false || (worker.spot && !spec.spotAllowed)) return false
         if (spec.zone != null && spec.zone != worker.zone) return false
         val zones = rules.zonesOf(spec.id)
@@ -289,10 +314,17 @@
         }
         val seat = seats[worker.target]
         val controller = seat.controller
-        if (controller == null || worker.mute || seat.trouble.stalled() || unreachable(worker, seat.trouble) || random.nextDouble() < seat.trouble.lossRate) {
+        if (controller == null ||
+            worker.mute ||
+            seat.trouble.stalled() ||
+            unreachable(worker, seat.trouble) ||
+            random.nextDouble() < seat.trouble.lossRate
+        ) {
             // A cut may hold a report and deliver it long after its worker has given up on it.
             if (random.nextInt(3) == 0) {
-                time.later(random.nextLong(500, 40_000)) { seats[worker.target].controller?.let { late -> seat.guarded { late.beat(report) } } }
+                time.later(random.nextLong(500, 40_000)) {
+                    seats[worker.target].controller?.let { late -> seat.guarded { late.beat(report) } }
+                }
             }
             worker.target = (worker.target + 1) % seats.size
             return
@@ -302,8 +334,9 @@
                 is BeatOutcome.Accepted -> {
                     noteStarts(outcome.answer.orders)
                     val delay = if (quietNetwork) 0L else random.nextLong(0, 60)
-                    if (worker.deaf || seat.trouble.sendsNothing()) worker.target = (worker.target + 1) % seats.size
-                    else if (random.nextDouble() >= seat.trouble.lossRate) {
+                    if (worker.deaf || seat.trouble.sendsNothing()) {
+                        worker.target = (worker.target + 1) % seats.size
+                    } else if (random.nextDouble() >= seat.trouble.lossRate) {
                         time.later(delay) { worker.answered(outcome.answer.term, outcome.answer.orders, sentAt, report.session) }
                     }
                 }
@@ -449,7 +482,10 @@
             19 -> seat.trouble.sendsNothingUntil = time.now + ms
             20, 21 -> {
                 // It stands still for up to well over a lease, in the middle of what it does, and then goes on.
-                seats.shuffled(random).take(random.nextInt(1, 3)).forEach { it.trouble.pauseAtNextCallMs = random.nextLong(500, 3 * LEASE_MS) }
+                seats.shuffled(random).take(random.nextInt(1, 3)).forEach {
+                    it.trouble.pauseAtNextCallMs =
+                        random.nextLong(500, 3 * LEASE_MS)
+                }
             }
             22 -> aShareOfTheFleet { it.hangUntil = time.now + ms / 2 }
             23 -> aShareOfTheFleet { it.cutUntil = time.now + ms }
--- a/src/test/kotlin/mountmast/transport/RoutesTest.kt
+++ b/src/test/kotlin/mountmast/transport/RoutesTest.kt
@@ -59,7 +59,13 @@
         assertEquals("""{"helm":7,"orders":[]}""", call(Method.POST, "/agent/beat", report("vm-1")).bodyString())
         val elsewhere = call(Method.POST, "/agent/beat", report("vm-2"))
         assertEquals(421 to """{"bridge":"n-2"}""", elsewhere.status.code to elsewhere.bodyString())
-        for (absurd in listOf("", "[]", "{}", report("vm-1").replace("\"watch\":1", "\"watch\":-1"), report("vm-1").replace("\"watch\":1", "\"watch\":\"x\""))) {
+        for (absurd in listOf(
+            "",
+            "[]",
+            "{}",
+            report("vm-1").replace("\"watch\":1", "\"watch\":-1"),
+            report("vm-1").replace("\"watch\":1", "\"watch\":\"x\""),
+        )) {
             assertEquals(400, call(Method.POST, "/agent/beat", absurd).status.code, absurd)
         }
     }
