--- a/src/main/kotlin/mountmast/coordination/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/Controller.kt
@@ -15,6 +15,7 @@
 import mountmast.protocol.Term
 import mountmast.protocol.Verb
 import mountmast.protocol.WorkerReport
+import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
 import mountmast.storage.StoreTrouble
 import mountmast.transport.BeatOutcome
@@ -51,7 +52,8 @@
     private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.reportS)
     private val leadership = Leadership(store, settings.node, run, timing, clock)
     private val notices = CancellationNotices(settings.members.map { it.node }, clock, timing.noticesMs)
-    private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, settings.txnOps * CONDITIONS_PER_OP)
+    private val limits = WriteLimits(settings.valueKb, settings.txnOps)
+    private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, limits) { true }
 
     /** What users may ask of this node. */
     val users: UserService get() = desk
@@ -139,8 +141,9 @@
         }
         if (current?.reign?.mandate === mandate) return
         store.shareAs(leader = true)
-        val reign = Reign(mandate, store, workers, settings.teams, policy, timing, clock) { it in notices }
-        val writer = LedgerWriter(reign, store, WriteLimits(settings.valueKb, settings.txnOps), clock) { leadership.lost() }
+        val lists = PrerequisiteLists(store, limits.textPerValue, limits.txnOps)
+        val reign = Reign(mandate, store, workers, settings.teams, policy, timing, clock, { it in notices }, lists)
+        val writer = LedgerWriter(reign, store, limits, clock) { leadership.lost() }
         val fleet = Fleet(reign, cloud, clock, "${settings.node}-$run-${mandate.term}", fleetPolicy, timing)
         office.set(Office(reign, writer, fleet))
     }
@@ -181,6 +184,17 @@
         }
     }
 
+    /** Learns what became of jobs that others wait for; false where there was nothing to learn. */
+    fun resolvePrerequisites(): Boolean {
+        val reign = reign() ?: return false
+        return try {
+            reign.resolvePrerequisites()
+        } catch (e: StoreTrouble) {
+            log.debug("looking up prerequisites: {}", e.message)
+            false
+        }
+    }
+
     /** Renting and returning cannot be taken back, so only a leader that was confirmed just now does either. */
     fun manageFleet() {
         val current = office.get()?.takeIf { it.reign.ready } ?: return
@@ -291,8 +305,6 @@
         const val HELLO_FRESH_MS = 6000L
         const val TYPES_STEPS = 30
 
-        /** A transaction takes four times as many conditions as changes. */
-        const val CONDITIONS_PER_OP = 4
         const val MOST_UNINFORMED_STEPS = 8
         const val MOST_HELPED = 10_000
         const val LAG_WEIGHT = 0.03
--- a/src/main/kotlin/mountmast/coordination/DelayReports.kt
+++ b/src/main/kotlin/mountmast/coordination/DelayReports.kt
@@ -12,10 +12,18 @@
         for (job in ledger.jobs.values) {
             if (job.calledLate || job.cancelled || untilDueS(job) >= 0) continue
             job.calledLate = true
-            log.info("job {} is late: {} of {} tasks are done, {} placed", job.id, job.doneCount, job.spec.tasks, job.live.size)
+            if (job.isReleased) tellLate(job) else tellWaiting(job)
         }
     }
 
+    private fun tellLate(job: Job) =
+        log.info("job {} is late: {} of {} tasks are done, {} placed", job.id, job.doneCount, job.spec.tasks, job.live.size)
+
+    private fun tellWaiting(job: Job) {
+        val open = job.release.open
+        log.info("job {} is late: it waits for {} jobs, among them {}", job.id, open.size, open.take(MOST_NAMED))
+    }
+
     /** Tells operators which jobs stall, for how long and what they wait for. */
     fun tellStalls(waiting: List<Waiting>, now: Moment) {
         for (waits in waiting) {
@@ -36,6 +44,7 @@
     }
 
     private companion object {
+        const val MOST_NAMED = 5
         const val STALL_MS = 30_000L
         const val STALL_REPEAT_MS = 60_000L
     }
--- a/src/main/kotlin/mountmast/coordination/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/Job.kt
@@ -13,6 +13,7 @@
 import mountmast.protocol.Stamp
 import mountmast.protocol.Tally
 import mountmast.protocol.TaskState
+import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
 import mountmast.protocol.Zone
 import java.util.BitSet
@@ -98,6 +99,31 @@
         cancelRecorded = cancelRecorded || recorded
     }
 
+    /** What it waits for. */
+    val release = JobRelease()
+
+    /** Whether every job that it waits for is known to be done: before that none of its tasks may start. */
+    val isReleased: Boolean get() = release.isListKnown && release.open.isEmpty()
+
+    /** What the jobs that need this one ask of it. */
+    var claim = Claim.NONE
+        set(value) {
+            field = value
+            schedulingSpec = if (effectiveUrgency == spec.urgency) spec else spec.copy(urgency = effectiveUrgency)
+        }
+    val effectiveUrgency: Urgency get() = minOf(spec.urgency, claim.urgency)
+
+    /** When it should be done, by its own user or for the jobs that need it. */
+    val effectiveDue: WallTime? get() = Claim.earlier(ownDue, claim.due)
+    val ownDue: WallTime? = spec.deadlineS?.let { WallTime(submitted.ms + (it * MS_PER_S).toLong()) }
+
+    /** The job as it is scheduled: with the highest urgency of those that need it. */
+    var schedulingSpec = spec
+        private set
+
+    /** From when its waiting counts: from the end of the last job that it waited for, or from its submission. */
+    val waitingFrom: WallTime get() = release.lastDoneAt?.let { maxOf(it, submitted) } ?: submitted
+
     /** Tasks whose completion is known. */
     val done = BitSet()
 
@@ -166,5 +192,6 @@
     companion object {
         /** An error mostly means a faulty machine; on this many machines it means the job. */
         const val POISON_MACHINES = 3
+        private const val MS_PER_S = 1000
     }
 }
--- a/src/main/kotlin/mountmast/coordination/JobDesk.kt
+++ b/src/main/kotlin/mountmast/coordination/JobDesk.kt
@@ -26,6 +26,7 @@
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
+import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
 import mountmast.storage.StoreTrouble
 import mountmast.storage.Transaction
@@ -50,8 +51,10 @@
     private val isReady: () -> Boolean,
     /** A cancellation is in the store; its user is told after this. */
     private val onCancelled: (JobId) -> Unit,
-    /** How many conditions a transaction takes. */
-    mostConditions: Int,
+    /** What the state service takes at once. */
+    limits: WriteLimits,
+    /** Whether every node reads records that name prerequisites: an older one would start such a job too early. */
+    private val acceptsPrerequisites: () -> Boolean,
 ) : UserService {
     @Volatile
     private var types: List<MachineType> = emptyList()
@@ -61,7 +64,9 @@
     private val over: Cache<JobId, OverRecord> = CacheBuilder.newBuilder().maximumSize(MOST_REMEMBERED).build()
 
     private val progress = ProgressBoard(store, clock)
-    private val reader = JobReader(store, mostConditions)
+    private val reader = JobReader(store, limits.conditions)
+    private val lists = PrerequisiteLists(store, limits.textPerValue, limits.txnOps)
+    private val prerequisites = PrerequisiteEvaluator(store, reader, lists, over, limits.conditions)
 
     /** Reads the machine types that the leader has stored. */
     fun refreshTypes() {
@@ -93,17 +98,34 @@
         val types = types
         if (types.isEmpty()) return lookUp(id) ?: later("machine types are not known yet")
         JobValidation.neverRuns(spec, teams, types)?.let { why -> return lookUp(id) ?: UserAnswer(422, refusal(why)) }
-        return when (store.commit(accept(spec))) {
+        if (spec.prerequisites.isNotEmpty()) refusePrerequisites(spec)?.let { refused -> return lookUp(id) ?: refused }
+        return accept(JobRecord(spec, clock.wall()))
+    }
+
+    /** Why a job with these prerequisites can't be taken now or at all, or null where it can. */
+    private fun refusePrerequisites(spec: JobSpec): UserAnswer? {
+        if (!acceptsPrerequisites()) return later("a node of an earlier version may still be running")
+        return when (val fault = prerequisites.faultIn(spec.prerequisites)) {
+            is PrerequisiteFault.NeverAccepted -> UserAnswer(422, refusal("waitsOn: ${fault.id} was never accepted"))
+            is PrerequisiteFault.IsService -> UserAnswer(422, refusal("waitsOn: ${fault.id} is a service"))
+            null -> null
+        }
+    }
+
+    private fun accept(record: JobRecord): UserAnswer {
+        val id = record.spec.id
+        if (!lists.fitsWithoutPrerequisites(record)) return lookUp(id) ?: UserAnswer(400, refusal("names are too long"))
+        val stored = lists.store(record)
+        val transaction = Transaction(
+            listOf(Condition(Keys.job(id), Stamp.ABSENT), Condition(Keys.over(id), Stamp.ABSENT)),
+            listOf(Write.Put(Keys.job(id), WireJson.encodeToJsonElement(stored))),
+        )
+        return when (store.commit(transaction)) {
             is CommitOutcome.Committed -> UserAnswer(201, encode(JobAnswer(id, JobStatus.PENDING)))
             is CommitOutcome.Conflict -> lookUp(id) ?: later("try again")
         }
     }
 
-    private fun accept(spec: JobSpec) = Transaction(
-        listOf(Condition(Keys.job(spec.id), Stamp.ABSENT), Condition(Keys.over(spec.id), Stamp.ABSENT)),
-        listOf(Write.Put(Keys.job(spec.id), WireJson.encodeToJsonElement(JobRecord(spec, clock.wall())))),
-    )
-
     override fun status(id: String, relayed: Boolean): UserAnswer {
         val job = JobId.parse(id) ?: return unknown()
         over.getIfPresent(job)?.let { return known(job, it) }
@@ -152,6 +174,19 @@
     private fun describe(record: JobRecord): UserAnswer {
         val id = record.spec.id
         if (record.cancelled) return known(id, remember(id, record))
+        return when (val state = prerequisites.evaluate(record)) {
+            PrerequisiteState.Satisfied -> describeReleased(id)
+            PrerequisiteState.Cancelled -> known(id, remember(id, record))
+            is PrerequisiteState.Waiting -> describeWaiting(id, state.jobs)
+        }
+    }
+
+    private fun describeWaiting(id: JobId, waitsOn: List<JobId>): UserAnswer {
+        val answer = JobAnswer(id, JobStatus.PENDING, done = 0, running = 0, waitsOn = waitsOn.take(MOST_NAMED))
+        return UserAnswer(200, encode(answer))
+    }
+
+    private fun describeReleased(id: JobId): UserAnswer {
         val progress = progress.of(id)
         val status = if (progress.running > 0) JobStatus.RUNNING else JobStatus.PENDING
         return UserAnswer(200, encode(JobAnswer(id, status, progress.done, progress.running)))
@@ -185,5 +220,8 @@
         const val TRIES = 3
         const val RETRY_AFTER_S = 1
         const val MOST_REMEMBERED = 20_000L
+
+        /** Of the jobs that a job waits for at most so many are named to its user. */
+        const val MOST_NAMED = 20
     }
 }
--- a/src/main/kotlin/mountmast/coordination/JobReader.kt
+++ b/src/main/kotlin/mountmast/coordination/JobReader.kt
@@ -36,10 +36,10 @@
 class JobReader(private val store: StateStore, private val mostConditions: Int) {
     private class Seen(val record: JobRecord, val stamp: Stamp)
 
-    private class Question(val id: JobId) {
-        /** The state, or null: the thread that asked is to read for all that wait. */
+    private class Question(val ids: Set<JobId>) {
+        /** The states, or null: the thread that asked is to read for all that wait. */
         @Volatile
-        var answer = CompletableFuture<JobState?>()
+        var answer = CompletableFuture<Map<JobId, JobState>?>()
     }
 
     private val lock = Any()
@@ -50,8 +50,12 @@
     private val seen: Cache<JobId, Seen> = CacheBuilder.newBuilder().maximumSize(MOST_SEEN).build()
 
     /** The state of [id] at some moment after this was called. */
-    fun read(id: JobId): JobState {
-        val own = Question(id)
+    fun read(id: JobId): JobState = readAll(setOf(id)).getValue(id)
+
+    /** The states of [ids], each at some moment after this was called. */
+    fun readAll(ids: Set<JobId>): Map<JobId, JobState> {
+        if (ids.isEmpty()) return emptyMap()
+        val own = Question(ids)
         var reads = synchronized(lock) {
             waiting += own
             !reading.also { reading = true }
@@ -65,7 +69,13 @@
         }
     }
 
-    private fun await(question: Question): JobState? = try {
+    /** The record of [id] as it was last read, if it was not over then: what never changes in it may be used. */
+    fun lastSeen(id: JobId): JobRecord? = seen.getIfPresent(id)?.record
+
+    /** Takes note of a record that was read elsewhere. */
+    fun note(record: JobRecord, stamp: Stamp) = seen.put(record.spec.id, Seen(record, stamp))
+
+    private fun await(question: Question): Map<JobId, JobState>? = try {
         question.answer.get(MOST_WAIT_MS, TimeUnit.MILLISECONDS)
     } catch (e: ExecutionException) {
         throw e.cause ?: e
@@ -76,11 +86,11 @@
             val answer = question.answer
             if (answer.isDone && !answer.isCompletedExceptionally && answer.getNow(null) == null) handOn()
         }
-        throw StoreSilent("reading ${question.id} takes too long")
+        throw StoreSilent("reading ${question.ids.first()} takes too long")
     }
 
     private fun readForAll() {
-        val batch = synchronized(lock) { List(minOf(waiting.size, mostConditions)) { waiting.removeFirst() } }
+        val batch = synchronized(lock) { takeBatch() }
         try {
             answer(batch)
         } finally {
@@ -89,6 +99,18 @@
         }
     }
 
+    /** As many questions as one comparison answers, at least one; the caller holds the lock. */
+    private fun takeBatch(): List<Question> {
+        val batch = ArrayList<Question>()
+        var size = 0
+        while (waiting.isNotEmpty() && (batch.isEmpty() || size + waiting.first().ids.size <= mostConditions)) {
+            val question = waiting.removeFirst()
+            size += question.ids.size
+            batch += question
+        }
+        return batch
+    }
+
     /** Has the next who waits read; the caller holds the lock. */
     private fun handOn() {
         val next = waiting.firstOrNull()
@@ -96,24 +118,33 @@
     }
 
     private fun answer(batch: List<Question>) {
-        val known = HashMap<JobId, Seen>()
-        for (question in batch) seen.getIfPresent(question.id)?.let { known[question.id] = it }
+        val ids = batch.flatMapTo(LinkedHashSet()) { it.ids }
         val states = HashMap<JobId, JobState>()
-        if (known.size > 1) for (id in unchanged(known)) states[id] = JobState.Live(known.getValue(id).record)
-        for (question in batch) {
-            try {
-                question.answer.complete(states.getOrPut(question.id) { readOne(question.id) })
-            } catch (e: StoreTrouble) {
-                question.answer.completeExceptionally(e)
-            } catch (e: IllegalArgumentException) {
-                question.answer.completeExceptionally(e)
-            }
+        val known = ids.mapNotNull { id -> seen.getIfPresent(id)?.let { id to it } }
+        for (part in known.chunked(mostConditions)) addUnchanged(part.toMap(), states)
+        for (question in batch) answer(question, states)
+    }
+
+    private fun answer(question: Question, states: MutableMap<JobId, JobState>) {
+        try {
+            question.answer.complete(question.ids.associateWith { id -> states.getOrPut(id) { readOne(id) } })
+        } catch (e: StoreTrouble) {
+            question.answer.completeExceptionally(e)
+        } catch (e: IllegalArgumentException) {
+            question.answer.completeExceptionally(e)
         }
     }
 
+    /** Adds those of [jobs] that are still as they were read; a single one is read as cheaply as compared. */
+    private fun addUnchanged(jobs: Map<JobId, Seen>, states: MutableMap<JobId, JobState>) {
+        if (jobs.size < 2) return
+        for (id in unchanged(jobs)) states[id] = JobState.Live(jobs.getValue(id).record)
+    }
+
     /** Which of these jobs are still as they were read. */
     private fun unchanged(jobs: Map<JobId, Seen>): Set<JobId> = try {
-        when (val outcome = store.commit(Transaction(jobs.map { (id, it) -> Condition(Keys.job(id), it.stamp) }, emptyList()))) {
+        val conditions = jobs.map { (id, it) -> Condition(Keys.job(id), it.stamp) }
+        when (val outcome = store.commit(Transaction(conditions, emptyList()))) {
             is CommitOutcome.Committed -> jobs.keys
             is CommitOutcome.Conflict -> jobs.keys - outcome.failed.mapNotNull(Keys::jobOfKey).toSet()
         }
--- a/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
@@ -9,6 +9,7 @@
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.Moment
+import mountmast.protocol.Shape
 import mountmast.protocol.Stamp
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
@@ -40,9 +41,13 @@
     /** Characters of text per value, with room for the JSON around them. */
     val textPerValue: Int = (valueKb * BYTES_PER_KB * VALUE_SHARE).toInt()
 
+    /** Conditions per transaction. */
+    val conditions: Int = txnOps * CONDITIONS_PER_OP
+
     private companion object {
         const val BYTES_PER_KB = 1024
         const val VALUE_SHARE = 0.9
+        const val CONDITIONS_PER_OP = 4
     }
 }
 
@@ -78,11 +83,14 @@
     /** A batch that got no answer: asked again word for word until its fate is known. */
     private var unsettled: Batch? = null
 
+    /** A job that the batch moves to its final state. */
+    private class JobEnd(val job: Job, val record: OverRecord)
+
     private class Batch {
         val conditions = ArrayList<Condition>()
         val writes = ArrayList<Write>()
         val written = ArrayList<Unwritten>()
-        val over = ArrayList<Job>()
+        val over = ArrayList<JobEnd>()
         var records = 0
         var bytes = 0L
         var types: MachineTypes? = null
@@ -201,11 +209,16 @@
     }
 
     private fun addOver(batch: Batch, job: Job) {
-        val status = if (job.cancelRecorded) JobStatus.CANCELLED else JobStatus.DONE
         batch.conditions += Condition(Keys.job(job.id), job.stamp)
-        put(batch, Keys.over(job.id), WireJson.encodeToJsonElement(OverRecord(status, job.spec.tasks)))
+        val final = finalRecord(job)
+        put(batch, Keys.over(job.id), WireJson.encodeToJsonElement(final))
         batch.writes += Write.Delete(Keys.job(job.id))
-        batch.over += job
+        batch.over += JobEnd(job, final)
+    }
+
+    private fun finalRecord(job: Job): OverRecord {
+        val status = if (job.cancelRecorded) JobStatus.CANCELLED else JobStatus.DONE
+        return OverRecord(status, job.spec.tasks, clock.wall(), job.spec.shape == Shape.SERVICE)
     }
 
     private fun addSnapshot(batch: Batch) {
@@ -324,9 +337,9 @@
             journal.snapshotStamp = stamp
             snapshotting = null
         }
-        for (job in batch.over) {
-            log.debug("job {} is over", job.id)
-            reign.jobOver(job)
+        for (end in batch.over) {
+            log.debug("job {} is over", end.job.id)
+            reign.jobOver(end.job, end.record)
         }
         if (reign.pendingTypes === batch.types) reign.pendingTypes = null
         buryEmptied()
@@ -389,7 +402,7 @@
             val job = ledger.jobs[id] ?: return
             when {
                 entry != null -> reign.takeIn(WireJson.decodeFromJsonElement<JobRecord>(entry.value), entry.stamp)
-                over != null -> reign.jobOver(job)
+                over != null -> reign.jobOver(job, WireJson.decodeFromJsonElement<OverRecord>(over.value))
                 else -> log.error("job {} is in the store no more", id)
             }
         }
--- a/src/main/kotlin/mountmast/coordination/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/Node.kt
@@ -54,6 +54,7 @@
             WRITE_GAP_MS
         }
         whileLeading("follow") { if (controller.follow(FOLLOW_MS)) FOLLOW_GAP_MS else FAILED_MS }
+        whileLeading("prerequisites") { if (controller.resolvePrerequisites()) 0 else PREREQUISITES_MS }
         whileLeading("fleet") {
             controller.manageFleet()
             FLEET_MS
@@ -107,6 +108,7 @@
         const val FOLLOW_MS = 2000L
         const val FOLLOW_GAP_MS = 150L
         const val FLEET_MS = 1000L
+        const val PREREQUISITES_MS = 200L
         const val POST_WAIT_MS = 1000L
         const val POST_GAP_MS = 50L
         const val IDLE_MS = 250L
--- a/src/main/kotlin/mountmast/coordination/Reign.kt
+++ b/src/main/kotlin/mountmast/coordination/Reign.kt
@@ -23,6 +23,8 @@
 import mountmast.storage.JournalRecord
 import mountmast.storage.JournalText
 import mountmast.storage.Keys
+import mountmast.storage.OverRecord
+import mountmast.storage.PrerequisiteLists
 import mountmast.storage.SnapshotPart
 import mountmast.storage.SnapshotRecord
 import mountmast.storage.StateStore
@@ -45,6 +47,7 @@
     private val clock: Clock,
     /** Whether another node told of a job's cancellation. */
     private val isCancelled: (JobId) -> Boolean = { false },
+    private val prerequisiteLists: PrerequisiteLists,
 ) {
     /** Guards the ledger and everything below. Held for moments; never during I/O. */
     val lock = ReentrantLock()
@@ -58,6 +61,9 @@
     private val placeable: Condition = lock.newCondition()
     private val scheduler = Scheduler(policy)
     private val delays = DelayReports(ledger)
+
+    /** Which jobs wait for which. */
+    private val dependencies = JobDependencies(ledger)
     val hearing = Hearing(ledger, mandate, timing)
     private var assurance: Map<TeamId, Double> = emptyMap()
     private var followFrom = Revision(0u)
@@ -224,8 +230,13 @@
 
     /** Takes in a job record; the caller holds the lock. */
     fun takeIn(record: JobRecord, stamp: Stamp) {
-        if (record.spec.id in recentlyOver) return
-        val job = ledger.putJob(record, stamp, clock.now(), knownUpToWall)
+        val id = record.spec.id
+        if (dependencies.isRememberedAsOver(id)) return
+        val isNew = id !in ledger.jobs
+        val now = clock.now()
+        val job = ledger.putJob(record, stamp, now, knownUpToWall)
+        if (isNew) dependencies.added(job, record, now)
+        if (job.cancelRecorded) dependencies.cancelled(job)
         if (job.cancelled || isCancelled(job.id)) {
             stopCancelled(job, record.cancelled)
             writable.signalAll()
@@ -234,17 +245,39 @@
         }
     }
 
-    /** Jobs this reign has ended, so that a change seen late does not bring them back. */
-    private val recentlyOver = LinkedHashSet<JobId>()
-
-    /** Removes a job that is over; the caller holds the lock. */
-    fun jobOver(job: Job) {
-        recentlyOver += job.id
-        if (recentlyOver.size > REMEMBERED) recentlyOver.remove(recentlyOver.first())
+    /** Removes a job whose final state is in the state service; the caller holds the lock. */
+    fun jobOver(job: Job, record: OverRecord) {
+        dependencies.removed(job)
         ledger.dropJob(job, clock.now())
+        prerequisiteEnded(job.id, record)
         wakePlacement()
     }
 
+    /** What [id] ended as is known; the caller holds the lock. */
+    private fun prerequisiteEnded(id: JobId, record: OverRecord) {
+        if (dependencies.ended(id, record, clock.now())) wakePlacement()
+        if (ledger.finishing.isNotEmpty()) writable.signalAll()
+    }
+
+    /**
+     * Looks up final states and long lists of prerequisites that live jobs name and this leader does not know; false
+     * where there were none to look up. Until then those jobs wait.
+     */
+    fun resolvePrerequisites(): Boolean {
+        val lists = lock.withLock { dependencies.unreadLists() }
+        for (record in lists) {
+            val prerequisites = prerequisiteLists.read(record)
+            lock.withLock { dependencies.listRead(record.spec.id, prerequisites, clock.now()) }
+        }
+        val unresolved = lock.withLock { dependencies.takeUnresolved(MOST_RESOLVED_AT_ONCE, clock.now()) }
+        for (id in unresolved) {
+            val entry = store.get(Keys.over(id)) ?: continue
+            val record = decode<OverRecord>(entry.key, entry.value) ?: continue
+            lock.withLock { prerequisiteEnded(id, record) }
+        }
+        return lists.isNotEmpty() || unresolved.isNotEmpty()
+    }
+
     /** Takes a worker's report and tells the worker what is outstanding. */
     fun beat(report: WorkerReport): BeatAnswer = lock.withLock {
         val now = clock.now()
@@ -344,7 +377,7 @@
         assurance = plan.assurance
         waiting = plan.waiting
         for (start in plan.starts) {
-            val job = ledger.jobs[start.job] ?: continue
+            val job = ledger.jobs[start.job]?.takeIf { it.isReleased } ?: continue
             val machine = ledger.machines[start.machine] ?: continue
             if (log.isDebugEnabled) tellStart(start, job, machine, plan)
             ledger.assign(job, start.index, machine, now)
@@ -372,7 +405,7 @@
         emptyQuarantined()
         dispatch.callWorkers(readyAt, now)
         delays.tellStalls(waiting, now)
-        delays.tellLate(::untilDueS)
+        delays.tellLate { job -> untilS(job.ownDue) }
     }
 
     private fun reserve(id: MachineId, job: JobId, now: Moment) {
@@ -444,7 +477,9 @@
             ) { machine.live.values.map { resident(it, now) } }
         }
         val jobs = ArrayList<JobView>(ledger.jobs.size)
-        for (job in ledger.jobs.values) if (!job.cancelled) jobs += view(job, now)
+        // What waits for other jobs is no demand yet, whatever it has been promised.
+        dependencies.refreshClaims()
+        for (job in ledger.jobs.values) if (!job.cancelled && job.isReleased) jobs += view(job, now)
         return Snapshot(machines, jobs, teams.keys.associateWith { ledger.use(it) }, teams, assurance)
     }
 
@@ -473,12 +508,14 @@
             job.live.values.groupingBy { it.zone }.eachCount()
         }
         return JobView(
-            job.spec, job.submitted, job.openCount, job.spec.tasks - job.doneCount, job.live.size, perZone, runS, job.failedOn,
+            job.schedulingSpec, job.waitingFrom, job.openCount, job.spec.tasks - job.doneCount, job.live.size, perZone, runS, job.failedOn,
             job.poisoned, now >= job.notBefore, untilDueS(job) - runS, (now - job.lastProgress) / 1000.0,
         ) { count -> job.firstOpen(count) }
     }
 
-    private fun untilDueS(job: Job): Double = (job.spec.deadlineS ?: NO_DEADLINE_S) - (clock.wall().ms - job.submitted.ms) / 1000.0
+    private fun untilDueS(job: Job): Double = untilS(job.effectiveDue)
+
+    private fun untilS(due: WallTime?): Double = if (due == null) NO_DEADLINE_S else (due.ms - clock.wall().ms) / 1000.0
 
     /** Has the next pass come soon; the caller holds the lock. */
     fun wakePlacement() {
@@ -511,6 +548,6 @@
         const val TIDY_MS = 1000L
         const val VICTIMS_PER_ENTRY = 16
         const val NO_DEADLINE_S = 1e6
-        const val REMEMBERED = 1000
+        const val MOST_RESOLVED_AT_ONCE = 100
     }
 }
--- a/src/main/kotlin/mountmast/protocol/JobValidation.kt
+++ b/src/main/kotlin/mountmast/protocol/JobValidation.kt
@@ -15,6 +15,7 @@
     const val MOST_TASKS = 100_000
     private const val MOST_AMOUNT = 1e9
     private const val LONGEST_NAME = 200
+    private const val PREREQUISITES = "waitsOn"
 
     /** The id in a submission, read before anything else: a known job is answered whatever the rest says. */
     fun idOf(body: JsonObject): JobId = JobId.parse(string(body, "nameId")) ?: throw Malformed("nameId: not a job id")
@@ -59,10 +60,12 @@
         checkpointEveryS = amount(body, "markEveryS"),
         saveS = amount(body, "markCostS"),
         deadlineS = optional(body, "dueS")?.let { amount(it, "dueS") },
+        prerequisites = prerequisites(body),
     )
 
     /** Why [job] can never run, or null where it can. */
     fun neverRuns(job: JobSpec, teams: Map<TeamId, TeamQuota>, types: Collection<MachineType>): String? {
+        if (job.id in job.prerequisites) return "the job waits on itself"
         val team = teams[job.team] ?: return "unknown team ${job.team}"
         val fitting = types.filter { type ->
             (job.types == null || type.id in job.types) &&
@@ -126,6 +129,16 @@
         return list.map { TypeId(string(it, "hulls")) }
     }
 
+    /** The jobs named as prerequisites, each once; whether they exist is for the caller to find out. */
+    private fun prerequisites(body: JsonObject): List<JobId> {
+        val list = optional(body, PREREQUISITES) ?: return emptyList()
+        if (list !is JsonArray) throw Malformed("$PREREQUISITES: not a list")
+        return list.map { jobId(it) }.distinct()
+    }
+
+    private fun jobId(element: JsonElement): JobId =
+        JobId.parse(string(element, PREREQUISITES)) ?: throw Malformed("$PREREQUISITES: not a job id")
+
     private fun <T> choice(body: JsonObject, name: String, values: Map<String, T>): T =
         values[string(body, name)] ?: throw Malformed("$name: unknown value")
 
--- a/src/main/kotlin/mountmast/protocol/Wire.kt
+++ b/src/main/kotlin/mountmast/protocol/Wire.kt
@@ -63,6 +63,8 @@
     @SerialName("markEveryS") val checkpointEveryS: Double,
     @SerialName("markCostS") val saveS: Double,
     @SerialName("dueS") val deadlineS: Double? = null,
+    /** The jobs that have to be done before any task of this one starts. */
+    @SerialName("waitsOn") val prerequisites: List<JobId> = emptyList(),
 ) {
     @Transient
     val perTask: Resources = Resources(cpus, gpus, memoryGb)
@@ -98,6 +100,8 @@
     @SerialName("status") val status: JobStatus,
     @SerialName("done") val done: Int? = null,
     @SerialName("running") val running: Int? = null,
+    /** Some of the jobs that have to be done before this one starts; an addition of ours for display. */
+    @SerialName("waitsOn") val waitsOn: List<JobId>? = null,
 )
 
 /** Any refusal, to users and workers. */
--- /dev/null
+++ b/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
@@ -0,0 +1,81 @@
+package mountmast.storage
+
+import kotlinx.serialization.json.decodeFromJsonElement
+import kotlinx.serialization.json.encodeToJsonElement
+import mountmast.protocol.JobId
+import mountmast.protocol.Stamp
+import mountmast.protocol.WireJson
+import java.security.MessageDigest
+
+/**
+ * Keeps lists of prerequisites that are too long for one value of the state service. The parts are written before the
+ * job's record, which names them by a digest of the list: a job counts as accepted only when all parts are there, and
+ * parts that a submission left behind before it failed are never taken for those of another list. Thread-safe.
+ */
+class PrerequisiteLists(
+    private val store: StateStore,
+    /** Bytes of text that a value may hold. */
+    private val bytesPerValue: Int,
+    private val writesPerTransaction: Int,
+) {
+    /** The record to store for [record], all of whose prerequisites stand in its spec: the list moves out if it is long. */
+    fun store(record: JobRecord): JobRecord {
+        if (fits(record)) return record
+        val prerequisites = record.spec.prerequisites
+        if (prerequisites.isEmpty()) return record
+        val parts = prerequisites.chunked(idsPerValue())
+        val reference = PrerequisiteListRef(digest(prerequisites), parts.size)
+        parts.indices.chunked(writesPerTransaction).forEach { numbers -> writeParts(record.spec.id, reference, numbers, parts) }
+        return record.copy(spec = record.spec.copy(prerequisites = emptyList()), prerequisiteList = reference)
+    }
+
+    /** Whether [record] fits into one value as it is. */
+    fun fits(record: JobRecord): Boolean = WireJson.encodeToString(JobRecord.serializer(), record).encodeToByteArray().size <= bytesPerValue
+
+    /** Whether all of [record] but its prerequisites fits into one value. */
+    fun fitsWithoutPrerequisites(record: JobRecord): Boolean =
+        fits(record.copy(spec = record.spec.copy(prerequisites = emptyList()), prerequisiteList = LONGEST_REFERENCE))
+
+    private fun writeParts(job: JobId, reference: PrerequisiteListRef, numbers: List<Int>, parts: List<List<JobId>>) {
+        val writes = numbers.map { number ->
+            val value = WireJson.encodeToJsonElement(PrerequisiteListPart(parts[number]))
+            Write.Put(Keys.prerequisiteList(job, reference.digest, number), value)
+        }
+        // Whoever wrote these keys before wrote the same, as the digest is part of them.
+        val conditions = writes.map { Condition(it.key, Stamp.ABSENT) }
+        if (store.commit(Transaction(conditions, writes)) is CommitOutcome.Committed) return
+        // An earlier try left some of them behind: what is missing is written one by one.
+        for ((write, condition) in writes.zip(conditions)) {
+            if (store.get(write.key) == null) store.commit(Transaction(listOf(condition), listOf(write)))
+        }
+    }
+
+    /** All prerequisites that [record] names; throws [StoreTrouble] where they cannot be read. */
+    fun read(record: JobRecord): List<JobId> {
+        val reference = record.prerequisiteList ?: return record.spec.prerequisites
+        return (0 until reference.parts).flatMap { part -> readPart(record.spec.id, reference.digest, part) }
+    }
+
+    private fun readPart(job: JobId, digest: String, part: Int): List<JobId> {
+        val key = Keys.prerequisiteList(job, digest, part)
+        val entry = store.get(key) ?: throw StoreSilent("$key is missing")
+        return WireJson.decodeFromJsonElement<PrerequisiteListPart>(entry.value).jobs
+    }
+
+    private fun idsPerValue() = maxOf(1, (bytesPerValue - PART_OVERHEAD_BYTES) / BYTES_PER_ID)
+
+    private fun digest(prerequisites: List<JobId>): String {
+        val hash = MessageDigest.getInstance("SHA-256").digest(prerequisites.joinToString(",").encodeToByteArray())
+        return hash.take(DIGEST_BYTES).joinToString("") { "%02x".format(it) }
+    }
+
+    private companion object {
+        /** The longest id, in quotes and with a comma. */
+        const val BYTES_PER_ID = 23
+
+        /** The JSON around the ids of a part. */
+        const val PART_OVERHEAD_BYTES = 16
+        const val DIGEST_BYTES = 8
+        val LONGEST_REFERENCE = PrerequisiteListRef("0".repeat(2 * DIGEST_BYTES), 99_999)
+    }
+}
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -23,6 +23,7 @@
     const val SNAPSHOT_PARTS = "s/"
     const val PROGRESS = "p/"
     const val WATERMARK = "watermark"
+    const val PREREQUISITE_LISTS = "d/"
 
     /** A job that is not over, or whose tasks are not all gone. Compared by whoever ends or cancels it. */
     fun job(id: JobId) = JOBS + id.text
@@ -43,6 +44,12 @@
     /** One part of what users are told of running jobs. */
     fun progress(part: Int) = PROGRESS + part
 
+    /** One part of a list of prerequisites that does not fit into its job's record. */
+    fun prerequisiteList(job: JobId, digest: String, part: Int) =
+        "$PREREQUISITE_LISTS${job.text}/$digest/${part.toString().padStart(PART_DIGITS, '0')}"
+
+    private const val PART_DIGITS = 5
+
     fun jobOfKey(key: String): JobId? = JobId.parse(key.removePrefix(JOBS))
 }
 
@@ -76,11 +83,31 @@
     @SerialName("s") val spec: JobSpec,
     @SerialName("at") val submitted: WallTime,
     @SerialName("c") val cancelled: Boolean = false,
-)
+    /** Where the prerequisites are kept if they do not fit into this record; the spec names none then. */
+    @SerialName("pl") val prerequisiteList: PrerequisiteListRef? = null,
+) {
+    /** Whether the job names jobs that have to be done before it. */
+    val hasPrerequisites: Boolean get() = spec.prerequisites.isNotEmpty() || prerequisiteList != null
+}
+
+/** Names the parts of a list of prerequisites. The digest tells apart lists that two submissions of one id bring. */
+@Serializable
+data class PrerequisiteListRef(@SerialName("h") val digest: String, @SerialName("n") val parts: Int)
+
+/** One part of a list of prerequisites. */
+@Serializable
+data class PrerequisiteListPart(@SerialName("j") val jobs: List<JobId>)
 
 /** A job that is over. */
 @Serializable
-data class OverRecord(@SerialName("st") val status: JobStatus, @SerialName("n") val tasks: Int)
+data class OverRecord(
+    @SerialName("st") val status: JobStatus,
+    @SerialName("n") val tasks: Int,
+    /** When it ended; absent in records of versions without pipelines. */
+    @SerialName("at") val endedAt: WallTime? = null,
+    /** Whether it was a service, which no job may wait for; absent in records of versions without pipelines. */
+    @SerialName("sv") val isService: Boolean = false,
+)
 
 /** Which images some of the machines are thought to hold, in gigabytes; a hint that nothing depends on. */
 @Serializable
--- /dev/null
+++ b/src/test/kotlin/mountmast/coordination/PipelinesTest.kt
@@ -0,0 +1,159 @@
+package mountmast.coordination
+
+import mountmast.protocol.JobId
+import mountmast.protocol.JobSpec
+import mountmast.protocol.JobStatus
+import mountmast.protocol.Shape
+import mountmast.standin.World
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** Jobs that wait for others, in a whole deployment in virtual time. The rules are checked after each step. */
+class PipelinesTest {
+    private val seeds = 1L..6L
+
+    private fun worlds(act: World.() -> Unit) = seeds.forEach { seed ->
+        val world = World(seed, quietNetwork = true)
+        try {
+            world.act()
+        } catch (e: Throwable) {
+            throw AssertionError("seed $seed at ${world.time.now} ms: ${e.message}", e)
+        }
+    }
+
+    private fun World.stage(number: Int, needs: List<JobId> = emptyList(), change: (JobSpec) -> JobSpec = { it }): JobId =
+        accept(plainJob(number) { change(it.copy(estimateS = 2.0, tasks = 2, prerequisites = needs)) })
+
+    private fun World.leader() = seats.first { it.controller?.reign() != null }
+
+    private fun World.runUntil(mostMs: Long, reached: () -> Boolean) {
+        val until = time.now + mostMs
+        while (!reached()) {
+            assertTrue(time.now < until, "not reached within $mostMs ms")
+            run(100, busy = false)
+        }
+    }
+
+    private fun World.finish(jobs: Collection<JobId>, mostMs: Long = 120_000) = runUntil(mostMs) { jobs.all { poll(it)?.isFinal == true } }
+
+    @Test
+    fun `a diamond runs stage by stage, each right after the one before`() = worlds {
+        val first = stage(1)
+        val middle = listOf(stage(2, listOf(first)), stage(3, listOf(first)))
+        val last = stage(4, middle)
+        finish(listOf(first, last) + middle)
+        (middle + first + last).forEach { assertEquals(JobStatus.DONE, poll(it)) }
+        // Four stages of some seconds each; waiting for a timer after each would show.
+        assertTrue(checkNotNull(rules.beganAfterMs(last)) < 45_000, "the last began after ${rules.beganAfterMs(last)} ms")
+    }
+
+    @Test
+    fun `whoever needs a cancelled job is cancelled with it, on every node`() = worlds {
+        val first = stage(1) { it.copy(estimateS = 300.0) }
+        val second = stage(2, listOf(first))
+        val third = stage(3, listOf(second))
+        run(5000, busy = false)
+        assertEquals(200, cancel(first))
+        for (seat in seats) for (id in listOf(second, third)) assertEquals(JobStatus.CANCELLED, poll(id, seat))
+        val late = stage(4, listOf(second))
+        for (seat in seats) assertEquals(JobStatus.CANCELLED, poll(late, seat))
+        run(30_000, busy = false)
+        for (id in listOf(second, third, late)) {
+            assertEquals(JobStatus.CANCELLED, poll(id))
+            assertEquals(0, rules.startsOf(id))
+        }
+    }
+
+    @Test
+    fun `cancelling a dependent leaves the jobs before it alone`() = worlds {
+        val first = stage(1) { it.copy(estimateS = 10.0) }
+        val second = stage(2, listOf(first))
+        val third = stage(3, listOf(second))
+        assertEquals(200, cancel(second))
+        finish(listOf(first, second, third))
+        assertEquals(listOf(JobStatus.DONE, JobStatus.CANCELLED, JobStatus.CANCELLED), listOf(first, second, third).map { poll(it) })
+    }
+
+    @Test
+    fun `cancelled or done, the jobs after it follow, also when both come at the same moment`() = worlds {
+        val stages = (1..5).map { number ->
+            stage(2 * number) to
+                stage(2 * number + 1, listOf(JobId("j-" + "${2 * number}".padStart(6, '0'))))
+        }
+        cancelsAtEnd(60_000)
+        run(60_000, busy = false)
+        finish(stages.flatMap { listOf(it.first, it.second) })
+        for ((first, second) in stages) {
+            if (poll(first) == JobStatus.CANCELLED) assertEquals(JobStatus.CANCELLED, poll(second), "$second after $first")
+        }
+        assertTrue(stages.any { poll(it.first) == JobStatus.DONE } || stages.any { poll(it.first) == JobStatus.CANCELLED })
+    }
+
+    @Test
+    fun `a dependent submitted on another node just as its prerequisite ends runs soon`() = worlds {
+        val first = stage(1)
+        runUntil(60_000) { rules.startsOf(first) == 2 }
+        runUntil(60_000) { rules.runningOf(first) == 0 }
+        val second = stage(2, listOf(first))
+        runUntil(15_000) { rules.startsOf(second) > 0 }
+    }
+
+    @Test
+    fun `a new leader that has not read what became of a prerequisite lets its dependents wait`() = worlds {
+        val first = stage(1)
+        finish(listOf(first))
+        val running = stage(2) { it.copy(estimateS = 40.0) }
+        val second = stage(3, listOf(first, running))
+        val third = stage(4, listOf(second))
+        repeat(4) {
+            run(random.nextLong(1000, 6000), busy = false)
+            leader().crash(random.nextLong(50, 3000))
+            runUntil(30_000) { seats.any { it.controller?.reign() != null } }
+        }
+        finish(listOf(running, second, third), mostMs = 240_000)
+        assertEquals(JobStatus.DONE, poll(third))
+    }
+
+    @Test
+    fun `the first answers after a long outage already tell what was cancelled with another`() = worlds {
+        val first = stage(1) { it.copy(estimateS = 300.0) }
+        val second = stage(2, listOf(first))
+        val third = stage(3, listOf(second))
+        run(5000, busy = false)
+        // The leader learns nothing of the cancellation, so nobody writes what follows from it.
+        leader().trouble.storeRefusedUntil = time.now + 3000
+        leader().trouble.peersCutUntil = time.now + 60_000
+        assertEquals(200, cancel(first, seats.first { it !== leader() }))
+        store.outage(World.CANCEL_MS + 10_000)
+        run(World.CANCEL_MS + 10_000, busy = false)
+        for (seat in seats) for (id in listOf(third, second)) poll(id, seat)?.let { assertEquals(JobStatus.CANCELLED, it) }
+        run(10_000, busy = false)
+        for (id in listOf(second, third)) assertEquals(JobStatus.CANCELLED, poll(id))
+    }
+
+    @Test
+    fun `jobs that can never run are refused at once, and a known one is known whatever it names`() = worlds {
+        val first = stage(1)
+        val service = accept(plainJob(2) { it.copy(shape = Shape.SERVICE, tasks = 1) })
+        fun status(number: Int, needs: List<JobId>) = submit(plainJob(number) { it.copy(prerequisites = needs) })
+        assertEquals(422, status(3, listOf(JobId("j-777777"))))
+        assertEquals(422, status(4, listOf(first, JobId("j-000004"))))
+        assertEquals(422, status(5, listOf(first, service)))
+        assertEquals(200, status(1, listOf(JobId("j-777777"))))
+        assertEquals(201, status(6, listOf(first, first)))
+        assertNull(rules.beganAfterMs(JobId("j-000003")))
+    }
+
+    @Test
+    fun `a list of thousands of names is kept in parts and counts as a whole`() = worlds {
+        val named = (1..150).map { number -> accept(plainJob(number) { it.copy(tasks = 1, cpus = 0.1, estimateS = 1.0) }) }
+        val last = stage(900, named)
+        assertTrue(store.largestValue < 2 * 1024, "a value of ${store.largestValue} bytes")
+        assertEquals(JobStatus.PENDING, poll(last))
+        leader().crash(100)
+        finish(named + last, mostMs = 400_000)
+        assertEquals(JobStatus.DONE, poll(last))
+    }
+}
--- a/src/test/kotlin/mountmast/standin/RulesTest.kt
+++ b/src/test/kotlin/mountmast/standin/RulesTest.kt
@@ -1,5 +1,6 @@
 package mountmast.standin
 
+import mountmast.protocol.JobId
 import mountmast.protocol.JobStatus
 import mountmast.protocol.MachineId
 import mountmast.protocol.Shape
@@ -115,4 +116,31 @@
         rules.asked(spec.id, answered = true, now = 126_000)
         rules.asked(spec.id, answered = false, now = 300_000)
     }
+
+    @Test
+    fun `a task that starts before a job that its job needs is done`() {
+        val dependent = spec.copy(id = JobId("j-2"), cpus = 1.0, prerequisites = listOf(spec.id)).also(rules::submitting)
+        repeat(spec.tasks - 1) { rules.taskGone(TaskId(spec.id, it), good.machine, done = true) }
+        breaks("too_early") { rules.taskStarts(TaskId(dependent.id, 0), good, 0) }
+        rules.taskGone(TaskId(spec.id, spec.tasks - 1), good.machine, done = true)
+        rules.taskStarts(TaskId(dependent.id, 0), good, 0)
+    }
+
+    @Test
+    fun `a job that is called queued long after a job before it was called cancelled`() {
+        val second = spec.copy(id = JobId("j-2"), prerequisites = listOf(spec.id)).also(rules::submitting)
+        val third = spec.copy(id = JobId("j-3"), prerequisites = listOf(second.id)).also(rules::submitting)
+        rules.cancelling(spec.id)
+        rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0)
+        rules.statusAnswered(third.id, 200, JobStatus.PENDING, 1000)
+        breaks("orphaned") { rules.statusAnswered(third.id, 200, JobStatus.PENDING, 1001) }
+        rules.statusAnswered(third.id, 200, JobStatus.CANCELLED, 1001)
+    }
+
+    @Test
+    fun `a job called cancelled though neither it nor a job before it was`() {
+        val second = spec.copy(id = JobId("j-2"), prerequisites = listOf(spec.id)).also(rules::submitting)
+        rules.cancelling(second.id)
+        breaks("went_back") { rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0) }
+    }
 }
