--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -38,7 +38,7 @@
     System.setProperty("sun.net.httpserver.idleInterval", "60")
     System.setProperty("jdk.httpserver.maxConnections", sockets.accepted.toString())
     val run = SecureRandom().nextLong().toULong().toString(36)
-    val store = HttpStateStore(settings.state, settings.stateRps, settings.stateWriteRps, settings.nodes)
+    val store = HttpStateStore(settings.state, settings.stateLimits, settings.nodes)
     store.shareAs(leader = false)
     val controller = Controller(
         settings, operators.policy, operators.fleet, store, HttpCloud(settings.cloud, settings.cloudRps), HttpWorkers(),
--- a/src/main/kotlin/mountmast/coordination/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/Controller.kt
@@ -51,7 +51,7 @@
     private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.reportS)
     private val leadership = Leadership(store, settings.node, run, timing, clock)
     private val notices = CancellationNotices(settings.members.map { it.node }, clock, timing.noticesMs)
-    private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, settings.txnOps * CONDITIONS_PER_OP)
+    private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, settings.stateLimits.transactionConditions)
 
     /** What users may ask of this node. */
     val users: UserService get() = desk
@@ -140,7 +140,7 @@
         if (current?.reign?.mandate === mandate) return
         store.shareAs(leader = true)
         val reign = Reign(mandate, store, workers, settings.teams, policy, timing, clock) { it in notices }
-        val writer = LedgerWriter(reign, store, WriteLimits(settings.valueKb, settings.txnOps), clock) { leadership.lost() }
+        val writer = LedgerWriter(reign, store, WriteLimits(settings.stateLimits.valueKb, settings.stateLimits.transactionOps), clock) { leadership.lost() }
         val fleet = Fleet(reign, cloud, clock, "${settings.node}-$run-${mandate.term}", fleetPolicy, timing)
         office.set(Office(reign, writer, fleet))
     }
@@ -290,9 +290,6 @@
         const val CONFIRMED_MS = 2500L
         const val HELLO_FRESH_MS = 6000L
         const val TYPES_STEPS = 30
-
-        /** A transaction takes four times as many conditions as changes. */
-        const val CONDITIONS_PER_OP = 4
         const val MOST_UNINFORMED_STEPS = 8
         const val MOST_HELPED = 10_000
         const val LAG_WEIGHT = 0.03
--- a/src/main/kotlin/mountmast/protocol/Settings.kt
+++ b/src/main/kotlin/mountmast/protocol/Settings.kt
@@ -41,10 +41,8 @@
     val reportS: Double,
     val leaseS: Double,
     val cancelS: Double,
-    val stateRps: Double,
-    val stateWriteRps: Double,
-    val valueKb: Double,
-    val txnOps: Int,
+    /** What this node keeps to: the lower of what holds now and what is announced. */
+    val stateLimits: StateLimits,
     val cloudRps: Double,
     val listLagS: Double,
     val maxConnections: Int,
@@ -54,6 +52,7 @@
     companion object {
         /** Supposed where the platform's file does not say. */
         private const val CLOCK_OFF_MS = 1000.0
+        private const val MOST_TRANSACTION_OPS = 10_000
 
         /** Reads and checks the settings in [file]. */
         fun read(file: File): Settings {
@@ -115,16 +114,37 @@
                 reportS = report,
                 leaseS = lease,
                 cancelS = positive(toml, "deployment.workers.cancel_s"),
-                stateRps = positive(toml, "deployment.state.rps"),
-                stateWriteRps = positive(toml, "deployment.state.write_rps"),
-                valueKb = positive(toml, "deployment.state.value_kb"),
-                txnOps = whole(toml, "deployment.state.txn_ops", 4, 10_000),
+                stateLimits = stateLimits(),
                 cloudRps = positive(toml, "deployment.cloud.rps"),
                 listLagS = amount(toml, "deployment.cloud.list_lag_s"),
                 maxConnections = whole(toml, "deployment.resources.max_connections", 16, 1_000_000),
             )
         }
 
+        /** The limits of `state.next` come without notice, so they are kept to from the start. */
+        private fun stateLimits(): StateLimits {
+            val present = stateLimits("deployment.state")
+            val hasNext = toml.get<Any?>("deployment.state.next") != null
+            return if (hasNext) present.lowerOf(stateLimits("deployment.state.next", present)) else present
+        }
+
+        /** The limits in the table at [path]; what it leaves out is as in [otherwise], or missing. */
+        private fun stateLimits(path: String, otherwise: StateLimits? = null): StateLimits {
+            if (toml.get<Any?>(path) !is UnmodifiableConfig) throw BadSettings("$path: not a table")
+            fun <T> field(name: String, known: T?, read: (String) -> T): T {
+                val isPresent = toml.get<Any?>("$path.$name") != null
+                return if (!isPresent && known != null) known else read("$path.$name")
+            }
+            return StateLimits(
+                requestsPerSecond = field("rps", otherwise?.requestsPerSecond) { positive(toml, it) },
+                writesPerSecond = field("write_rps", otherwise?.writesPerSecond) { positive(toml, it) },
+                valueKb = field("value_kb", otherwise?.valueKb) { positive(toml, it) },
+                transactionOps = field("txn_ops", otherwise?.transactionOps) {
+                    whole(toml, it, StateLimits.LEAST_TRANSACTION_OPS, MOST_TRANSACTION_OPS)
+                },
+            )
+        }
+
         private fun zone(table: UnmodifiableConfig, at: String = ""): Zone {
             val name = string(table, "site", at)
             return try {
--- /dev/null
+++ b/src/main/kotlin/mountmast/protocol/StateLimits.kt
@@ -0,0 +1,31 @@
+package mountmast.protocol
+
+/** What the state service takes at most. */
+data class StateLimits(
+    val requestsPerSecond: Double,
+    /** Puts and deletes. */
+    val writesPerSecond: Double,
+    /** Largest value, in KiB. */
+    val valueKb: Double,
+    /** Puts and deletes in one transaction. */
+    val transactionOps: Int,
+) {
+    /** Conditions in one transaction. */
+    val transactionConditions: Int get() = transactionOps * CONDITIONS_PER_OP
+
+    /** Each limit as low as the lower of the two has it. */
+    fun lowerOf(other: StateLimits) = StateLimits(
+        requestsPerSecond = minOf(requestsPerSecond, other.requestsPerSecond),
+        writesPerSecond = minOf(writesPerSecond, other.writesPerSecond),
+        valueKb = minOf(valueKb, other.valueKb),
+        transactionOps = minOf(transactionOps, other.transactionOps),
+    )
+
+    companion object {
+        /** A transaction takes four times as many conditions as changes. */
+        const val CONDITIONS_PER_OP = 4
+
+        /** A job that is over is moved: one put and one delete. */
+        const val LEAST_TRANSACTION_OPS = 2
+    }
+}
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -10,6 +10,7 @@
 import mountmast.protocol.HoldId
 import mountmast.protocol.Revision
 import mountmast.protocol.Stamp
+import mountmast.protocol.StateLimits
 import mountmast.protocol.WireJson
 import mountmast.transport.HttpCaller
 import mountmast.transport.NoAnswer
@@ -20,13 +21,12 @@
 /** The state service over HTTP. This node's share of its two rates is kept here, before anything is sent. */
 class HttpStateStore(
     private val at: InetSocketAddress,
-    private val rps: Double,
-    private val writeRps: Double,
+    private val limits: StateLimits,
     private val nodes: Int,
     private val caller: HttpCaller = HttpCaller(),
 ) : StateStore {
-    private val requests = RateLimiter.create(rps / nodes)
-    private val writes = RateLimiter.create(writeRps / nodes)
+    private val requests = RateLimiter.create(limits.requestsPerSecond / nodes)
+    private val writes = RateLimiter.create(limits.writesPerSecond / nodes)
 
     @Volatile
     private var lastOkNanos = System.nanoTime()
@@ -39,8 +39,8 @@
 
     /** The leader writes more than the others, which have more users to answer; all nodes together stay within the rates. */
     override fun shareAs(leader: Boolean) {
-        requests.rate = rps * share(leader, LEADER_REQUESTS) * CAUTION
-        writes.rate = writeRps * share(leader, LEADER_WRITES) * CAUTION
+        requests.rate = limits.requestsPerSecond * share(leader, LEADER_REQUESTS) * CAUTION
+        writes.rate = limits.writesPerSecond * share(leader, LEADER_WRITES) * CAUTION
     }
 
     private fun share(leader: Boolean, ofLeader: Double) = when {
--- a/src/test/kotlin/mountmast/protocol/SettingsTest.kt
+++ b/src/test/kotlin/mountmast/protocol/SettingsTest.kt
@@ -69,4 +69,33 @@
         }
         assertThrows(BadSettings::class.java) { Settings.parse("node = ") }
     }
+
+    private fun withNext(fields: String) = good.replace("[deployment.cloud]", "[deployment.state.next]\n$fields\n[deployment.cloud]")
+
+    @Test
+    fun `limits announced for the state service are kept to from the start, the lower of each`() {
+        assertEquals(StateLimits(80.0, 30.0, 8.0, 16), Settings.parse(good).stateLimits)
+        val lower = Settings.parse(withNext("write_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 5\nunknown = 1")).stateLimits
+        assertEquals(StateLimits(80.0, 21.0, 2.0, 5), lower)
+        // A limit that is to rise is not used before it has.
+        val mixed = Settings.parse(withNext("rps = 40.0\nwrite_rps = 60.0\ntxn_ops = 64")).stateLimits
+        assertEquals(StateLimits(40.0, 30.0, 8.0, 16), mixed)
+        assertEquals(Settings.parse(good), Settings.parse(withNext("")))
+    }
+
+    @Test
+    fun `announced limits are checked as those in force`() {
+        for ((line, field) in listOf(
+            "rps = \"many\"" to "rps",
+            "write_rps = 0.0" to "write_rps",
+            "value_kb = -1.0" to "value_kb",
+            "txn_ops = 1.5" to "txn_ops",
+            "txn_ops = 1" to "txn_ops",
+        )) {
+            val refused = assertThrows(BadSettings::class.java) { Settings.parse(withNext(line)) }
+            assertTrue(refused.message!!.startsWith("deployment.state.next.$field"), refused.message)
+        }
+        val notTable = good.replace("txn_ops = 16", "txn_ops = 16\nnext = 3")
+        assertThrows(BadSettings::class.java) { Settings.parse(notTable) }
+    }
 }
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/World.kt
@@ -22,6 +22,7 @@
 import mountmast.protocol.RelayAnswer
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.Settings
+import mountmast.protocol.StateLimits
 import mountmast.protocol.Shape
 import mountmast.protocol.TaskId
 import mountmast.protocol.TeamId
@@ -95,7 +96,7 @@
         private fun settings() = Settings(
             name, zone, local(1), local(2),
             (0..2).filter { it != number }.map { Member(NodeId("node-$it"), zones[it % 2], local(2)) },
-            local(3), local(4), teams, 20.0, REPORT_MS / 1000.0, LEASE_MS / 1000.0, CANCEL_MS / 1000.0, 80.0, 30.0, 2.0, 8, 5.0, 3.0, 100,
+            local(3), local(4), teams, 20.0, REPORT_MS / 1000.0, LEASE_MS / 1000.0, CANCEL_MS / 1000.0, StateLimits(80.0, 30.0, 2.0, 8), 5.0, 3.0, 100,
         )
 
         private fun local(port: Int) = InetSocketAddress("127.0.0.1", port)
