--- a/src/main/kotlin/mountmast/coordination/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/Controller.kt
@@ -46,6 +46,8 @@
     private val clock: Clock,
     /** Drawn at each start, so that no two processes are ever taken for one another. */
     private val run: String,
+    /** Whether every node reads the compact forms of stored texts. */
+    private val compactForms: () -> Boolean = { false },
 ) : BeatService,
     PeerService {
     private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.reportS)
@@ -140,7 +142,7 @@
         if (current?.reign?.mandate === mandate) return
         store.shareAs(leader = true)
         val reign = Reign(mandate, store, workers, settings.teams, policy, timing, clock) { it in notices }
-        val writer = LedgerWriter(reign, store, WriteLimits(settings.stateLimits.valueKb, settings.stateLimits.transactionOps), clock) { leadership.lost() }
+        val writer = LedgerWriter(reign, store, settings.stateLimits, clock, compactForms) { leadership.lost() }
         val fleet = Fleet(reign, cloud, clock, "${settings.node}-$run-${mandate.term}", fleetPolicy, timing)
         office.set(Office(reign, writer, fleet))
     }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/ImagesWriter.kt
@@ -0,0 +1,63 @@
+package mountmast.coordination
+
+import kotlinx.serialization.json.encodeToJsonElement
+import mountmast.protocol.Clock
+import mountmast.protocol.ImageId
+import mountmast.protocol.MachineId
+import mountmast.protocol.Moment
+import mountmast.protocol.WireJson
+import mountmast.storage.ImagesRecord
+import mountmast.storage.Keys
+import mountmast.storage.TextCodec
+import mountmast.storage.jsonSize
+
+/**
+ * Notes now and then which images machines hold, a share of the machines at a time: reports do not say, and a new leader
+ * that does not know sends urgent work to machines that must fetch first.
+ */
+class ImagesWriter(private val ledger: Ledger, private val clock: Clock) {
+    private var notBefore = Moment(Long.MIN_VALUE / 2)
+    private var nextBucket = 0
+    private val written = HashMap<Int, Map<MachineId, Map<ImageId, Double>>>()
+
+    fun addTo(batch: WriteBatch, limits: WriteLimits, isShort: Boolean) {
+        val now = clock.now()
+        if (batch.room <= 0 || now < notBefore) return
+        notBefore = now + if (isShort) SHORT_EVERY_MS else EVERY_MS
+        val buckets = (BUCKETS * USUAL_VALUE_BYTES / limits.valueBytes).coerceIn(BUCKETS, MOST_BUCKETS)
+        val bucket = nextBucket % buckets
+        nextBucket = bucket + 1
+        val held = held(bucket, buckets, limits.valueBytes - TextCodec.ENVELOPE_BYTES)
+        if (held == written[bucket] || (held.isEmpty() && bucket !in written)) return
+        written[bucket] = held
+        batch.put(Keys.IMAGES + bucket, WireJson.encodeToJsonElement(ImagesRecord(held)))
+    }
+
+    /** What the machines of [bucket] hold, as many of them as there is room for. */
+    private fun held(bucket: Int, buckets: Int, mostBytes: Int): Map<MachineId, Map<ImageId, Double>> {
+        val held = LinkedHashMap<MachineId, Map<ImageId, Double>>()
+        var bytes = 0
+        for (machine in ledger.machines.values) {
+            if (machine.id.hashCode().mod(buckets) != bucket || machine.images.isEmpty()) continue
+            val images = machine.images.mapValuesTo(LinkedHashMap()) { (_, sizeGb) -> Math.rint(sizeGb * SIZE_STEPS) / SIZE_STEPS }
+            // The braces around it stand for the comma before it.
+            bytes += jsonSize(WireJson.encodeToJsonElement(mapOf(machine.id to images)))
+            if (bytes > mostBytes) break
+            held[machine.id] = images
+        }
+        return held
+    }
+
+    private companion object {
+        const val EVERY_MS = 1500L
+        const val SHORT_EVERY_MS = 6000L
+
+        /** Buckets where values take [USUAL_VALUE_BYTES]. */
+        const val BUCKETS = 8
+        const val MOST_BUCKETS = 64
+        const val USUAL_VALUE_BYTES = 8 * 1024
+
+        /** Sizes are noted to a hundredth of a gigabyte. */
+        const val SIZE_STEPS = 100.0
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/Journal.kt
+++ b/src/main/kotlin/mountmast/coordination/Journal.kt
@@ -25,5 +25,5 @@
     var snapshotUpTo = 0L
     var generation = 0L
     var snapshotStamp = Stamp.ABSENT
-    val stamps = Array(LedgerWriter.JOURNAL_SLOTS) { Stamp.ABSENT }
+    val stamps = Array(JournalWriter.JOURNAL_SLOTS) { Stamp.ABSENT }
 }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/JournalWriter.kt
@@ -0,0 +1,108 @@
+package mountmast.coordination
+
+import kotlinx.serialization.json.encodeToJsonElement
+import mountmast.protocol.Clock
+import mountmast.protocol.Moment
+import mountmast.protocol.Stamp
+import mountmast.protocol.WireJson
+import mountmast.storage.JournalRecord
+import mountmast.storage.JournalText
+import mountmast.storage.Keys
+import mountmast.storage.TaskEnd
+import mountmast.storage.TextCodec
+
+/** Brings the ledger's changes into the journal, as many into each record as a value takes. */
+class JournalWriter(private val reign: Reign, private val clock: Clock) {
+    private val ledger get() = reign.ledger
+    private val journal get() = reign.journal
+    private var wroteAt = Moment(Long.MIN_VALUE / 2)
+
+    /** Adds changes in the order in which they happened, in at most [mostRecords] records. */
+    fun addTo(batch: WriteBatch, limits: WriteLimits, mostRecords: Int, compact: Boolean, isShort: Boolean) {
+        val now = clock.now()
+        if (isShort && now - wroteAt < SHORT_EVERY_MS && ledger.unwritten.size < MANY_CHANGES) return
+        val free = JOURNAL_SLOTS - (journal.next - journal.snapshotUpTo).toInt()
+        val most = minOf(free, mostRecords, batch.room)
+        if (most <= 0) return
+        val described = ArrayList<Unwritten>()
+        val text = describeSome(described, most * limits.valueBytes * if (compact) USUAL_RATIO else 1)
+        var from = 0
+        while (from < text.length && batch.records.size < most && batch.room > 0) {
+            val piece = TextCodec.packNext(text, from, limits.valueBytes, compact)
+            addRecord(batch, JournalRecord(journal.next + batch.records.size, piece.plain, piece.compressed))
+            repeat(piece.entries) { batch.written += described[batch.written.size] }
+            from = piece.end
+        }
+        putBack(described.drop(batch.written.size))
+        if (batch.records.isNotEmpty()) wroteAt = now
+    }
+
+    /** What the first changes that wait say, up to about [length] characters; they are added to [described], one for each entry. */
+    private fun describeSome(described: ArrayList<Unwritten>, length: Int): String {
+        val text = JournalText()
+        while (text.length < length) {
+            val change = ledger.unwritten.removeFirstOrNull() ?: break
+            if (describe(change, text)) described += change
+        }
+        return text.take()
+    }
+
+    private fun addRecord(batch: WriteBatch, record: JournalRecord) {
+        val slot = slotOf(record.number)
+        batch.requires(Keys.journalSlot(slot), journal.stamps[slot])
+        batch.put(Keys.journalSlot(slot), WireJson.encodeToJsonElement(record))
+        batch.records += record
+    }
+
+    /** Writes [change] into [text]; false where it came to nothing before it was written. */
+    private fun describe(change: Unwritten, text: JournalText): Boolean {
+        when (change) {
+            is Unwritten.Started -> {
+                val assignment = change.assignment
+                // Ended or cancelled before anybody could be told: it was never sent, nor will be.
+                if (assignment.phase != Phase.INTENDED || assignment.job.cancelled) {
+                    ledger.release(assignment, clock.now())
+                    return false
+                }
+                assignment.beingWritten = true
+                text.started(assignment.taskName, assignment.machine, assignment.session, assignment.attempt, assignment.zone)
+            }
+            is Unwritten.Ended -> text.ended(change.assignment.taskName, endOf(change.assignment))
+            is Unwritten.Reserved -> text.reserved(change.machine, change.job, change.victims)
+        }
+        return true
+    }
+
+    private fun endOf(assignment: Assignment): TaskEnd = when {
+        assignment.completed -> TaskEnd.DONE
+        assignment.evicted -> TaskEnd.EVICTED
+        else -> TaskEnd.UNDONE
+    }
+
+    /** Has [changes] written again, before all that came after them. */
+    fun putBack(changes: List<Unwritten>) {
+        for (change in changes.asReversed()) {
+            if (change is Unwritten.Started) change.assignment.beingWritten = false
+            // An end that was noticed meanwhile stands in the queue behind it; such a start comes to nothing there.
+            ledger.unwritten.addFirst(change)
+        }
+    }
+
+    /** The journal holds [records] now, written at [stamp]. */
+    fun committed(records: List<JournalRecord>, stamp: Stamp) {
+        for (record in records) journal.stamps[slotOf(record.number)] = stamp
+        journal.next += records.size
+    }
+
+    companion object {
+        /** Slots of the journal. A new leader reads them all, so they are few. */
+        const val JOURNAL_SLOTS = 128
+
+        /** While changes are short a record waits for so long, unless so much is to be told. */
+        private const val SHORT_EVERY_MS = 400L
+        private const val MANY_CHANGES = 100
+        private const val USUAL_RATIO = 5
+
+        fun slotOf(number: Long): Int = (number % JOURNAL_SLOTS).toInt()
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/Ledger.kt
+++ b/src/main/kotlin/mountmast/coordination/Ledger.kt
@@ -147,27 +147,17 @@
     }
 
     /**
-     * What the store holds by now of tasks and machines, in parts of about [mostLength] characters. What ended since
-     * is listed as live, and what is only intended is left out: the journal tells of both from here on.
+     * What the store holds by now of tasks and machines. What ended since is listed as live, and what is only intended is
+     * left out: the journal tells of both from here on.
      */
-    fun describe(mostLength: Int): List<String> {
-        val parts = ArrayList<String>()
+    fun describe(): String {
         val text = JournalText()
-        fun entry(write: () -> Unit) {
-            if (text.length >= mostLength) parts += text.take()
-            write()
-        }
         for (job in jobs.values) {
-            for (ranges in Ranges.encode(job.done, LONGEST_RANGES)) entry { text.done(job.id, ranges) }
-            for (times in job.evictions.int2IntEntrySet()) {
-                entry { text.evictedBefore("${job.id}/${times.intKey}", times.intValue) }
-            }
-            for (it in job.live.values) {
-                if (it.written) entry { text.started(it.taskName, it.machine, it.session, it.attempt, it.zone) }
-            }
+            for (ranges in Ranges.encode(job.done, LONGEST_RANGES)) text.done(job.id, ranges)
+            for (times in job.evictions.int2IntEntrySet()) text.evictedBefore("${job.id}/${times.intKey}", times.intValue)
+            for (it in job.live.values) if (it.written) text.started(it.taskName, it.machine, it.session, it.attempt, it.zone)
         }
-        if (text.length > 0) parts += text.take()
-        return parts
+        return text.take()
     }
 
     /** Intends to run a task on a machine. Nothing may be sent before the journal says so. */
--- a/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
@@ -1,32 +1,26 @@
 package mountmast.coordination
 
-import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
-import mountmast.protocol.ImageId
 import mountmast.protocol.JobStatus
-import mountmast.protocol.MachineId
-import mountmast.protocol.MachineTypes
 import mountmast.protocol.Moment
 import mountmast.protocol.Stamp
+import mountmast.protocol.StateLimits
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
 import mountmast.storage.CommitOutcome
 import mountmast.storage.Condition
-import mountmast.storage.ImagesRecord
+import mountmast.storage.Entry
 import mountmast.storage.JobRecord
 import mountmast.storage.JournalRecord
-import mountmast.storage.JournalText
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
-import mountmast.storage.ProgressRecord
-import mountmast.storage.SnapshotPart
 import mountmast.storage.SnapshotRecord
 import mountmast.storage.StateStore
+import mountmast.storage.StoreRejected
 import mountmast.storage.StoreSilent
 import mountmast.storage.StoreTrouble
-import mountmast.storage.TaskEnd
 import mountmast.storage.Transaction
 import mountmast.storage.WatermarkRecord
 import mountmast.storage.Write
@@ -35,17 +29,6 @@
 
 private val log = LoggerFactory.getLogger("mountmast.writer")
 
-/** How much the state service takes at once. */
-data class WriteLimits(val valueKb: Double, val txnOps: Int) {
-    /** Characters of text per value, with room for the JSON around them. */
-    val textPerValue: Int = (valueKb * BYTES_PER_KB * VALUE_SHARE).toInt()
-
-    private companion object {
-        const val BYTES_PER_KB = 1024
-        const val VALUE_SHARE = 0.9
-    }
-}
-
 /**
  * Brings the ledger's changes into the store: group commit into a journal of few, large records, since the state
  * service counts writes. Now and then the whole ledger is written as a snapshot, in parts, and the journal's slots
@@ -57,278 +40,158 @@
 class LedgerWriter(
     private val reign: Reign,
     private val store: StateStore,
-    private val limits: WriteLimits,
+    stateLimits: StateLimits,
     private val clock: Clock,
+    /** Whether every node reads the compact forms. */
+    private val compact: () -> Boolean = { false },
     private val onDeposed: () -> Unit,
 ) {
     private val ledger get() = reign.ledger
+    private var limits = WriteLimits.of(stateLimits)
+    private val journal = JournalWriter(reign, clock)
+    private val snapshots = SnapshotWriter(reign)
+    private val types = TypesWriter(reign)
+    private val progress = ProgressWriter(ledger, clock)
+    private val images = ImagesWriter(ledger, clock)
     private var watermarkNotBefore = Moment(0)
-    private var imagesNotBefore = Moment(0)
-    private var nextBucket = 0
-    private val writtenImages = HashMap<Int, Map<MachineId, Map<ImageId, Double>>>()
     private var writtenWatermark: WallTime? = null
-    private var progressNotBefore = Moment(0)
-    private val writtenProgress = ArrayList<String>()
-
-    /** Parts of the snapshot that is being written, first those still to be written. */
-    private var snapshotParts = ArrayDeque<String>()
-    private var nextPart = 0
-    private var snapshotting: SnapshotRecord? = null
+    private var endsFirst = false
+    private var rejectedOnce = false
+    private var pausedUntil = Moment(Long.MIN_VALUE / 2)
 
     /** A batch that got no answer: asked again word for word until its fate is known. */
-    private var unsettled: Batch? = null
+    private var unsettled: WriteBatch? = null
 
-    private class Batch {
-        val conditions = ArrayList<Condition>()
-        val writes = ArrayList<Write>()
-        val written = ArrayList<Unwritten>()
-        val over = ArrayList<Job>()
-        var records = 0
-        var bytes = 0L
-        var types: MachineTypes? = null
-        var parts = 0
-        var snapshot: SnapshotRecord? = null
-    }
+    /**
+     * Set where [unsettled] is refused by now as too large. An earlier try of it may still be carried out, so the journal's
+     * slot that it depends on is written first.
+     */
+    private var fence: Write.Put? = null
 
     /** Writes one transaction if there is anything to write; false where there was nothing, or it failed. */
     fun step(): Boolean {
-        val batch = unsettled ?: reign.lock.withLock { collect() } ?: return false
+        if (clock.now() < pausedUntil) return false
+        val batch = unsettled ?: collectBatch() ?: return false
+        val transaction = fence?.let(::fencing) ?: batch.transaction()
         val outcome = try {
-            store.commit(Transaction(batch.conditions, batch.writes))
+            store.commit(transaction)
         } catch (e: StoreSilent) {
-            log.debug("commit of {} writes: {}", batch.writes.size, e.message)
+            log.debug("commit of {} writes: {}", transaction.writes.size, e.message)
             unsettled = batch
             return false
+        } catch (e: StoreRejected) {
+            rejected(batch, e)
+            return false
         } catch (e: StoreTrouble) {
-            log.debug("commit of {} writes: {}", batch.writes.size, e.message)
+            log.debug("commit of {} writes: {}", transaction.writes.size, e.message)
             // What was refused was not executed; but an earlier try of the same may have been.
             if (unsettled == null) reign.lock.withLock { putBack(batch) }
             return false
         }
         return when (outcome) {
-            is CommitOutcome.Committed -> {
-                unsettled = null
-                reign.lock.withLock { committed(batch, Stamp(outcome.revision.number)) }
-                true
-            }
+            is CommitOutcome.Committed -> settled(batch, Stamp(outcome.revision.number))
             is CommitOutcome.Conflict -> resolve(outcome.failed, batch)
         }
     }
 
-    private fun collect(): Batch? {
-        val batch = Batch()
-        batch.conditions += Condition(Keys.LEADER, reign.mandate.stamp)
-        addJournal(batch)
-        addWatermark(batch)
-        for (job in ledger.finishing.toList()) {
-            if (batch.writes.size + 2 > limits.txnOps) break
-            if (job.nothingLives()) addOver(batch, job)
-        }
-        reign.pendingTypes?.let { types ->
-            if (batch.writes.size < limits.txnOps) {
-                batch.types = types
-                put(batch, Keys.TYPES, WireJson.encodeToJsonElement(types))
-            }
-        }
-        addSnapshot(batch)
-        addProgress(batch)
-        addImages(batch)
-        return batch.takeIf { it.writes.isNotEmpty() }
+    private fun settled(batch: WriteBatch, stamp: Stamp): Boolean {
+        val wasFence = fence != null
+        unsettled = null
+        fence = null
+        reign.lock.withLock { if (wasFence) fenced(batch, stamp) else committed(batch, stamp) }
+        return true
     }
 
-    /** As many changes as the transaction and the free slots hold, in the order in which they happened. */
-    private fun addJournal(batch: Batch) {
-        val text = JournalText()
-        val free = JOURNAL_SLOTS - (reign.journal.next - reign.journal.snapshotUpTo).toInt()
-        val most = minOf(free, limits.txnOps - RESERVED_OPS, (MOST_BYTES / limits.textPerValue).coerceAtLeast(1))
-        while (batch.records < most && ledger.unwritten.isNotEmpty()) {
-            while (text.length < limits.textPerValue - LONGEST_ENTRY) {
-                val change = ledger.unwritten.removeFirstOrNull() ?: break
-                if (describe(change, text)) batch.written += change
-            }
-            if (text.length > 0) addRecord(batch, text.take())
-        }
+    private fun collectBatch(): WriteBatch? {
+        val room = store.writeRoom()
+        if (room.spare <= 0) return null
+        if (!progress.knowsParts && !findProgress()) return null
+        return reign.lock.withLock { collect(minOf(room.spare, limits.transactionOps), room.isShort) }
     }
 
-    private fun addRecord(batch: Batch, text: String) {
-        val journal = reign.journal
-        val number = journal.next + batch.records++
-        val slot = (number % JOURNAL_SLOTS).toInt()
-        batch.conditions += Condition(Keys.journalSlot(slot), journal.stamps[slot])
-        put(batch, Keys.journalSlot(slot), WireJson.encodeToJsonElement(JournalRecord(number, text)), text.length)
+    private fun findProgress(): Boolean = try {
+        progress.found(store.listAll(Keys.PROGRESS).first.map { it.key })
+        true
+    } catch (e: StoreTrouble) {
+        log.debug("finding progress: {}", e.message)
+        false
     }
 
-    /** Writes [change] into [text]; false where it came to nothing before it was written. */
-    private fun describe(change: Unwritten, text: JournalText): Boolean {
-        when (change) {
-            is Unwritten.Started -> {
-                val assignment = change.assignment
-                // Ended or cancelled before anybody could be told: it was never sent, nor will be.
-                if (assignment.phase != Phase.INTENDED || assignment.job.cancelled) {
-                    ledger.release(assignment, clock.now())
-                    return false
-                }
-                assignment.beingWritten = true
-                text.started(assignment.taskName, assignment.machine, assignment.session, assignment.attempt, assignment.zone)
-            }
-            is Unwritten.Ended -> {
-                val assignment = change.assignment
-                val end = if (assignment.completed) {
-                    TaskEnd.DONE
-                } else if (assignment.evicted) {
-                    TaskEnd.EVICTED
-                } else {
-                    TaskEnd.UNDONE
-                }
-                text.ended(assignment.taskName, end)
-            }
-            is Unwritten.Reserved -> text.reserved(change.machine, change.job, change.victims)
+    /** What matters most comes first: the ends of jobs and the journal, last what is for display or a hint. */
+    private fun collect(mostOps: Int, isShort: Boolean): WriteBatch? {
+        val batch = WriteBatch(reign.mandate.stamp, mostOps)
+        val isCompact = compact()
+        val ready = ledger.finishing.filter { it.nothingLives() }
+        endsFirst = !endsFirst
+        addJournal(batch, ready.size, isCompact, isShort)
+        for (job in ready) if (batch.room >= OPS_PER_END) addOver(batch, job)
+        addWatermark(batch)
+        types.addTo(batch, limits, inParts = isCompact || rejectedOnce)
+        snapshots.addTo(batch, limits, isCompact, isShort)
+        if (!limits.isLeast) {
+            progress.addTo(batch, limits, isCompact, isShort)
+            images.addTo(batch, limits, isShort)
         }
-        return true
+        return batch.takeUnless { it.isEmpty }
     }
 
-    private fun putBack(batch: Batch) {
-        for (change in batch.written.asReversed()) {
-            if (change is Unwritten.Started) change.assignment.beingWritten = false
-            // An end that was noticed meanwhile stands in the queue behind it; such a start comes to nothing there.
-            ledger.unwritten.addFirst(change)
-        }
-        // What users are told went with it.
-        writtenProgress.replaceAll { UNKNOWN }
-        progressNotBefore = Moment(0)
-        watermarkNotBefore = Moment(0)
-        writtenWatermark = null
+    /** The journal leaves half of the transaction to jobs that are over, and one change to what else is due. */
+    private fun addJournal(batch: WriteBatch, jobsOver: Int, isCompact: Boolean, isShort: Boolean) {
+        val half = maxOf(OPS_PER_END, batch.room / 2)
+        val forEnds = minOf(jobsOver * OPS_PER_END, half)
+        // Where both do not fit they take turns.
+        val left = if (batch.room > forEnds) batch.room - forEnds else if (endsFirst) 0 else batch.room
+        val forOthers = if (left >= LEAST_SHARED_OPS) 1 else 0
+        journal.addTo(batch, limits, left - forOthers, isCompact, isShort)
     }
 
-    private fun addOver(batch: Batch, job: Job) {
+    private fun addOver(batch: WriteBatch, job: Job) {
         val status = if (job.cancelRecorded) JobStatus.CANCELLED else JobStatus.DONE
-        batch.conditions += Condition(Keys.job(job.id), job.stamp)
-        put(batch, Keys.over(job.id), WireJson.encodeToJsonElement(OverRecord(status, job.spec.tasks)))
-        batch.writes += Write.Delete(Keys.job(job.id))
+        batch.requires(Keys.job(job.id), job.stamp)
+        batch.put(Keys.over(job.id), WireJson.encodeToJsonElement(OverRecord(status, job.spec.tasks)))
+        batch.delete(Keys.job(job.id))
         batch.over += job
     }
 
-    private fun addSnapshot(batch: Batch) {
-        val journal = reign.journal
-        if (snapshotting == null) {
-            if (journal.next - journal.snapshotUpTo <= SNAPSHOT_AFTER) return
-            // It holds what was committed; what is in this batch or later is replayed on top of it.
-            snapshotParts = ArrayDeque(reign.ledger.describe(limits.textPerValue - LONGEST_ENTRY))
-            snapshotting = SnapshotRecord(journal.generation + 1, journal.next - 1, snapshotParts.size)
-            nextPart = 0
-        }
-        val snapshot = checkNotNull(snapshotting)
-        // Parts are written while the pointer still names the snapshot before: late ones then change nothing.
-        batch.conditions += Condition(Keys.SNAPSHOT, journal.snapshotStamp)
-        while (batch.parts < snapshotParts.size &&
-            batch.parts < PARTS_PER_BATCH &&
-            batch.bytes < MOST_BYTES &&
-            batch.writes.size < limits.txnOps
-        ) {
-            val text = snapshotParts[batch.parts]
-            val key = Keys.snapshotPart(snapshot.generation, nextPart + batch.parts++)
-            put(batch, key, WireJson.encodeToJsonElement(SnapshotPart(text)), text.length)
-        }
-        if (snapshotParts.isEmpty() && batch.writes.size < limits.txnOps) {
-            put(batch, Keys.SNAPSHOT, WireJson.encodeToJsonElement(snapshot))
-            batch.snapshot = snapshot
-        }
-    }
-
     /** Tells the next leader, and those who help it, from when on there may be cancellations that no worker was told of. */
-    private fun addWatermark(batch: Batch) {
+    private fun addWatermark(batch: WriteBatch) {
         val now = clock.now()
-        if (now < watermarkNotBefore) return
+        if (now < watermarkNotBefore || batch.room <= 0) return
         watermarkNotBefore = now + WATERMARK_EVERY_MS
         val watermark = reign.watermark()
         if (watermark == writtenWatermark) return
         writtenWatermark = watermark
-        put(batch, Keys.WATERMARK, WireJson.encodeToJsonElement(WatermarkRecord(watermark)))
-    }
-
-    /** Tells the nodes that users ask how far the running jobs have come. */
-    private fun addProgress(batch: Batch) {
-        val now = clock.now()
-        if (now < progressNotBefore) return
-        val texts = ArrayList<String>()
-        val text = StringBuilder()
-        for (job in ledger.jobs.values) {
-            if (job.live.isEmpty() && job.doneCount == 0) continue
-            text.append(job.id.text).append(' ').append(job.doneCount).append(' ').append(job.live.size).append(';')
-            if (text.length >= limits.textPerValue - LONGEST_ENTRY) {
-                texts += text.toString()
-                text.setLength(0)
-            }
-        }
-        if (text.isNotEmpty()) texts += text.toString()
-        while (texts.size < writtenProgress.size) texts += ""
-        for ((part, it) in texts.withIndex()) {
-            if (batch.writes.size >= limits.txnOps || batch.bytes + it.length > MOST_BYTES) return
-            if (part < writtenProgress.size && writtenProgress[part] == it) continue
-            put(batch, Keys.progress(part), WireJson.encodeToJsonElement(ProgressRecord(it)), it.length)
-            if (part < writtenProgress.size) writtenProgress[part] = it else writtenProgress += it
-        }
-        progressNotBefore = now + PROGRESS_EVERY_MS
-    }
-
-    /**
-     * Notes now and then which images machines hold: reports do not say, and a new leader that does not know sends
-     * urgent work to machines that must fetch first.
-     */
-    private fun addImages(batch: Batch) {
-        val now = clock.now()
-        if (now < imagesNotBefore || batch.writes.size >= limits.txnOps) return
-        imagesNotBefore = now + IMAGES_EVERY_MS
-        val bucket = nextBucket
-        nextBucket = (nextBucket + 1) % IMAGE_BUCKETS
-        val held = LinkedHashMap<MachineId, Map<ImageId, Double>>()
-        var length = 0
-        for (machine in ledger.machines.values) {
-            if (machine.id.hashCode().mod(IMAGE_BUCKETS) != bucket || machine.images.isEmpty()) continue
-            length += machine.images.keys.sumOf { it.text.length + NUMBER_LENGTH } + machine.id.text.length
-            if (length > limits.textPerValue || batch.bytes + length > MOST_BYTES) break
-            held[machine.id] = LinkedHashMap(machine.images)
-        }
-        if (held == writtenImages[bucket] || (held.isEmpty() && bucket !in writtenImages)) return
-        writtenImages[bucket] = held
-        put(batch, Keys.IMAGES + bucket, WireJson.encodeToJsonElement(ImagesRecord(held)))
+        batch.put(Keys.WATERMARK, WireJson.encodeToJsonElement(WatermarkRecord(watermark)))
     }
 
-    private fun put(batch: Batch, key: String, value: JsonElement, length: Int = value.toString().length) {
-        batch.writes += Write.Put(key, value)
-        batch.bytes += length
+    private fun putBack(batch: WriteBatch) {
+        journal.putBack(batch.written)
+        // What users are told went with it.
+        progress.forget()
+        watermarkNotBefore = Moment(0)
+        writtenWatermark = null
     }
 
-    private fun committed(batch: Batch, stamp: Stamp) {
-        val now = clock.now()
-        val journal = reign.journal
-        for (number in journal.next until journal.next + batch.records) journal.stamps[(number % JOURNAL_SLOTS).toInt()] = stamp
-        journal.next += batch.records
+    private fun committed(batch: WriteBatch, stamp: Stamp) {
+        journal.committed(batch.records, stamp)
         var freed = false
         for (change in batch.written) {
             when (change) {
                 is Unwritten.Started -> started(change.assignment)
                 is Unwritten.Ended -> {
-                    ledger.release(change.assignment, now)
+                    ledger.release(change.assignment, clock.now())
                     freed = true
                 }
                 is Unwritten.Reserved -> {}
             }
         }
         if (freed) reign.wakePlacement()
-        repeat(batch.parts) { snapshotParts.removeFirst() }
-        nextPart += batch.parts
-        batch.snapshot?.let {
-            journal.snapshotUpTo = it.upTo
-            journal.generation = it.generation
-            journal.snapshotStamp = stamp
-            snapshotting = null
-        }
+        snapshots.committed(batch, stamp)
         for (job in batch.over) {
             log.debug("job {} is over", job.id)
             reign.jobOver(job)
         }
-        if (reign.pendingTypes === batch.types) reign.pendingTypes = null
+        types.committed(batch)
         buryEmptied()
     }
 
@@ -345,25 +208,45 @@
         ledger.machines.values.removeAll { it.deleting && it.live.isEmpty() && it.id in ledger.tombstones }
     }
 
+    /** The state service takes less than was thought: the same is not tried again, but less at a time. */
+    private fun rejected(batch: WriteBatch, e: StoreRejected) {
+        log.debug("{}", e.message)
+        rejectedOnce = true
+        if (limits.isLeast) pausedUntil = clock.now() + REJECTED_PAUSE_MS
+        limits = limits.halved()
+        if (unsettled == null || batch.records.isEmpty()) {
+            unsettled = null
+            fence = null
+            reign.lock.withLock { putBack(batch) }
+        } else {
+            val first = batch.records.first().number
+            val empty = JournalRecord(first, "")
+            fence = Write.Put(Keys.journalSlot(JournalWriter.slotOf(first)), WireJson.encodeToJsonElement(empty))
+        }
+    }
+
+    private fun fencing(put: Write.Put): Transaction {
+        val slot = JournalWriter.slotOf(reign.journal.next)
+        val conditions = listOf(Condition(Keys.LEADER, reign.mandate.stamp), Condition(put.key, reign.journal.stamps[slot]))
+        return Transaction(conditions, listOf(put))
+    }
+
+    /** An empty record is in the first slot of [batch], which can be carried out no more. */
+    private fun fenced(batch: WriteBatch, stamp: Stamp) {
+        journal.committed(listOf(JournalRecord(batch.records.first().number, "")), stamp)
+        putBack(batch)
+    }
+
     /** Learns what the store has instead of what was expected; true where the batch turns out to be in it. */
-    private fun resolve(failed: List<String>, batch: Batch): Boolean {
+    private fun resolve(failed: List<String>, batch: WriteBatch): Boolean {
         if (Keys.LEADER in failed) {
             onDeposed()
             return false
         }
         try {
-            if (batch.records > 0 && unsettled != null) {
-                val first = reign.journal.next
-                val entry = store.get(Keys.journalSlot((first % JOURNAL_SLOTS).toInt()))
-                val record = entry?.let { WireJson.decodeFromJsonElement<JournalRecord>(it.value) }
-                if (entry != null && record?.number == first) {
-                    // An earlier try was carried out although no answer came: only we write in this term.
-                    unsettled = null
-                    reign.lock.withLock { committed(batch, entry.stamp) }
-                    return true
-                }
-            }
+            if (batch.records.isNotEmpty() && unsettled != null && wasCarriedOut(batch)) return true
             unsettled = null
+            fence = null
             reign.lock.withLock { putBack(batch) }
             for (key in failed) {
                 when {
@@ -381,6 +264,17 @@
         return false
     }
 
+    /** Whether an earlier try of [batch], or its fence, was carried out although no answer came: only we write in this term. */
+    private fun wasCarriedOut(batch: WriteBatch): Boolean {
+        val first = batch.records.first()
+        val entry = store.get(Keys.journalSlot(JournalWriter.slotOf(first.number))) ?: return false
+        if (WireJson.decodeFromJsonElement<JournalRecord>(entry.value).number != first.number) return false
+        if (!isFence(entry)) fence = null
+        return settled(batch, entry.stamp)
+    }
+
+    private fun isFence(entry: Entry) = entry.value == fence?.value
+
     private fun resolveJob(key: String) {
         val id = Keys.jobOfKey(key) ?: return
         val entry = store.get(key)
@@ -398,35 +292,16 @@
     private fun resolveSnapshot() {
         val entry = store.get(Keys.SNAPSHOT) ?: return
         val record = WireJson.decodeFromJsonElement<SnapshotRecord>(entry.value)
-        reign.lock.withLock {
-            reign.journal.snapshotUpTo = record.upTo
-            reign.journal.generation = record.generation
-            reign.journal.snapshotStamp = entry.stamp
-            snapshotting = null
-        }
+        reign.lock.withLock { snapshots.became(record, entry.stamp) }
     }
 
-    companion object {
-        /** Slots of the journal. A new leader reads them all, so they are few. */
-        const val JOURNAL_SLOTS = 128
-
-        /** A snapshot is begun after this many records. */
-        private const val SNAPSHOT_AFTER = 48L
-        private const val PARTS_PER_BATCH = 4
-
-        /** Kept free in a transaction beside the journal, so that jobs can go over. */
-        private const val RESERVED_OPS = 4
-
-        /** Below the 64 KiB that a transaction may have, with room for conditions and names. */
-        private const val MOST_BYTES = 40 * 1024
+    private companion object {
+        /** A job that is over is moved: one put and one delete. */
+        const val OPS_PER_END = 2
 
-        /** No entry of the journal is longer, save evictions of very full machines. */
-        private const val LONGEST_ENTRY = 400
-        private const val WATERMARK_EVERY_MS = 2000L
-        private const val PROGRESS_EVERY_MS = 1000L
-        private const val IMAGES_EVERY_MS = 1500L
-        private const val IMAGE_BUCKETS = 8
-        private const val NUMBER_LENGTH = 24
-        private const val UNKNOWN = "?"
+        /** From so many changes on the journal leaves one to others. */
+        const val LEAST_SHARED_OPS = 3
+        const val WATERMARK_EVERY_MS = 2000L
+        const val REJECTED_PAUSE_MS = 1000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/ProgressBoard.kt
+++ b/src/main/kotlin/mountmast/coordination/ProgressBoard.kt
@@ -47,7 +47,7 @@
         val read = HashMap<JobId, Progress>()
         for (entry in entries) {
             val text = try {
-                WireJson.decodeFromJsonElement<ProgressRecord>(entry.value).text
+                WireJson.decodeFromJsonElement<ProgressRecord>(entry.value).text()
             } catch (e: IllegalArgumentException) {
                 log.warn("unreadable record {}: {}", entry.key, e.message)
                 continue
--- a/src/main/kotlin/mountmast/coordination/Reign.kt
+++ b/src/main/kotlin/mountmast/coordination/Reign.kt
@@ -20,12 +20,15 @@
 import mountmast.storage.FollowOutcome
 import mountmast.storage.ImagesRecord
 import mountmast.storage.JobRecord
+import mountmast.storage.JournalReader
 import mountmast.storage.JournalRecord
 import mountmast.storage.JournalText
 import mountmast.storage.Keys
 import mountmast.storage.SnapshotPart
 import mountmast.storage.SnapshotRecord
 import mountmast.storage.StateStore
+import mountmast.storage.TypesForm
+import mountmast.storage.UnreadableText
 import mountmast.transport.Workers
 import org.slf4j.LoggerFactory
 import java.util.concurrent.locks.Condition
@@ -101,7 +104,7 @@
         }
         val asked = clock.now()
         val askedWall = clock.wall()
-        val types = store.get(Keys.TYPES)
+        val types = readTypes()
         val (jobs, revision) = store.listAll(Keys.JOBS)
         val pointer = store.get(Keys.SNAPSHOT)
         val snapshot = pointer?.let { decode<SnapshotRecord>(it.key, it.value) }
@@ -109,7 +112,7 @@
         val (slots, _) = store.listAll(Keys.JOURNAL)
         lock.withLock {
             val now = clock.now()
-            types?.let { entry -> decode<MachineTypes>(entry.key, entry.value)?.let { setTypes(it) } }
+            types?.let(::setTypes)
             for (entry in jobs) decode<JobRecord>(entry.key, entry.value)?.let { takeIn(it, entry.stamp) }
             journal.snapshotStamp = pointer?.stamp ?: Stamp.ABSENT
             replay(snapshot, parts, slots, now)
@@ -143,7 +146,7 @@
             journal.generation = snapshot.generation
             journal.snapshotUpTo = snapshot.upTo
             for (entry in parts.take(snapshot.parts)) {
-                decode<SnapshotPart>(entry.key, entry.value)?.let { unreadable += JournalText.read(it.text, reader) }
+                decode<SnapshotPart>(entry.key, entry.value)?.let { unreadable += replayText(entry.key, reader, it::text) }
             }
         }
         val records = ArrayList<JournalRecord>()
@@ -154,10 +157,27 @@
         }
         records.sortBy { it.number }
         journal.next = maxOf(journal.snapshotUpTo, records.lastOrNull()?.number ?: 0) + 1
-        for (record in records) if (record.number > journal.snapshotUpTo) unreadable += JournalText.read(record.text, reader)
+        for (record in records) {
+            if (record.number > journal.snapshotUpTo) unreadable += replayText("record ${record.number}", reader, record::text)
+        }
         if (unreadable > 0) log.error("{} entries of the journal cannot be read", unreadable)
     }
 
+    /** Returns how many entries could not be read. */
+    private fun replayText(name: String, reader: JournalReader, text: () -> String): Int = try {
+        JournalText.read(text(), reader)
+    } catch (e: UnreadableText) {
+        log.error("unreadable text in {}: {}", name, e.message)
+        1
+    }
+
+    private fun readTypes(): MachineTypes? = try {
+        TypesForm.read(store)
+    } catch (e: IllegalArgumentException) {
+        log.error("unreadable machine types: {}", e.message)
+        null
+    }
+
     fun setTypes(types: MachineTypes) = lock.withLock {
         ledger.types.clear()
         for (type in types.types) ledger.types[type.id] = type
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/SnapshotWriter.kt
@@ -0,0 +1,86 @@
+package mountmast.coordination
+
+import kotlinx.serialization.json.encodeToJsonElement
+import mountmast.protocol.Stamp
+import mountmast.protocol.WireJson
+import mountmast.storage.Keys
+import mountmast.storage.SnapshotPart
+import mountmast.storage.SnapshotRecord
+import mountmast.storage.TextCodec
+
+/**
+ * Writes the whole ledger now and then, in parts, so that the journal's slots can be used again. While changes are short,
+ * parts are spread over the slots that are left.
+ */
+class SnapshotWriter(private val reign: Reign) {
+    /** The snapshot being written. Its text is packed part by part, as packing all at once would hold the lock for long. */
+    private class Draft(val text: String, val generation: Long, val upTo: Long, val beganAt: Long) {
+        var position = 0
+        var parts = 0
+        val isWhole: Boolean get() = position == text.length
+        fun pointer() = SnapshotRecord(generation, upTo, parts)
+    }
+
+    private var draft: Draft? = null
+
+    fun addTo(batch: WriteBatch, limits: WriteLimits, compact: Boolean, isShort: Boolean) {
+        val current = draft ?: begin() ?: return
+        // Parts are written while the pointer still names the snapshot before: late ones then change nothing.
+        batch.requires(Keys.SNAPSHOT, reign.journal.snapshotStamp)
+        batch.snapshotEnd = current.position
+        val due = if (isShort) dueUpTo(current) else current.text.length
+        while (batch.room > 0 && batch.snapshotParts < PARTS_PER_BATCH && batch.snapshotEnd < due) {
+            val piece = TextCodec.packNext(current.text, batch.snapshotEnd, limits.valueBytes, compact)
+            val key = Keys.snapshotPart(current.generation, current.parts + batch.snapshotParts++)
+            batch.put(key, WireJson.encodeToJsonElement(SnapshotPart(piece.plain, piece.compressed)))
+            batch.snapshotEnd = piece.end
+        }
+        if (current.isWhole && batch.room > 0) {
+            val pointer = current.pointer()
+            batch.put(Keys.SNAPSHOT, WireJson.encodeToJsonElement(pointer))
+            batch.snapshot = pointer
+        }
+    }
+
+    /** [batch] was carried out, at [stamp]. */
+    fun committed(batch: WriteBatch, stamp: Stamp) {
+        if (batch.snapshotParts > 0) {
+            draft?.let {
+                it.parts += batch.snapshotParts
+                it.position = batch.snapshotEnd
+            }
+        }
+        batch.snapshot?.let { became(it, stamp) }
+    }
+
+    /** The store holds [pointer]. */
+    fun became(pointer: SnapshotRecord, stamp: Stamp) {
+        reign.journal.snapshotUpTo = pointer.upTo
+        reign.journal.generation = pointer.generation
+        reign.journal.snapshotStamp = stamp
+        draft = null
+    }
+
+    /** What is in the journal by now; what is written later is replayed on top of it. */
+    private fun begin(): Draft? {
+        val journal = reign.journal
+        val used = journal.next - journal.snapshotUpTo
+        if (used <= BEGIN_AFTER) return null
+        return Draft(reign.ledger.describe(), journal.generation + 1, journal.next - 1, used).also { draft = it }
+    }
+
+    /** How far the text should be written by now, for it to be whole before the slots run out. */
+    private fun dueUpTo(current: Draft): Int {
+        val journal = reign.journal
+        val used = journal.next - journal.snapshotUpTo - current.beganAt
+        val share = (used + 1).toDouble() / (maxOf(WHOLE_AT, current.beganAt + 1) - current.beganAt)
+        return minOf(current.text.length.toLong(), (current.text.length * share).toLong()).toInt()
+    }
+
+    private companion object {
+        /** A snapshot is begun after this many records, and should be whole after that many. */
+        const val BEGIN_AFTER = 48L
+        const val WHOLE_AT = 112L
+        const val PARTS_PER_BATCH = 4
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/WriteBatch.kt
@@ -0,0 +1,67 @@
+package mountmast.coordination
+
+import kotlinx.serialization.json.JsonElement
+import mountmast.protocol.MachineTypes
+import mountmast.protocol.Stamp
+import mountmast.storage.Condition
+import mountmast.storage.JournalRecord
+import mountmast.storage.Keys
+import mountmast.storage.SnapshotRecord
+import mountmast.storage.Transaction
+import mountmast.storage.Write
+import mountmast.storage.jsonSize
+
+/**
+ * One transaction of the leader while it is put together, and what it means for the ledger once it is carried out.
+ * It holds at most [mostOps] changes. Its conditions are the leader's key, the snapshot's and at most one for each change,
+ * which is no more than a transaction takes.
+ */
+class WriteBatch(leaderStamp: Stamp, private val mostOps: Int) {
+    private val conditions = arrayListOf(Condition(Keys.LEADER, leaderStamp))
+    private val writes = ArrayList<Write>()
+    private var bytes = 0L
+
+    /** Changes of the ledger that the journal's records in it tell of. */
+    val written = ArrayList<Unwritten>()
+    val records = ArrayList<JournalRecord>()
+
+    /** Jobs that are over with it. */
+    val over = ArrayList<Job>()
+
+    /** Machine types, and how many of the values that hold them it writes. */
+    var types: MachineTypes? = null
+    var typesWrites = 0
+
+    /** Parts of the snapshot, and where the last of them ends in the snapshot's text. */
+    var snapshotParts = 0
+    var snapshotEnd = 0
+
+    /** The pointer to a snapshot that is whole now. */
+    var snapshot: SnapshotRecord? = null
+
+    /** Changes that it still has room for. */
+    val room: Int get() = if (bytes >= MOST_BYTES) 0 else mostOps - writes.size
+    val isEmpty: Boolean get() = writes.isEmpty()
+
+    fun requires(key: String, stamp: Stamp) {
+        conditions += Condition(key, stamp)
+    }
+
+    fun put(key: String, value: JsonElement) = add(Write.Put(key, value))
+
+    fun add(write: Write.Put) {
+        writes += write
+        bytes += jsonSize(write.value)
+    }
+
+    fun delete(key: String) {
+        writes += Write.Delete(key)
+    }
+
+    fun transaction() = Transaction(conditions, writes)
+
+    private companion object {
+        /** Below the 64 KiB that a transaction may have, with room for conditions, names and one more value. */
+        const val MOST_BYTES = 40 * 1024
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/WriteLimits.kt
@@ -0,0 +1,35 @@
+package mountmast.coordination
+
+import mountmast.protocol.StateLimits
+
+/**
+ * What the leader fills values and transactions up to.
+ *
+ * @property valueBytes bytes of JSON in a value
+ * @property transactionOps puts and deletes in a transaction
+ */
+data class WriteLimits(val valueBytes: Int, val transactionOps: Int) {
+    /** Whether nothing smaller is tried. */
+    val isLeast: Boolean get() = valueBytes == LEAST_VALUE_BYTES && transactionOps == StateLimits.LEAST_TRANSACTION_OPS
+
+    /** For a state service that takes less than the settings say. */
+    fun halved() = WriteLimits(
+        maxOf(valueBytes / 2, LEAST_VALUE_BYTES),
+        maxOf(transactionOps / 2, StateLimits.LEAST_TRANSACTION_OPS),
+    )
+
+    companion object {
+        private const val BYTES_PER_KB = 1024
+
+        /** Some room is left, since the state service may write JSON at greater length. */
+        private const val FILLED_SHARE = 0.95
+
+        /** The longest entry of the journal fits, with the JSON around it. */
+        private const val LEAST_VALUE_BYTES = 512
+
+        fun of(limits: StateLimits) = WriteLimits(
+            maxOf((limits.valueKb * BYTES_PER_KB * FILLED_SHARE).toInt(), LEAST_VALUE_BYTES),
+            limits.transactionOps,
+        )
+    }
+}
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -15,9 +15,13 @@
 import mountmast.transport.HttpCaller
 import mountmast.transport.NoAnswer
 import mountmast.transport.Reply
+import org.slf4j.LoggerFactory
 import java.net.InetSocketAddress
+import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.TimeUnit
 
+private val log = LoggerFactory.getLogger("mountmast.store")
+
 /** The state service over HTTP. This node's share of its two rates is kept here, before anything is sent. */
 class HttpStateStore(
     private val at: InetSocketAddress,
@@ -26,7 +30,8 @@
     private val caller: HttpCaller = HttpCaller(),
 ) : StateStore {
     private val requests = RateLimiter.create(limits.requestsPerSecond / nodes)
-    private val writes = RateLimiter.create(limits.writesPerSecond / nodes)
+    private val writes = RateShare(limits.writesPerSecond / nodes, System::nanoTime)
+    private val rejections = ConcurrentHashMap.newKeySet<String>()
 
     @Volatile
     private var lastOkNanos = System.nanoTime()
@@ -37,17 +42,12 @@
     override val reachable: Boolean
         get() = lastOk || System.nanoTime() - lastOkNanos < REACHED_NANOS
 
-    /** The leader writes more than the others, which have more users to answer; all nodes together stay within the rates. */
     override fun shareAs(leader: Boolean) {
-        requests.rate = limits.requestsPerSecond * share(leader, LEADER_REQUESTS) * CAUTION
-        writes.rate = limits.writesPerSecond * share(leader, LEADER_WRITES) * CAUTION
+        requests.rate = RateShares.requests(limits, nodes, leader)
+        writes.setRate(RateShares.writes(limits, nodes, leader))
     }
 
-    private fun share(leader: Boolean, ofLeader: Double) = when {
-        nodes == 1 -> 1.0
-        leader -> ofLeader
-        else -> (1 - ofLeader) / (nodes - 1)
-    }
+    override fun writeRoom(): WriteRoom = writes.room()
 
     override fun get(key: String): Entry? {
         val reply = call("GET", "/store/$key", null)
@@ -67,7 +67,7 @@
     }
 
     override fun commit(transaction: Transaction): CommitOutcome {
-        take(writes, transaction.writes.size)
+        takeWrites(transaction.writes.size)
         val body = CommitBody(
             transaction.conditions.map { ConditionBody(it.key, it.stamp) },
             transaction.writes.map { write ->
@@ -83,6 +83,7 @@
             reply.status == 409 -> CommitOutcome.Conflict(decode<ConflictBody>(reply).failed)
             reply.status == 400 && "no such lease" in reply.text ->
                 throw HoldEnded(transaction.writes.firstNotNullOf { (it as? Write.Put)?.hold })
+            reply.status == 400 -> throw rejected(transaction, reply)
             else -> throw refused(reply)
         }
     }
@@ -118,7 +119,7 @@
     }
 
     private fun call(method: String, path: String, body: String?, waitMs: Int = WAIT_MS): Reply {
-        take(requests, 1)
+        if (!requests.tryAcquire(RATE_WAIT_MS, TimeUnit.MILLISECONDS)) throw overShare()
         try {
             val reply = caller.call(at, method, path, body?.encodeToByteArray(), waitMs)
             // Above the rates the service answers 429: it is within reach.
@@ -131,10 +132,19 @@
         }
     }
 
-    private fun take(rate: RateLimiter, permits: Int) {
-        if (permits > 0 && !rate.tryAcquire(permits, RATE_WAIT_MS, TimeUnit.MILLISECONDS)) {
-            throw StoreRefused("over this node's share of the rate")
-        }
+    private fun takeWrites(count: Int) {
+        val waitMs = writes.take(count, RATE_WAIT_MS) ?: throw overShare()
+        if (waitMs > 0) Thread.sleep(waitMs)
+    }
+
+    private fun overShare() = StoreRefused("over this node's share of the rate")
+
+    /** Each key is told once: users may send the same request any number of times. */
+    private fun rejected(transaction: Transaction, reply: Reply): StoreRejected {
+        val rejected = StoreRejected.of(transaction, reply.text.take(MOST_TOLD))
+        if (rejections.size >= MOST_REJECTIONS) rejections.clear()
+        if (rejections.add(rejected.largestKey)) log.error("the state service takes no such transaction: {}", rejected.message)
+        return rejected
     }
 
     private fun refused(reply: Reply) = StoreRefused("status ${reply.status}")
@@ -204,10 +214,7 @@
         const val WAIT_MS = 1500
         const val REACHED_NANOS = 2_500_000_000L
         const val RATE_WAIT_MS = 300L
-        const val LEADER_REQUESTS = 0.4
-        const val LEADER_WRITES = 0.6
-
-        /** Kept below the rates: clocks drift, and a change of leader overlaps two shares. */
-        const val CAUTION = 0.9
+        const val MOST_TOLD = 200
+        const val MOST_REJECTIONS = 1000
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mountmast/storage/RateShare.kt
@@ -0,0 +1,92 @@
+package mountmast.storage
+
+import mountmast.protocol.StateLimits
+
+/**
+ * How much may be written now without being in the way of users: see [StateStore.writeRoom].
+ *
+ * @property spare changes that may be written at once
+ * @property isShort whether less is left than usual, so that whatever can wait should
+ */
+data class WriteRoom(val spare: Int, val isShort: Boolean) {
+    companion object {
+        val AMPLE = WriteRoom(Int.MAX_VALUE, isShort = false)
+    }
+}
+
+/** How the rates of the state service are divided among the nodes. */
+object RateShares {
+    /** The leader writes more than the others, which have more users to answer; all nodes together stay within the rates. */
+    fun writes(limits: StateLimits, nodes: Int, leads: Boolean) = limits.writesPerSecond * share(nodes, leads, LEADER_WRITES)
+
+    fun requests(limits: StateLimits, nodes: Int, leads: Boolean) = limits.requestsPerSecond * share(nodes, leads, LEADER_REQUESTS)
+
+    private fun share(nodes: Int, leads: Boolean, ofLeader: Double): Double = CAUTION * when {
+        nodes == 1 -> 1.0
+        leads -> ofLeader
+        else -> (1 - ofLeader) / (nodes - 1)
+    }
+
+    private const val LEADER_REQUESTS = 0.4
+    private const val LEADER_WRITES = 0.6
+
+    /** Kept below the rates: clocks drift, and a change of leader overlaps two shares. */
+    private const val CAUTION = 0.9
+}
+
+/**
+ * A node's share of a rate, as a token bucket of one second's worth. Work in the background leaves a reserve in it, so that
+ * what users wait for finds room at once.
+ */
+class RateShare(rate: Double, private val nowNanos: () -> Long) {
+    private var rate = rate
+    private var tokens = capacity
+    private var filledAt = nowNanos()
+
+    private val capacity: Double get() = maxOf(rate, LEAST_CAPACITY)
+
+    /** Changes the rate; what is left in the bucket stays. */
+    @Synchronized
+    fun setRate(rate: Double) {
+        fill()
+        this.rate = rate
+        tokens = minOf(tokens, capacity)
+    }
+
+    /** How long to wait before [count] permits that are taken hereby may be used, or null where that is over [mostMs]. */
+    @Synchronized
+    fun take(count: Int, mostMs: Long): Long? {
+        fill()
+        // More than the bucket holds is never there at once.
+        val missing = minOf(count.toDouble(), capacity) - tokens
+        val waitMs = if (missing <= 0) 0 else Math.ceil(missing / rate * MS_PER_S).toLong()
+        if (waitMs > mostMs) return null
+        tokens -= count
+        return waitMs
+    }
+
+    /** What work in the background may take now. */
+    @Synchronized
+    fun room(): WriteRoom {
+        fill()
+        val reserve = capacity * RESERVED_SHARE
+        val spare = tokens - reserve
+        return WriteRoom(maxOf(0, spare.toInt()), spare < (capacity - reserve) * SHORT_SHARE)
+    }
+
+    private fun fill() {
+        val now = nowNanos()
+        tokens = minOf(capacity, tokens + (now - filledAt) / NANOS_PER_S * rate)
+        filledAt = now
+    }
+
+    private companion object {
+        const val NANOS_PER_S = 1e9
+        const val MS_PER_S = 1000
+
+        /** Room for the end of a job, two changes, beside the reserve. */
+        const val LEAST_CAPACITY = 3.0
+        const val RESERVED_SHARE = 0.25
+        const val SHORT_SHARE = 0.6
+    }
+}
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -7,6 +7,7 @@
 import mountmast.protocol.JobSpec
 import mountmast.protocol.JobStatus
 import mountmast.protocol.MachineId
+import mountmast.protocol.MachineType
 import mountmast.protocol.NodeId
 import mountmast.protocol.Term
 import mountmast.protocol.WallTime
@@ -16,6 +17,7 @@
     const val LEADER = "lead"
     const val TERM = "term"
     const val TYPES = "types"
+    const val TYPES_PARTS = "types/"
     const val JOBS = "j/"
     const val IMAGES = "images/"
     const val JOURNAL = "l/"
@@ -40,6 +42,9 @@
 
     fun snapshotParts(generation: Long) = "$SNAPSHOT_PARTS${generation % 2}/"
 
+    /** Machine types that the value at [TYPES] has no room for; counted from 1. */
+    fun typesPart(part: Int) = TYPES_PARTS + part
+
     /** One part of what users are told of running jobs. */
     fun progress(part: Int) = PROGRESS + part
 
@@ -82,13 +87,33 @@
 @Serializable
 data class OverRecord(@SerialName("st") val status: JobStatus, @SerialName("n") val tasks: Int)
 
+/**
+ * The machine types, or the first of them where they do not fit into one value.
+ *
+ * @property parts how many more values hold the others, under [Keys.typesPart]
+ * @property digest of the names in all parts, to tell parts that do not belong together
+ */
+@Serializable
+data class TypesRecord(
+    @SerialName("hulls") val types: List<MachineType>,
+    @SerialName("n") val parts: Int = 0,
+    @SerialName("d") val digest: Int? = null,
+)
+
 /** Which images some of the machines are thought to hold, in gigabytes; a hint that nothing depends on. */
 @Serializable
 data class ImagesRecord(@SerialName("m") val images: Map<MachineId, Map<ImageId, Double>>)
 
 /** A record of the journal: what changed, in the form of [JournalText]. Records of one reign and the next are numbered on. */
 @Serializable
-data class JournalRecord(@SerialName("q") val number: Long, @SerialName("t") val text: String)
+data class JournalRecord(
+    @SerialName("q") val number: Long,
+    @SerialName("t") val plain: String,
+    /** The text in the compact form of [TextCodec]; [plain] is empty then. */
+    @SerialName("z") val compressed: String? = null,
+) {
+    fun text(): String = TextCodec.read(plain, compressed)
+}
 
 /** The latest whole snapshot: it holds what the journal said up to record [upTo]. */
 @Serializable
@@ -96,8 +121,12 @@
 
 /** A part of a snapshot, in the form of [JournalText]. */
 @Serializable
-data class SnapshotPart(@SerialName("t") val text: String)
+data class SnapshotPart(@SerialName("t") val plain: String, @SerialName("z") val compressed: String? = null) {
+    fun text(): String = TextCodec.read(plain, compressed)
+}
 
 /** How far running jobs have come, for users: `JOB DONE RUNNING;...`. */
 @Serializable
-data class ProgressRecord(@SerialName("t") val text: String)
+data class ProgressRecord(@SerialName("t") val plain: String, @SerialName("z") val compressed: String? = null) {
+    fun text(): String = TextCodec.read(plain, compressed)
+}
--- a/src/main/kotlin/mountmast/storage/StateStore.kt
+++ b/src/main/kotlin/mountmast/storage/StateStore.kt
@@ -11,6 +11,21 @@
 /** It refused: nothing was executed, nor will be. */
 class StoreRefused(message: String) : StoreTrouble(message)
 
+/**
+ * It refused a transaction as malformed or larger than it takes. The same again would be refused again.
+ *
+ * @property largestKey the key with the largest value
+ */
+class StoreRejected(val largestKey: String, val largestBytes: Int, val changes: Int, val answer: String) :
+    StoreTrouble("rejected: $changes changes, the largest value $largestBytes bytes at $largestKey: $answer") {
+    companion object {
+        fun of(transaction: Transaction, answer: String): StoreRejected {
+            val largest = transaction.writes.filterIsInstance<Write.Put>().maxByOrNull { jsonSize(it.value) }
+            return StoreRejected(largest?.key.orEmpty(), largest?.let { jsonSize(it.value) } ?: 0, transaction.writes.size, answer)
+        }
+    }
+}
+
 /** It was silent: the request may have been executed, or still be executed later. */
 class StoreSilent(message: String) : StoreTrouble(message)
 
@@ -62,6 +77,9 @@
     /** Tells how large this node's share of the rates is to be. */
     fun shareAs(leader: Boolean)
 
+    /** How much of this node's share of the changes is left for work that users do not wait for. */
+    fun writeRoom(): WriteRoom = WriteRoom.AMPLE
+
     /** The entry, or null where the key does not exist. */
     fun get(key: String): Entry?
     fun list(prefix: String, after: String? = null, limit: Int = MOST_PER_PAGE): EntryPage
--- /dev/null
+++ b/src/main/kotlin/mountmast/storage/TextCodec.kt
@@ -0,0 +1,149 @@
+package mountmast.storage
+
+import java.io.ByteArrayOutputStream
+import java.util.Base64
+import java.util.zip.DataFormatException
+import java.util.zip.Deflater
+import java.util.zip.Inflater
+
+/** A compressed text that cannot be read. */
+class UnreadableText(message: String) : IllegalArgumentException(message)
+
+/**
+ * A piece of a longer text in the form in which one value holds it: as it is, or compressed.
+ *
+ * @property end where the piece ends in the longer text
+ * @property entries how many entries it holds
+ */
+class PackedText(val plain: String, val compressed: String?, val end: Int, val entries: Int)
+
+/**
+ * How texts of entries that end with [ENTRY_END] are kept in values of a limited size.
+ *
+ * The compact form is Deflate without a header, in Base64. It is written only where every node can read it.
+ */
+object TextCodec {
+    const val ENTRY_END = ';'
+
+    /** Bytes kept for the JSON around a text: names, quotes and a number of the longest kind. */
+    const val ENVELOPE_BYTES = 64
+
+    /** A record that is corrupted must not exhaust the memory. */
+    const val MOST_READ_BYTES = 256 * 1024
+
+    /** Below what is read at most, so that whatever was written can be read. */
+    private const val MOST_PACKED = 64 * 1024
+    private const val USUAL_RATIO = 4
+    private const val SHRINK = 0.95
+    private const val WELL_FILLED = 0.8
+    private const val CHUNK_BYTES = 4096
+
+    /** Splits [text] into pieces at the ends of entries, each of which fits a value of [limitBytes]. */
+    fun pack(text: String, limitBytes: Int, compact: Boolean): List<PackedText> {
+        val pieces = ArrayList<PackedText>()
+        var from = 0
+        while (from < text.length) {
+            val piece = packNext(text, from, limitBytes, compact)
+            pieces += piece
+            from = piece.end
+        }
+        return pieces
+    }
+
+    /**
+     * The piece of [text] that begins at [from] and fits a value of [limitBytes], its JSON included. It holds at least one
+     * entry: one that is larger than a value by itself cannot be split.
+     */
+    fun packNext(text: String, from: Int, limitBytes: Int, compact: Boolean): PackedText {
+        val room = limitBytes - ENVELOPE_BYTES
+        val plainEnd = plainEnd(text, from, room)
+        if (compact && plainEnd < text.length) packCompact(text, from, room)?.let { if (it.end > plainEnd) return it }
+        return piece(text, from, plainEnd, null)
+    }
+
+    /** The text that was packed. */
+    fun read(plain: String, compressed: String?): String = if (compressed == null) plain else inflate(compressed)
+
+    private fun packCompact(text: String, from: Int, room: Int): PackedText? {
+        var best: PackedText? = null
+        var most = minOf(room * USUAL_RATIO, MOST_PACKED)
+        while (true) {
+            val end = borderBefore(text, from, most)
+            val compressed = deflate(text.substring(from, end))
+            val fits = compressed.length <= room
+            if (fits) best = piece(text, from, end, compressed)
+            val isFull = end == text.length || most == MOST_PACKED || compressed.length >= room * WELL_FILLED
+            val isLeast = end == borderBefore(text, from, 0)
+            // What fits is made larger once at most; what does not is made smaller until it does.
+            if (fits && (isFull || most != minOf(room * USUAL_RATIO, MOST_PACKED))) return best
+            if (!fits && (best != null || isLeast)) return best
+            val scaled = ((end - from).toDouble() * room / compressed.length * SHRINK).toInt()
+            most = minOf(if (fits) scaled else minOf(scaled, end - from - 1), MOST_PACKED)
+        }
+    }
+
+    private fun piece(text: String, from: Int, end: Int, compressed: String?): PackedText {
+        val raw = text.substring(from, end)
+        return PackedText(if (compressed == null) raw else "", compressed, end, raw.count { it == ENTRY_END })
+    }
+
+    /** Where the longest run of whole entries ends that takes [room] bytes as a JSON string, or else the first entry. */
+    private fun plainEnd(text: String, from: Int, room: Int): Int {
+        var bytes = 0
+        var end = from
+        for (at in from until text.length) {
+            bytes += jsonBytes(text[at])
+            if (bytes > room) break
+            if (text[at] == ENTRY_END || at == text.length - 1) end = at + 1
+        }
+        return if (end > from) end else borderBefore(text, from, 0)
+    }
+
+    /** The end of the last entry that ends within [most] characters from [from], or else of the first entry. */
+    private fun borderBefore(text: String, from: Int, most: Int): Int {
+        if (text.length - from <= most) return text.length
+        val last = text.lastIndexOf(ENTRY_END, from + most - 1)
+        if (last >= from) return last + 1
+        val first = text.indexOf(ENTRY_END, from)
+        return if (first < 0) text.length else first + 1
+    }
+
+    private fun deflate(text: String): String {
+        val deflater = Deflater(Deflater.DEFAULT_COMPRESSION, true)
+        try {
+            deflater.setInput(text.encodeToByteArray())
+            deflater.finish()
+            val out = ByteArrayOutputStream()
+            val chunk = ByteArray(CHUNK_BYTES)
+            while (!deflater.finished()) out.write(chunk, 0, deflater.deflate(chunk))
+            return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray())
+        } finally {
+            deflater.end()
+        }
+    }
+
+    private fun inflate(compressed: String): String {
+        val bytes = try {
+            Base64.getDecoder().decode(compressed)
+        } catch (e: IllegalArgumentException) {
+            throw UnreadableText("not Base64: ${e.message}")
+        }
+        val inflater = Inflater(true)
+        try {
+            inflater.setInput(bytes)
+            val out = ByteArrayOutputStream()
+            val chunk = ByteArray(CHUNK_BYTES)
+            while (!inflater.finished()) {
+                val length = inflater.inflate(chunk)
+                if (length == 0 && !inflater.finished()) throw UnreadableText("the compressed text is cut short")
+                if (out.size() + length > MOST_READ_BYTES) throw UnreadableText("longer than $MOST_READ_BYTES bytes")
+                out.write(chunk, 0, length)
+            }
+            return out.toString(Charsets.UTF_8)
+        } catch (e: DataFormatException) {
+            throw UnreadableText("not compressed text: ${e.message}")
+        } finally {
+            inflater.end()
+        }
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/mountmast/coordination/FallingLimitsTest.kt
@@ -0,0 +1,116 @@
+package mountmast.coordination
+
+import mountmast.protocol.StateLimits
+import mountmast.protocol.TeamId
+import mountmast.standin.FallingLimits
+import mountmast.standin.World
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** The state service takes less from some moment on, with and without the settings saying so. */
+class FallingLimitsTest {
+    private fun world(
+        seed: Long,
+        fallsAtMs: Long,
+        isAnnounced: Boolean,
+        compact: Boolean = false,
+        quiet: Boolean = true,
+        perOffer: Int = 4,
+    ) = World(
+        seed,
+        quietNetwork = quiet,
+        perOffer = perOffer,
+        limits = FallingLimits(BEFORE, AFTER, fallsAtMs, isAnnounced),
+        compactForms = { compact },
+    )
+
+    private fun finish(world: World) {
+        world.cancelServices()
+        world.run(100_000, busy = false)
+        repeat(12) { if (world.unfinished().any { world.poll(it)?.isFinal != true }) world.run(50_000, busy = false) }
+        world.jobs.keys.forEach { world.poll(it) }
+        assertTrue(world.rules.started > 0, "nothing_ran")
+        assertEquals(emptyList<Any>(), world.unfinished().filter { world.poll(it)?.isFinal != true }, "jobs that never got done")
+    }
+
+    private fun leader(world: World) = world.seats.filter { it.controller?.reign() != null }
+
+    @Test
+    fun `nothing is refused where the lower limits are announced`() {
+        for (compact in listOf(false, true)) {
+            val world = world(171, fallsAtMs = 30_000, isAnnounced = true, compact = compact)
+            world.run(70_000, busy = true)
+            finish(world)
+            assertEquals(0, world.store.tooLarge)
+            assertTrue(world.store.mostOps <= AFTER.transactionOps)
+        }
+    }
+
+    @Test
+    fun `a leader that meets lower limits by surprise writes less at a time and goes on`() {
+        for (seed in 172L..176L) {
+            val world = world(seed, fallsAtMs = 30_000, isAnnounced = false, perOffer = 30)
+            world.run(20_000, busy = true)
+            repeat(30) { number -> world.accept(world.plainJob(5000 + number) { it.copy(team = TeamId("free"), tasks = 40) }) }
+            world.run(40_000, busy = true)
+            finish(world)
+            assertTrue(world.store.tooLarge in 1..20, "seed $seed: ${world.store.tooLarge} refused")
+        }
+    }
+
+    @Test
+    fun `limits fall while one leader takes over from another`() {
+        for (seed in 181L..188L) {
+            val world = world(seed, fallsAtMs = 30_000, isAnnounced = seed % 2 == 0L, compact = seed % 3 == 0L, quiet = false)
+            world.run(28_500, busy = true)
+            leader(world).forEach { it.trouble.lateWritesUntil = world.time.now + 20_000 }
+            world.run(1000, busy = true)
+            leader(world).forEach { it.crash(1000) }
+            world.run(40_000, busy = true)
+            leader(world).forEach { it.crash(200) }
+            world.run(20_000, busy = true)
+            finish(world)
+            assertTrue(world.store.tooLarge <= 60, "seed $seed: ${world.store.tooLarge} refused")
+        }
+    }
+
+    @Test
+    fun `the smallest transactions and values suffice`() {
+        val least = FallingLimits(StateLimits(80.0, 16.0, 1.0, 2), enforcesRates = true)
+        for (compact in listOf(false, true)) {
+            val world = World(190, quietNetwork = true, limits = least, compactForms = { compact })
+            world.run(40_000, busy = true)
+            finish(world)
+            assertEquals(0, world.store.tooLarge)
+            assertTrue(world.store.mostOps <= 2)
+        }
+    }
+
+    @Test
+    fun `failures of every kind meet falling limits`() {
+        for (seed in 1L..24L) {
+            val world = world(seed + 17_000, 40_000, isAnnounced = seed % 2 == 0L, compact = seed % 3 != 0L, quiet = false)
+            try {
+                world.run(20_000, busy = true)
+                repeat(6) {
+                    world.fail()
+                    world.run(world.random.nextLong(50, 3000), busy = true)
+                    world.fail()
+                    world.run(world.random.nextLong(2000, 20_000), busy = true)
+                }
+                world.rules.quietSince = world.time.now + 2 * World.CANCEL_MS + 5000
+                world.cancelServices()
+                world.run(100_000, busy = false)
+                finish(world)
+            } catch (e: Throwable) {
+                throw AssertionError("seed $seed at ${world.time.now} ms: ${e.message}", e)
+            }
+        }
+    }
+
+    private companion object {
+        val BEFORE = StateLimits(80.0, 40.0, 8.0, 16)
+        val AFTER = StateLimits(80.0, 21.0, 1.5, 5)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/mountmast/coordination/WriteBudgetTest.kt
@@ -0,0 +1,120 @@
+package mountmast.coordination
+
+import mountmast.protocol.ImageId
+import mountmast.protocol.JobSpec
+import mountmast.protocol.Shape
+import mountmast.protocol.StateLimits
+import mountmast.protocol.TeamId
+import mountmast.protocol.Urgency
+import mountmast.standin.FallingLimits
+import mountmast.standin.World
+import mountmast.standin.WriteKind
+import mountmast.storage.RateShares
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** What a full fleet writes where the state service takes few changes a second. */
+class WriteBudgetTest {
+    /** A fleet of [machines] on which [perSecond] tasks start and end each second, in jobs of [TASKS_PER_JOB] tasks. */
+    private class Day(private val name: String, machines: Int, private val perSecond: Int, compact: Boolean) {
+        val world = World(
+            91,
+            quietNetwork = true,
+            perOffer = machines / OFFERS,
+            limits = FallingLimits(LIMITS, enforcesRates = true),
+            compactForms = { compact },
+        )
+        private var submitted = 0
+        private var refused = 0
+        private val everySubmissionMs = 1000L * TASKS_PER_JOB / perSecond
+        private var nextAt = 5000L
+
+        private fun submitNext() {
+            val spec = world.job(submitted++) {
+                it.copy(
+                    team = TeamId("free"), shape = Shape.ARRAY, urgency = Urgency.NORMAL, tasks = TASKS_PER_JOB, cpus = 1.2, memoryGb = 2.0,
+                    image = ImageId("i"), imageGb = 0.2, types = null, zone = null, oneZone = false, spread = false,
+                    spotAllowed = true, estimateS = RUN_S, checkpointEveryS = 0.0, deadlineS = null,
+                )
+            }
+            submit(spec)
+        }
+
+        /** As users do, who come again a second later where they are refused. */
+        private fun submit(spec: JobSpec) {
+            if (world.submit(spec) in 200..201) return
+            refused++
+            world.time.later(1000) { submit(spec) }
+        }
+
+        fun run(ms: Long) {
+            val until = world.time.now + ms
+            while (world.time.now < until) {
+                while (nextAt <= world.time.now) {
+                    submitNext()
+                    nextAt += everySubmissionMs
+                }
+                world.run(200, busy = false)
+            }
+        }
+
+        /** Plays on for a while and checks what was written. */
+        fun measure(): Map<WriteKind, Double> {
+            run(RAMP_MS)
+            val before = HashMap(world.store.writesByKind)
+            val startedBefore = world.rules.started
+            val refusedBefore = refused
+            val share = RateShares.writes(LIMITS, 3, leads = true)
+            val beganAt = world.time.now
+            run(MEASURED_MS)
+            val seconds = (world.time.now - beganAt) / 1000.0
+            val perKind = world.store.writesByKind.mapValues { (kind, count) -> (count - (before[kind] ?: 0)) / seconds }
+            val ofLeader = perKind.filterKeys { it != WriteKind.USERS }.values.sum()
+            val started = (world.rules.started - startedBefore) / seconds
+            println("$name: ${perKind.entries.joinToString { "${it.key} %.2f".format(it.value) }}")
+            println(
+                "$name: %.1f starts a second, %d refused submissions, leader %.2f of %.2f, 429: %d".format(
+                    started, refused - refusedBefore, ofLeader, share, world.store.overRate,
+                ),
+            )
+            println("$name: ${unwritten()} changes wait")
+            assertEquals(0, world.store.overRate, "requests over the rates")
+            assertEquals(0, world.store.tooLarge, "transactions over the limits")
+            assertTrue(ofLeader <= share, "$ofLeader of $share")
+            assertTrue(started > perSecond * 0.85, "$started starts a second")
+            assertTrue(unwritten() < perSecond * 5, "${unwritten()} changes wait")
+            assertEquals(refusedBefore, refused, "submissions refused")
+            assertTrue((perKind[WriteKind.PROGRESS] ?: 0.0) >= 0.3, "progress is told")
+            assertTrue((perKind[WriteKind.WATERMARK] ?: 0.0) >= 0.3, "the watermark is written")
+            assertTrue((perKind[WriteKind.SNAPSHOT] ?: 0.0) > 0, "snapshots are written")
+            return perKind
+        }
+
+        private fun unwritten() = world.seats.mapNotNull { it.controller?.reign() }.maxBy { it.mandate.term }.ledger.unwritten.size
+    }
+
+    @Test
+    fun `600 machines with 60 starts and ends a second stay within the leader's share`() {
+        Day("600 machines, compact", 600, 60, compact = true).measure()
+    }
+
+    @Test
+    fun `900 machines with 90 starts and ends a second stay within the leader's share`() {
+        Day("900 machines, compact", 900, 90, compact = true).measure()
+    }
+
+    @Test
+    fun `600 machines get along while the compact forms are not agreed on`() {
+        Day("600 machines, old forms", 600, 60, compact = false).measure()
+    }
+
+    private companion object {
+        val LIMITS = StateLimits(250.0, 21.0, 2.0, 5)
+        const val OFFERS = 8
+        const val TASKS_PER_JOB = 40
+        const val RUN_S = 78.0
+        const val RAMP_MS = 110_000L
+        const val MEASURED_MS = 60_000L
+    }
+}
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -10,16 +10,24 @@
 import mountmast.storage.EntryPage
 import mountmast.storage.FollowOutcome
 import mountmast.storage.HoldEnded
+import mountmast.storage.RateShare
+import mountmast.storage.RateShares
 import mountmast.storage.StateStore
 import mountmast.storage.StoreRefused
+import mountmast.storage.StoreRejected
 import mountmast.storage.StoreSilent
 import mountmast.storage.Transaction
 import mountmast.storage.Write
+import mountmast.storage.WriteRoom
 import java.util.TreeMap
 import kotlin.random.Random
 
 /** The state service in virtual time. */
-class StandInStore(private val world: VirtualTime, private val keptChanges: Int = 400) {
+class StandInStore(
+    private val world: VirtualTime,
+    private val keptChanges: Int = 400,
+    private val limits: FallingLimits = FallingLimits(),
+) {
     private class Value(val data: JsonElement, val stamp: Long, val hold: Long?)
 
     private val values = TreeMap<String, Value>()
@@ -39,6 +47,42 @@
     var mostOps = 0
         private set
 
+    /** Changes that were carried out, by what they are for. */
+    val writesByKind = TreeMap<WriteKind, Int>()
+
+    /** Transactions refused as too large, and requests refused as over a rate. */
+    var tooLarge = 0
+        private set
+    var overRate = 0
+        private set
+    private val requestRate = ServiceRate(world)
+    private val writeRate = ServiceRate(world)
+
+    private fun checkRequestRate() {
+        if (limits.enforcesRates && !requestRate.allows(1, limits.now(world).requestsPerSecond)) refuseOverRate()
+    }
+
+    private fun checkWriteRate(count: Int) {
+        if (limits.enforcesRates && !writeRate.allows(count, limits.now(world).writesPerSecond)) refuseOverRate()
+    }
+
+    private fun refuseOverRate(): Nothing {
+        overRate++
+        throw StoreRefused("status 429")
+    }
+
+    private fun checkSizes(transaction: Transaction) {
+        val now = limits.now(world)
+        val sizes = transaction.writes.map { if (it is Write.Put) it.value.toString().encodeToByteArray().size else 0 }
+        val fits = transaction.writes.size <= now.transactionOps &&
+            transaction.conditions.size <= now.transactionConditions &&
+            sizes.all { it <= now.valueKb * BYTES_PER_KB } &&
+            sizes.sum() <= MOST_TRANSACTION_BYTES
+        if (fits) return
+        tooLarge++
+        throw StoreRejected.of(transaction, "too large")
+    }
+
     fun outage(forMs: Long) {
         outageUntil = maxOf(outageUntil, world.now + forMs)
         // An outage gives all leases their full time again.
@@ -68,6 +112,8 @@
 
     private fun commit(transaction: Transaction): CommitOutcome {
         expire()
+        checkSizes(transaction)
+        checkWriteRate(transaction.writes.size)
         writes += transaction.writes.size
         mostOps = maxOf(mostOps, transaction.writes.size)
         for (write in transaction.writes) {
@@ -77,6 +123,7 @@
         if (failed.isNotEmpty()) return CommitOutcome.Conflict(failed.map { it.key })
         if (transaction.writes.isNotEmpty()) revision++
         for (write in transaction.writes) {
+            writesByKind.merge(WriteKind.of(write), 1, Int::plus)
             when (write) {
                 is Write.Put -> {
                     values[write.key] = Value(write.value, revision, write.hold?.number?.toLong())
@@ -94,11 +141,16 @@
         override var reachable = true
             private set
 
-        override fun shareAs(leader: Boolean) = Unit
+        private val share = RateShare(RateShares.writes(limits.known, NODES, leads = false)) { world.now * NANOS_PER_MS }
+
+        override fun shareAs(leader: Boolean) = share.setRate(RateShares.writes(limits.known, NODES, leader))
+
+        override fun writeRoom(): WriteRoom = if (limits.enforcesRates) share.room() else WriteRoom.AMPLE
 
         private fun <T> ask(silentAllowed: Boolean = true, act: () -> T): T {
             trouble.mayStrike(random)
             requests++
+            checkRequestRate()
             if (out || trouble.refusedByStore()) {
                 reachable = false
                 throw StoreRefused("refused")
@@ -141,6 +193,7 @@
         }
 
         override fun commit(transaction: Transaction): CommitOutcome = ask {
+            if (limits.enforcesRates && share.take(transaction.writes.size, 0) == null) throw StoreRefused("over the share")
             if (trouble.writesLate(random)) {
                 world.later(random.nextLong(2000, 12_000)) { if (!out) runCatching { this@StandInStore.commit(transaction) } }
                 throw StoreSilent("carried out later")
@@ -177,4 +230,11 @@
             )
         }
     }
+
+    private companion object {
+        const val NODES = 3
+        const val BYTES_PER_KB = 1024
+        const val MOST_TRANSACTION_BYTES = 64 * 1024
+        const val NANOS_PER_MS = 1_000_000L
+    }
 }
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/World.kt
@@ -22,7 +22,6 @@
 import mountmast.protocol.RelayAnswer
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.Settings
-import mountmast.protocol.StateLimits
 import mountmast.protocol.Shape
 import mountmast.protocol.TaskId
 import mountmast.protocol.TeamId
@@ -42,7 +41,13 @@
 import kotlin.random.Random
 
 /** Three controllers with everything around them, in virtual time, drawn from one seed. Rules are checked after each step. */
-class World(val seed: Long, private val quietNetwork: Boolean = false, perOffer: Int = 4) {
+class World(
+    val seed: Long,
+    private val quietNetwork: Boolean = false,
+    perOffer: Int = 4,
+    private val limits: FallingLimits = FallingLimits(),
+    private val compactForms: () -> Boolean = { false },
+) {
     val random = Random(seed)
     val time = VirtualTime()
     val zones = listOf(Zone("a"), Zone("b"))
@@ -60,7 +65,7 @@
     private val accepted = LinkedHashSet<JobId>()
     private val cancelled = LinkedHashSet<JobId>()
     val poisoned = HashSet<JobId>()
-    val store = StandInStore(time)
+    val store = StandInStore(time, limits = limits)
     val cloud = StandInCloud(time, random, types, perOffer) { id, request ->
         StandInWorker(
             id, types.first { it.id == request.type }, request.zone, request.spot, time, rules, LEASE_MS, jobs::get,
@@ -89,6 +94,7 @@
             controller = Controller(
                 settings(), Policy(), FleetPolicy(idleReturnMs = 8000), store.View(random, trouble), cloud.View(trouble),
                 WorkerLine(trouble), PeerLine(trouble, zone), time.clock(drift, random.nextLong(-20, 20)), "$seed-$number-${starts++}",
+                compactForms,
             )
             due = LongArray(8)
         }
@@ -96,7 +102,7 @@
         private fun settings() = Settings(
             name, zone, local(1), local(2),
             (0..2).filter { it != number }.map { Member(NodeId("node-$it"), zones[it % 2], local(2)) },
-            local(3), local(4), teams, 20.0, REPORT_MS / 1000.0, LEASE_MS / 1000.0, CANCEL_MS / 1000.0, StateLimits(80.0, 30.0, 2.0, 8), 5.0, 3.0, 100,
+            local(3), local(4), teams, 20.0, REPORT_MS / 1000.0, LEASE_MS / 1000.0, CANCEL_MS / 1000.0, limits.known, 5.0, 3.0, 100,
         )
 
         private fun local(port: Int) = InetSocketAddress("127.0.0.1", port)
--- /dev/null
+++ b/src/test/kotlin/mountmast/storage/RateShareTest.kt
@@ -0,0 +1,55 @@
+package mountmast.storage
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class RateShareTest {
+    private var nowNanos = 0L
+    private val share = RateShare(12.0) { nowNanos }
+
+    private fun pass(ms: Long) {
+        nowNanos += ms * 1_000_000
+    }
+
+    @Test
+    fun `a second's worth may be taken at once, then as much as the rate gives`() {
+        assertEquals(0L, share.take(12, 0))
+        assertNull(share.take(1, 0))
+        assertEquals(84L, share.take(1, 300))
+        pass(84)
+        assertNull(share.take(1, 0))
+        pass(84)
+        assertEquals(0L, share.take(1, 0))
+    }
+
+    @Test
+    fun `work in the background leaves a reserve for users`() {
+        assertFalse(share.room().isShort)
+        assertEquals(9, share.room().spare)
+        assertEquals(0L, share.take(9, 0))
+        assertEquals(WriteRoom(0, isShort = true), share.room())
+        assertEquals(0L, share.take(3, 0))
+        pass(500)
+        assertEquals(3, share.room().spare)
+    }
+
+    @Test
+    fun `what was refused takes nothing, and more than a second's worth is possible`() {
+        assertEquals(0L, share.take(20, 0))
+        assertNull(share.take(1, 300))
+        pass(2000)
+        assertTrue(share.room().spare > 0)
+    }
+
+    @Test
+    fun `a change of the rate keeps what is left`() {
+        share.take(12, 0)
+        share.setRate(24.0)
+        assertEquals(0, share.room().spare)
+        pass(1000)
+        assertEquals(18, share.room().spare)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/mountmast/storage/TextCodecTest.kt
@@ -0,0 +1,101 @@
+package mountmast.storage
+
+import kotlinx.serialization.encodeToString
+import mountmast.protocol.WireJson
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertThrows
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.io.ByteArrayOutputStream
+import java.util.Base64
+import java.util.zip.Deflater
+import java.util.zip.DeflaterOutputStream
+import kotlin.random.Random
+
+class TextCodecTest {
+    private val random = Random(17)
+
+    private fun starts(count: Int) = buildString {
+        repeat(count) { append("+j-${100_000 + it / 40}/${it % 40} vm-${random.nextInt(600)} 1 ${3_145_728 + it} rz-ost;") }
+    }
+
+    private fun sizeOf(piece: PackedText) =
+        WireJson.encodeToString(JournalRecord(Long.MAX_VALUE, piece.plain, piece.compressed)).encodeToByteArray().size
+
+    private fun read(pieces: List<PackedText>) = pieces.joinToString("") { TextCodec.read(it.plain, it.compressed) }
+
+    @Test
+    fun `texts of all sizes are split at entries, fit with their JSON and are read again`() {
+        for (limit in listOf(512, 1000, 1945, 2048, 8192, 16_384)) {
+            for (count in listOf(0, 1, 2, 7, 30, 100, 5000)) {
+                for (compact in listOf(false, true)) {
+                    val text = starts(count)
+                    val pieces = TextCodec.pack(text, limit, compact)
+                    assertEquals(text, read(pieces))
+                    assertEquals(count, pieces.sumOf { it.entries })
+                    assertTrue(pieces.all { sizeOf(it) <= limit }, "limit $limit, $count entries, compact $compact")
+                    assertTrue(pieces.all { TextCodec.read(it.plain, it.compressed).endsWith(";") })
+                }
+            }
+        }
+    }
+
+    @Test
+    fun `random and odd texts fit too, and the old form is written where the compact one is not agreed on`() {
+        repeat(300) {
+            val text = buildString {
+                repeat(random.nextInt(1, 60)) {
+                    repeat(random.nextInt(1, 100)) { append(ODD.random(random)) }
+                    append(';')
+                }
+            }
+            for (compact in listOf(false, true)) {
+                val pieces = TextCodec.pack(text, 1024, compact)
+                assertEquals(text, read(pieces))
+                assertTrue(pieces.all { sizeOf(it) <= 1024 })
+                assertTrue(compact || pieces.all { it.compressed == null })
+            }
+        }
+    }
+
+    @Test
+    fun `the compact form of a full fleet takes less than half of the values`() {
+        val text = starts(5000)
+        val plain = TextCodec.pack(text, 1945, compact = false).size
+        val compact = TextCodec.pack(text, 1945, compact = true).size
+        assertTrue(compact * 2 < plain, "$compact instead of $plain")
+    }
+
+    @Test
+    fun `an entry larger than a value stands alone`() {
+        val long = "x".repeat(2000) + ";"
+        val pieces = TextCodec.pack("a;" + long + "b;", 600, compact = false)
+        assertEquals(listOf("a;", long, "b;"), pieces.map { it.plain })
+        assertEquals("a;" + long + "b;", read(TextCodec.pack("a;" + long + "b;", 600, compact = true)))
+    }
+
+    @Test
+    fun `a corrupted text is refused, and one that would fill the memory is read no further`() {
+        val packed = TextCodec.pack(starts(2000), 8192, compact = true).first().compressed!!
+        assertThrows(UnreadableText::class.java) { TextCodec.read("", packed.take(packed.length / 2)) }
+        assertThrows(UnreadableText::class.java) { TextCodec.read("", "not Base64!") }
+        assertThrows(UnreadableText::class.java) { TextCodec.read("", "") }
+        val out = ByteArrayOutputStream()
+        DeflaterOutputStream(out, Deflater(9, true)).use { it.write(ByteArray(50_000_000)) }
+        val bomb = Base64.getEncoder().encodeToString(out.toByteArray())
+        val refused = assertThrows(UnreadableText::class.java) { TextCodec.read("", bomb) }
+        assertTrue("longer" in refused.message!!)
+        repeat(500) {
+            val broken = packed.toCharArray().also { it[random.nextInt(it.size)] = 'A' }.concatToString()
+            try {
+                assertTrue(TextCodec.read("", broken).length <= TextCodec.MOST_READ_BYTES)
+            } catch (e: UnreadableText) {
+                assertTrue(e.message!!.isNotEmpty())
+            }
+        }
+    }
+
+    private companion object {
+        const val ODD = "abc \"\\/\n\t<äß€漢0123456789"
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/mountmast/storage/TypesFormTest.kt
@@ -0,0 +1,61 @@
+package mountmast.storage
+
+import kotlinx.serialization.json.decodeFromJsonElement
+import mountmast.protocol.MachineType
+import mountmast.protocol.MachineTypes
+import mountmast.protocol.StateLimits
+import mountmast.protocol.TypeId
+import mountmast.protocol.WireJson
+import mountmast.protocol.Zone
+import mountmast.standin.FallingLimits
+import mountmast.standin.StandInStore
+import mountmast.standin.Trouble
+import mountmast.standin.VirtualTime
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import kotlin.random.Random
+
+class TypesFormTest {
+    private val time = VirtualTime()
+    private val limits = FallingLimits(StateLimits(100.0, 100.0, 1.0, 64))
+    private val store = StandInStore(time, limits = limits).View(Random(1), Trouble(time))
+
+    private fun types(count: Int) = MachineTypes(
+        List(count) { MachineType(TypeId("type-$it"), 32.0, 0.0, 256.0, 50.0, 0.3, 2.28, 0.82, 50.0, listOf(Zone("rz-ost"), Zone("rz-linz"))) },
+    )
+
+    private fun write(writes: List<Write>) = store.commit(Transaction(emptyList(), writes))
+
+    @Test
+    fun `few types stay in one value that the first versions read`() {
+        val written = TypesForm.writes(types(3), 1024)
+        assertEquals(listOf("types"), written.map { it.key })
+        assertEquals(types(3), WireJson.decodeFromJsonElement<MachineTypes>(written.single().value))
+        write(written)
+        assertEquals(types(3), TypesForm.read(store))
+    }
+
+    @Test
+    fun `many types are kept in parts that fit, and are read whole`() {
+        val written = TypesForm.writes(types(40), 1024)
+        assertTrue(written.size > 5)
+        assertEquals("types", written.last().key)
+        assertTrue(written.all { jsonSize(it.value) <= 1024 })
+        write(written)
+        assertEquals(types(40), TypesForm.read(store))
+    }
+
+    @Test
+    fun `parts that are just being changed are not taken for types`() {
+        write(TypesForm.writes(types(40), 1024))
+        write(TypesForm.writes(MachineTypes(types(80).types.drop(20)), 1024).take(2))
+        assertNull(TypesForm.read(store))
+        write(TypesForm.writes(MachineTypes(types(80).types.drop(20)), 1024))
+        assertEquals(60, TypesForm.read(store)?.types?.size)
+    }
+
+    @Test
+    fun `no types are none`() = assertNull(TypesForm.read(store))
+}
