--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -3,6 +3,9 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoNumber
 
+// The proto numbers of all messages here are the contract between versions, as nodes of two versions talk to each other
+// during an upgrade: fields are only added, optional, and no number is ever used again for something else.
+
 /** What controller nodes tell one another about once a second. */
 @Serializable
 data class PeerHello(
--- a/src/main/kotlin/mountmast/protocol/Wire.kt
+++ b/src/main/kotlin/mountmast/protocol/Wire.kt
@@ -40,7 +40,7 @@
     BEST_EFFORT,
 }
 
-/** A job as its user submitted it. */
+/** A job as its user submitted it. It is stored in this form, so its serial names are also the contract between versions. */
 @Serializable
 data class JobSpec(
     @SerialName("nameId") val id: JobId,
@@ -71,7 +71,7 @@
     val perZoneLimit: Int get() = if (spread) (tasks + 1) / 2 else tasks
 }
 
-/** State of a job as users see it. */
+/** State of a job as users see it; its serial names are stored, and so the contract between versions. */
 @Serializable
 enum class JobStatus {
     @SerialName("pending")
@@ -214,7 +214,7 @@
     @SerialName("orders") val orders: List<Order>,
 )
 
-/** A machine type with the current prices. */
+/** A machine type with the current prices. It is stored in this form, so its serial names are the contract between versions. */
 @Serializable
 data class MachineType(
     @SerialName("sku") val id: TypeId,
@@ -231,7 +231,7 @@
     val capacity: Resources get() = Resources(cpus, gpus, memoryGb)
 }
 
-/** The machine types on offer. */
+/** The machine types on offer; stored in this form, see [MachineType]. */
 @Serializable
 data class MachineTypes(@SerialName("hulls") val types: List<MachineType>)
 
--- a/src/main/kotlin/mountmast/storage/JournalText.kt
+++ b/src/main/kotlin/mountmast/storage/JournalText.kt
@@ -8,7 +8,7 @@
 import mountmast.protocol.Zone
 import java.util.BitSet
 
-/** How a task came off its machine. */
+/** How a task came off its machine. The marks are the contract between versions, see [JournalText]. */
 enum class TaskEnd(val mark: Char) {
     /** It completed. */
     DONE('!'),
@@ -32,25 +32,29 @@
 /**
  * Changes of what tasks are where, as text: one record holds hundreds of them, since the state service counts writes,
  * not bytes. Entries end with a semicolon; names of machines and zones never hold one (see [MachineId]).
+ *
+ * The marks, the separators and the order of an entry's fields are the contract between versions: a version skips entries
+ * with a mark that it does not know, and would lose what they say.
  */
 class JournalText {
     private val text = StringBuilder()
     val length: Int get() = text.length
 
-    fun done(job: JobId, ranges: String) = entry('=').append(job.text).append(' ').append(ranges).append(';').done()
+    fun done(job: JobId, ranges: String) = entry(DONE).append(job.text).append(FIELD_END).append(ranges).append(ENTRY_END).done()
 
-    fun evictedBefore(task: String, times: Int) = entry('%').append(task).append(' ').append(times).append(';').done()
+    fun evictedBefore(task: String, times: Int) =
+        entry(EVICTED_BEFORE).append(task).append(FIELD_END).append(times).append(ENTRY_END).done()
 
     fun started(task: String, machine: MachineId, session: Session, attempt: Attempt, zone: Zone) =
-        entry('+').append(task).append(' ').append(machine.text).append(' ').append(session.number.toString()).append(' ')
-            .append(attempt.number.toString()).append(' ').append(zone.text).append(';').done()
+        entry(STARTED).append(task).append(FIELD_END).append(machine.text).append(FIELD_END).append(session.number.toString())
+            .append(FIELD_END).append(attempt.number.toString()).append(FIELD_END).append(zone.text).append(ENTRY_END).done()
 
-    fun ended(task: String, end: TaskEnd) = entry(end.mark).append(task).append(';').done()
+    fun ended(task: String, end: TaskEnd) = entry(end.mark).append(task).append(ENTRY_END).done()
 
     fun reserved(machine: MachineId, job: JobId, victims: List<String>) {
-        entry('x').append(machine.text).append(' ').append(job.text)
-        victims.forEach { text.append(' ').append(it) }
-        text.append(';')
+        entry(RESERVED).append(machine.text).append(FIELD_END).append(job.text)
+        victims.forEach { text.append(FIELD_END).append(it) }
+        text.append(ENTRY_END)
     }
 
     private fun entry(mark: Char) = text.append(mark)
@@ -61,12 +65,20 @@
     fun take(): String = text.toString().also { text.setLength(0) }
 
     companion object {
+        private const val DONE = '='
+        private const val EVICTED_BEFORE = '%'
+        private const val STARTED = '+'
+        private const val RESERVED = 'x'
+        private const val FIELD_END = ' '
+        private const val ENTRY_END = ';'
+        private const val STARTED_FIELDS = 5
+
         /** Tells [reader] what [text] holds; returns how many entries could not be read. */
         fun read(text: String, reader: JournalReader): Int {
             var unreadable = 0
             var from = 0
             while (from < text.length) {
-                val to = text.indexOf(';', from).let { if (it < 0) text.length else it }
+                val to = text.indexOf(ENTRY_END, from).let { if (it < 0) text.length else it }
                 if (to > from && !readEntry(text[from], text.substring(from + 1, to), reader)) unreadable++
                 from = to + 1
             }
@@ -79,17 +91,17 @@
                 reader.ended(TaskId.parse(entry) ?: return false, end)
                 return true
             }
-            val fields = entry.split(' ', limit = if (mark == '+') STARTED_FIELDS else 0)
+            val fields = entry.split(FIELD_END, limit = if (mark == STARTED) STARTED_FIELDS else 0)
             if (fields.size < 2) return false
             when (mark) {
-                '=' -> reader.done(JobId.parse(fields[0]) ?: return false, fields[1])
-                '%' -> reader.evictedBefore(TaskId.parse(fields[0]) ?: return false, fields[1].toIntOrNull() ?: return false)
-                'x' -> reader.reserved(
+                DONE -> reader.done(JobId.parse(fields[0]) ?: return false, fields[1])
+                EVICTED_BEFORE -> reader.evictedBefore(TaskId.parse(fields[0]) ?: return false, fields[1].toIntOrNull() ?: return false)
+                RESERVED -> reader.reserved(
                     MachineId(fields[0]),
                     JobId.parse(fields[1]) ?: return false,
                     fields.drop(2).mapNotNull(TaskId::parse),
                 )
-                '+' -> {
+                STARTED -> {
                     if (fields.size != STARTED_FIELDS) return false
                     reader.started(
                         TaskId.parse(fields[0]) ?: return false,
@@ -103,12 +115,10 @@
             }
             return true
         }
-
-        private const val STARTED_FIELDS = 5
     }
 }
 
-/** Sets of task numbers written as ranges: `0-4,7`. */
+/** Sets of task numbers written as ranges: `0-4,7`. The form is the contract between versions, as it is in the journal. */
 object Ranges {
     /** Ranges of [set], in texts of at most about [mostLength] characters. */
     fun encode(set: BitSet, mostLength: Int): List<String> {
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -11,7 +11,10 @@
 import mountmast.protocol.Term
 import mountmast.protocol.WallTime
 
-/** Names of the keys in the state service. */
+/**
+ * Names of the keys in the state service. They are the contract between versions: processes of two versions work on the
+ * same keys during an upgrade, so keys are added, but never renamed or used for something else.
+ */
 object Keys {
     const val LEADER = "lead"
     const val TERM = "term"
@@ -23,22 +26,26 @@
     const val SNAPSHOT_PARTS = "s/"
     const val PROGRESS = "p/"
     const val WATERMARK = "watermark"
+    private const val OVER = "f/"
+    private const val SLOT_DIGITS = 3
+    private const val PART_DIGITS = 5
+    private const val KEPT_GENERATIONS = 2
 
     /** A job that is not over, or whose tasks are not all gone. Compared by whoever ends or cancels it. */
     fun job(id: JobId) = JOBS + id.text
 
     /** The final state of a job that is over; written in the transaction that deletes [job]. */
-    fun over(id: JobId) = "f/${id.text}"
+    fun over(id: JobId) = OVER + id.text
 
     /** A slot of the journal; slots are used again in turn. */
-    fun journalSlot(slot: Int) = JOURNAL + slot.toString().padStart(3, '0')
+    fun journalSlot(slot: Int) = JOURNAL + slot.toString().padStart(SLOT_DIGITS, '0')
 
     fun slotOfKey(key: String): Int? = key.removePrefix(JOURNAL).toIntOrNull()
 
     /** A part of the snapshot of [generation]: two generations are kept apart, so that one is always whole. */
-    fun snapshotPart(generation: Long, part: Int) = "${snapshotParts(generation)}${part.toString().padStart(5, '0')}"
+    fun snapshotPart(generation: Long, part: Int) = "${snapshotParts(generation)}${part.toString().padStart(PART_DIGITS, '0')}"
 
-    fun snapshotParts(generation: Long) = "$SNAPSHOT_PARTS${generation % 2}/"
+    fun snapshotParts(generation: Long) = "$SNAPSHOT_PARTS${generation % KEPT_GENERATIONS}/"
 
     /** One part of what users are told of running jobs. */
     fun progress(part: Int) = PROGRESS + part
@@ -46,17 +53,20 @@
     fun jobOfKey(key: String): JobId? = JobId.parse(key.removePrefix(JOBS))
 }
 
+// The serial names of all records below are the contract between versions. Fields are only added, optional, and never
+// renamed or reused; an added one is lost where an older version reads a record and writes it back.
+
 /** Who leads. Attached to the leader's hold, so it vanishes when the leader does. */
 @Serializable
 data class LeaderRecord(
-    val node: NodeId,
+    @SerialName("node") val node: NodeId,
     /** Drawn at each start of the process: a restarted node is another holder. */
-    val run: String,
-    val term: Term,
+    @SerialName("run") val run: String,
+    @SerialName("term") val term: Term,
     /** When its election began, for those who help it at first. */
-    val since: WallTime = WallTime(0),
+    @SerialName("since") val since: WallTime = WallTime(0),
     /** The watermark of cancellations as it was found at the election. */
-    val watermark: WallTime = WallTime(0),
+    @SerialName("watermark") val watermark: WallTime = WallTime(0),
 )
 
 /**
@@ -68,7 +78,7 @@
 
 /** The highest term ever taken; never deleted. */
 @Serializable
-data class TermRecord(val term: Term)
+data class TermRecord(@SerialName("term") val term: Term)
 
 /** A job that is not over yet. */
 @Serializable
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -32,7 +32,7 @@
 private const val JOBS = "/v1/jobs"
 private const val CANCEL = "/cancel"
 
-/** Names of the routes between controller nodes. */
+/** Names of the routes between controller nodes; they are the contract between versions. */
 object PeerPaths {
     const val HELLO = "/peer/hello"
     const val RELAY = "/peer/relay"
