--- a/src/main/kotlin/mountmast/coordination/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/Controller.kt
@@ -15,6 +15,7 @@
 import mountmast.protocol.Term
 import mountmast.protocol.Verb
 import mountmast.protocol.WorkerReport
+import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.StateStore
 import mountmast.storage.StoreTrouble
 import mountmast.transport.BeatOutcome
@@ -53,6 +54,9 @@
     private val notices = CancellationNotices(settings.members.map { it.node }, clock, timing.noticesMs)
     private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, settings.txnOps * CONDITIONS_PER_OP)
 
+    /** Whether every node of the deployment reads the current forms. */
+    val formats = FormatAgreement(store, settings.members.map { it.node })
+
     /** What users may ask of this node. */
     val users: UserService get() = desk
 
@@ -97,6 +101,7 @@
         } catch (e: StoreTrouble) {
             log.debug("machine types: {}", e.message)
         }
+        formats.step()
     }
 
     /** A leader that renews but learns of no cancellation may soon answer no worker any more; an outage is no such case. */
@@ -254,6 +259,7 @@
 
     private fun note(hello: PeerHello) {
         hellos[NodeId(hello.node)] = hello to clock.now().ms
+        formats.heard(NodeId(hello.node), hello.formatVersion)
         leadership.heard(Term(hello.term.toULong()))
         val cancelled = hello.cancelled.mapNotNull(JobId::parse)
         if (cancelled.isEmpty()) return
@@ -266,6 +272,7 @@
         leadership.highestTerm().number.toLong(),
         canServe(),
         leadership.mandate() != null,
+        formatVersion = FORMAT_VERSION,
     )
 
     private fun freshHellos() = hellos.values.filter { (_, at) -> clock.now().ms - at < HELLO_FRESH_MS }.map { it.first }
--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -18,6 +18,8 @@
     @ProtoNumber(4) val leads: Boolean,
     /** Jobs whose cancellation the sender committed, as long as the receiver has not answered a greeting with them. */
     @ProtoNumber(5) val cancelled: List<String> = emptyList(),
+    /** Version of the stored and sent forms that this node reads; 0 from nodes that know of no versions. */
+    @ProtoNumber(6) val formatVersion: Int = 0,
 )
 
 /** A user's request that the sender cannot serve itself. */
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -26,6 +26,7 @@
     const val SNAPSHOT_PARTS = "s/"
     const val PROGRESS = "p/"
     const val WATERMARK = "watermark"
+    const val FORMAT = "format"
     private const val OVER = "f/"
     private const val SLOT_DIGITS = 3
     private const val PART_DIGITS = 5
@@ -111,3 +112,13 @@
 /** How far running jobs have come, for users: `JOB DONE RUNNING;...`. */
 @Serializable
 data class ProgressRecord(@SerialName("t") val text: String)
+
+/**
+ * Version of the stored and sent forms that this code reads and writes. It rises when a form is added that the version
+ * before cannot read. 1: before there was a number; nodes of that version tell none.
+ */
+const val FORMAT_VERSION = 2
+
+/** Every node of the deployment reads the forms of [version]; written once that is known, and never lowered. */
+@Serializable
+data class FormatRecord(@SerialName("v") val version: Int)
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -10,6 +10,7 @@
 import mountmast.storage.EntryPage
 import mountmast.storage.FollowOutcome
 import mountmast.storage.HoldEnded
+import mountmast.storage.Keys
 import mountmast.storage.StateStore
 import mountmast.storage.StoreRefused
 import mountmast.storage.StoreSilent
@@ -89,14 +90,17 @@
         return CommitOutcome.Committed(Revision(revision.toULong()))
     }
 
-    /** The store as one node reaches it. */
-    inner class View(private val random: Random, private val trouble: Trouble) : StateStore {
+    /**
+     * The store as one node reaches it. Transactions on the agreement on forms draw from [formatRandom], so that they leave
+     * the days that seeds stand for as they were.
+     */
+    inner class View(private val random: Random, private val trouble: Trouble, private val formatRandom: Random = random) : StateStore {
         override var reachable = true
             private set
 
         override fun shareAs(leader: Boolean) = Unit
 
-        private fun <T> ask(silentAllowed: Boolean = true, act: () -> T): T {
+        private fun <T> ask(silentAllowed: Boolean = true, random: Random = this.random, act: () -> T): T {
             trouble.mayStrike(random)
             requests++
             if (out || trouble.refusedByStore()) {
@@ -140,12 +144,15 @@
             )
         }
 
-        override fun commit(transaction: Transaction): CommitOutcome = ask {
-            if (trouble.writesLate(random)) {
-                world.later(random.nextLong(2000, 12_000)) { if (!out) runCatching { this@StandInStore.commit(transaction) } }
-                throw StoreSilent("carried out later")
+        override fun commit(transaction: Transaction): CommitOutcome {
+            val random = if (transaction.writes.any { it.key == Keys.FORMAT }) formatRandom else random
+            return ask(random = random) {
+                if (trouble.writesLate(random)) {
+                    world.later(random.nextLong(2000, 12_000)) { if (!out) runCatching { this@StandInStore.commit(transaction) } }
+                    throw StoreSilent("carried out later")
+                }
+                this@StandInStore.commit(transaction)
             }
-            this@StandInStore.commit(transaction)
         }
 
         override fun grantHold(ttlMs: Long): HoldId = ask {
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/World.kt
@@ -86,7 +86,7 @@
             started.standStill = { ms -> standStill(started, ms) }
             val drift = if (number == 0) 0.0005 else 0.0
             controller = Controller(
-                settings(), Policy(), FleetPolicy(idleReturnMs = 8000), store.View(random, trouble), cloud.View(trouble),
+                settings(), Policy(), FleetPolicy(idleReturnMs = 8000), store.View(random, trouble, Random(seed)), cloud.View(trouble),
                 WorkerLine(trouble), PeerLine(trouble, zone), time.clock(drift, random.nextLong(-20, 20)), "$seed-$number-${starts++}",
             )
             due = LongArray(8)
