--- a/src/main/kotlin/mountmast/coordination/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/Controller.kt
@@ -15,6 +15,7 @@
 import mountmast.protocol.Term
 import mountmast.protocol.Verb
 import mountmast.protocol.WorkerReport
+import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.StateStore
 import mountmast.storage.StoreTrouble
 import mountmast.transport.BeatOutcome
@@ -46,8 +47,6 @@
     private val clock: Clock,
     /** Drawn at each start, so that no two processes are ever taken for one another. */
     private val run: String,
-    /** Whether every node reads the compact forms of stored texts. */
-    private val compactForms: () -> Boolean = { false },
 ) : BeatService,
     PeerService {
     private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.reportS)
@@ -55,6 +54,9 @@
     private val notices = CancellationNotices(settings.members.map { it.node }, clock, timing.noticesMs)
     private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, settings.stateLimits.transactionConditions)
 
+    /** Whether every node of the deployment reads the current forms. */
+    val formats = FormatAgreement(store, settings.members.map { it.node })
+
     /** What users may ask of this node. */
     val users: UserService get() = desk
 
@@ -99,6 +101,7 @@
         } catch (e: StoreTrouble) {
             log.debug("machine types: {}", e.message)
         }
+        formats.step()
     }
 
     /** A leader that renews but learns of no cancellation may soon answer no worker any more; an outage is no such case. */
@@ -142,7 +145,7 @@
         if (current?.reign?.mandate === mandate) return
         store.shareAs(leader = true)
         val reign = Reign(mandate, store, workers, settings.teams, policy, timing, clock) { it in notices }
-        val writer = LedgerWriter(reign, store, settings.stateLimits, clock, compactForms) { leadership.lost() }
+        val writer = LedgerWriter(reign, store, settings.stateLimits, clock, { formats.isCurrent }) { leadership.lost() }
         val fleet = Fleet(reign, cloud, clock, "${settings.node}-$run-${mandate.term}", fleetPolicy, timing)
         office.set(Office(reign, writer, fleet))
     }
@@ -256,6 +259,7 @@
 
     private fun note(hello: PeerHello) {
         hellos[NodeId(hello.node)] = hello to clock.now().ms
+        formats.heard(NodeId(hello.node), hello.formatVersion)
         leadership.heard(Term(hello.term.toULong()))
         val cancelled = hello.cancelled.mapNotNull(JobId::parse)
         if (cancelled.isEmpty()) return
@@ -268,6 +272,7 @@
         leadership.highestTerm().number.toLong(),
         canServe(),
         leadership.mandate() != null,
+        formatVersion = FORMAT_VERSION,
     )
 
     private fun freshHellos() = hellos.values.filter { (_, at) -> clock.now().ms - at < HELLO_FRESH_MS }.map { it.first }
--- a/src/test/kotlin/mountmast/coordination/FallingLimitsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/FallingLimitsTest.kt
@@ -22,7 +22,7 @@
         quietNetwork = quiet,
         perOffer = perOffer,
         limits = FallingLimits(BEFORE, AFTER, fallsAtMs, isAnnounced),
-        compactForms = { compact },
+        agreesOnForms = compact,
     )
 
     private fun finish(world: World) {
@@ -79,7 +79,7 @@
     fun `the smallest transactions and values suffice`() {
         val least = FallingLimits(StateLimits(80.0, 16.0, 1.0, 2), enforcesRates = true)
         for (compact in listOf(false, true)) {
-            val world = World(190, quietNetwork = true, limits = least, compactForms = { compact })
+            val world = World(190, quietNetwork = true, limits = least, agreesOnForms = compact)
             world.run(40_000, busy = true)
             finish(world)
             assertEquals(0, world.store.tooLarge)
--- a/src/test/kotlin/mountmast/coordination/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/WriteBudgetTest.kt
@@ -23,7 +23,7 @@
             quietNetwork = true,
             perOffer = machines / OFFERS,
             limits = FallingLimits(LIMITS, enforcesRates = true),
-            compactForms = { compact },
+            agreesOnForms = compact,
         )
         private var submitted = 0
         private var refused = 0
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/World.kt
@@ -46,7 +46,8 @@
     private val quietNetwork: Boolean = false,
     perOffer: Int = 4,
     private val limits: FallingLimits = FallingLimits(),
-    private val compactForms: () -> Boolean = { false },
+    /** Whether the nodes learn that all of them read the current forms. */
+    private val agreesOnForms: Boolean = true,
 ) {
     val random = Random(seed)
     val time = VirtualTime()
@@ -92,9 +93,8 @@
             started.standStill = { ms -> standStill(started, ms) }
             val drift = if (number == 0) 0.0005 else 0.0
             controller = Controller(
-                settings(), Policy(), FleetPolicy(idleReturnMs = 8000), store.View(random, trouble), cloud.View(trouble),
+                settings(), Policy(), FleetPolicy(idleReturnMs = 8000), store.View(random, trouble, Random(seed)), cloud.View(trouble),
                 WorkerLine(trouble), PeerLine(trouble, zone), time.clock(drift, random.nextLong(-20, 20)), "$seed-$number-${starts++}",
-                compactForms,
             )
             due = LongArray(8)
         }
@@ -226,7 +226,10 @@
                     !it.trouble.cutFromPeers()
             }?.controller
 
-        override fun hello(to: Member, hello: PeerHello): PeerHello? = reach(to)?.hello(hello)
+        override fun hello(to: Member, hello: PeerHello): PeerHello? = reach(to)?.hello(versionOf(hello))?.let(::versionOf)
+
+        private fun versionOf(hello: PeerHello) = if (agreesOnForms) hello else hello.copy(formatVersion = 0)
+
         override fun relay(to: Member, request: RelayRequest): RelayAnswer? {
             val users = reach(to)?.users ?: return null
             val id = request.path.removePrefix("/v1/jobs/").removeSuffix("/cancel")
