--- a/src/main/kotlin/mountmast/coordination/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/Controller.kt
@@ -15,6 +15,7 @@
 import mountmast.protocol.Term
 import mountmast.protocol.Verb
 import mountmast.protocol.WorkerReport
+import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
 import mountmast.storage.StoreTrouble
@@ -52,8 +53,11 @@
     private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.reportS)
     private val leadership = Leadership(store, settings.node, run, timing, clock)
     private val notices = CancellationNotices(settings.members.map { it.node }, clock, timing.noticesMs)
-    private val limits = WriteLimits(settings.valueKb, settings.txnOps)
-    private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, limits) { true }
+
+    /** Whether every node of the deployment reads the current forms. */
+    val formats = FormatAgreement(store, settings.members.map { it.node })
+    private val prerequisiteLists = PrerequisiteLists(store, settings.stateLimits)
+    private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, settings.stateLimits, { formats.isCurrent })
 
     /** What users may ask of this node. */
     val users: UserService get() = desk
@@ -99,6 +103,7 @@
         } catch (e: StoreTrouble) {
             log.debug("machine types: {}", e.message)
         }
+        formats.step()
     }
 
     /** A leader that renews but learns of no cancellation may soon answer no worker any more; an outage is no such case. */
@@ -141,9 +146,9 @@
         }
         if (current?.reign?.mandate === mandate) return
         store.shareAs(leader = true)
-        val lists = PrerequisiteLists(store, limits.textPerValue, limits.txnOps)
-        val reign = Reign(mandate, store, workers, settings.teams, policy, timing, clock, { it in notices }, lists)
-        val writer = LedgerWriter(reign, store, limits, clock) { leadership.lost() }
+        val reign =
+            Reign(mandate, store, workers, settings.teams, policy, timing, clock, { it in notices }, prerequisiteLists)
+        val writer = LedgerWriter(reign, store, settings.stateLimits, clock, { formats.isCurrent }) { leadership.lost() }
         val fleet = Fleet(reign, cloud, clock, "${settings.node}-$run-${mandate.term}", fleetPolicy, timing)
         office.set(Office(reign, writer, fleet))
     }
@@ -268,6 +273,7 @@
 
     private fun note(hello: PeerHello) {
         hellos[NodeId(hello.node)] = hello to clock.now().ms
+        formats.heard(NodeId(hello.node), hello.formatVersion)
         leadership.heard(Term(hello.term.toULong()))
         val cancelled = hello.cancelled.mapNotNull(JobId::parse)
         if (cancelled.isEmpty()) return
@@ -280,6 +286,7 @@
         leadership.highestTerm().number.toLong(),
         canServe(),
         leadership.mandate() != null,
+        formatVersion = FORMAT_VERSION,
     )
 
     private fun freshHellos() = hellos.values.filter { (_, at) -> clock.now().ms - at < HELLO_FRESH_MS }.map { it.first }
@@ -304,7 +311,6 @@
         const val CONFIRMED_MS = 2500L
         const val HELLO_FRESH_MS = 6000L
         const val TYPES_STEPS = 30
-
         const val MOST_UNINFORMED_STEPS = 8
         const val MOST_HELPED = 10_000
         const val LAG_WEIGHT = 0.03
--- a/src/main/kotlin/mountmast/coordination/JobDesk.kt
+++ b/src/main/kotlin/mountmast/coordination/JobDesk.kt
@@ -17,6 +17,7 @@
 import mountmast.protocol.Malformed
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.Stamp
+import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 import mountmast.protocol.WireJson
@@ -52,7 +53,7 @@
     /** A cancellation is in the store; its user is told after this. */
     private val onCancelled: (JobId) -> Unit,
     /** What the state service takes at once. */
-    limits: WriteLimits,
+    limits: StateLimits,
     /** Whether every node reads records that name prerequisites: an older one would start such a job too early. */
     private val acceptsPrerequisites: () -> Boolean,
 ) : UserService {
@@ -64,9 +65,9 @@
     private val over: Cache<JobId, OverRecord> = CacheBuilder.newBuilder().maximumSize(MOST_REMEMBERED).build()
 
     private val progress = ProgressBoard(store, clock)
-    private val reader = JobReader(store, limits.conditions)
-    private val lists = PrerequisiteLists(store, limits.textPerValue, limits.txnOps)
-    private val prerequisites = PrerequisiteEvaluator(store, reader, lists, over, limits.conditions)
+    private val reader = JobReader(store, limits.transactionConditions)
+    private val lists = PrerequisiteLists(store, limits)
+    private val prerequisites = PrerequisiteEvaluator(store, reader, lists, over, limits.transactionConditions)
 
     /** Reads the machine types that the leader has stored. */
     fun refreshTypes() {
--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -3,6 +3,9 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoNumber
 
+// The proto numbers of all messages here are the contract between versions, as nodes of two versions talk to each other
+// during an upgrade: fields are only added, optional, and no number is ever used again for something else.
+
 /** What controller nodes tell one another about once a second. */
 @Serializable
 data class PeerHello(
@@ -15,6 +18,8 @@
     @ProtoNumber(4) val leads: Boolean,
     /** Jobs whose cancellation the sender committed, as long as the receiver has not answered a greeting with them. */
     @ProtoNumber(5) val cancelled: List<String> = emptyList(),
+    /** Version of the stored and sent forms that this node reads; 0 from nodes that know of no versions. */
+    @ProtoNumber(6) val formatVersion: Int = 0,
 )
 
 /** A user's request that the sender cannot serve itself. */
--- a/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
+++ b/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
@@ -4,6 +4,7 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.JobId
 import mountmast.protocol.Stamp
+import mountmast.protocol.StateLimits
 import mountmast.protocol.WireJson
 import java.security.MessageDigest
 
@@ -12,12 +13,9 @@
  * job's record, which names them by a digest of the list: a job counts as accepted only when all parts are there, and
  * parts that a submission left behind before it failed are never taken for those of another list. Thread-safe.
  */
-class PrerequisiteLists(
-    private val store: StateStore,
-    /** Bytes of text that a value may hold. */
-    private val bytesPerValue: Int,
-    private val writesPerTransaction: Int,
-) {
+class PrerequisiteLists(private val store: StateStore, private val limits: StateLimits) {
+    private val bytesPerValue = (limits.valueKb * BYTES_PER_KB * FILLED_SHARE).toInt()
+
     /** The record to store for [record], all of whose prerequisites stand in its spec: the list moves out if it is long. */
     fun store(record: JobRecord): JobRecord {
         if (fits(record)) return record
@@ -25,7 +23,7 @@
         if (prerequisites.isEmpty()) return record
         val parts = prerequisites.chunked(idsPerValue())
         val reference = PrerequisiteListRef(digest(prerequisites), parts.size)
-        parts.indices.chunked(writesPerTransaction).forEach { numbers -> writeParts(record.spec.id, reference, numbers, parts) }
+        parts.indices.chunked(limits.transactionOps).forEach { numbers -> writeParts(record.spec.id, reference, numbers, parts) }
         return record.copy(spec = record.spec.copy(prerequisites = emptyList()), prerequisiteList = reference)
     }
 
@@ -70,6 +68,11 @@
     }
 
     private companion object {
+        const val BYTES_PER_KB = 1024
+
+        /** Some room is left, since the state service may write JSON at greater length. */
+        const val FILLED_SHARE = 0.95
+
         /** The longest id, in quotes and with a comma. */
         const val BYTES_PER_ID = 23
 
