--- a/src/main/kotlin/mountmast/coordination/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/Health.kt
@@ -1,7 +1,9 @@
 package mountmast.coordination
 
+import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
 import mountmast.protocol.Moment
+import mountmast.storage.FailingJob
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("mountmast.health")
@@ -15,8 +17,7 @@
         job.failedOn += machine.id
         job.failures++
         if (job.poisoned) {
-            val doublings = minOf(job.failures - Job.POISON_MACHINES, MOST_DOUBLINGS)
-            job.notBefore = now + (POISON_PAUSE_MS shl maxOf(0, doublings))
+            backOff(job, now)
             log.info("job {} failed on {} machines; next try in {} ms", job.id, job.failedOn.size, job.notBefore - now)
         } else if (job.doneCount > 0 || job.id !in machine.strikes) {
             // A machine is not blamed for a job that may fail everywhere: such a one counts once.
@@ -29,6 +30,35 @@
         }
     }
 
+    private fun backOff(job: Job, now: Moment) {
+        val doublings = minOf(job.failures - Job.POISON_MACHINES, MOST_DOUBLINGS)
+        job.notBefore = now + (POISON_PAUSE_MS shl maxOf(0, doublings))
+    }
+
+    /**
+     * The jobs that fail wherever they run, for the next leader: it would start all of their tasks again. Of [most] jobs at most,
+     * and only what recalling them needs, so that the record soon changes no more.
+     */
+    fun failing(most: Int): Map<JobId, FailingJob> {
+        val failing = LinkedHashMap<JobId, FailingJob>()
+        for (job in ledger.jobs.values) {
+            if (failing.size >= most) break
+            if (!job.poisoned || job.cancelled) continue
+            failing[job.id] = FailingJob(job.failedOn.take(MACHINES_NOTED), minOf(job.failures, Job.POISON_MACHINES + MOST_DOUBLINGS))
+        }
+        return failing
+    }
+
+    /** Goes on backing off what the leader before noted by [failing]. Called once the completed tasks are known. */
+    fun recall(failing: Map<JobId, FailingJob>, now: Moment) {
+        for ((id, noted) in failing) {
+            val job = ledger.jobs[id] ?: continue
+            job.failedOn += noted.machines
+            job.failures = maxOf(job.failures, noted.failures)
+            if (job.poisoned) backOff(job, now)
+        }
+    }
+
     /** What failed on a sick machine failed in bad company: its jobs are not held to fail everywhere. */
     private fun absolve(machine: Machine) {
         for (job in ledger.jobs.values) {
@@ -83,6 +113,7 @@
         const val FAILED_PAUSE_MS = 2000L
         const val POISON_PAUSE_MS = 5000L
         const val MOST_DOUBLINGS = 4
+        const val MACHINES_NOTED = 5
         const val SICK_STRIKES = 2
         const val RUNS_TO_COMPARE = 2
         const val SLOW_TIMES = 2.5
--- a/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
@@ -5,6 +5,7 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
 import mountmast.protocol.ImageId
+import mountmast.protocol.JobId
 import mountmast.protocol.JobStatus
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineTypes
@@ -14,6 +15,8 @@
 import mountmast.protocol.WireJson
 import mountmast.storage.CommitOutcome
 import mountmast.storage.Condition
+import mountmast.storage.FailingJob
+import mountmast.storage.FailingRecord
 import mountmast.storage.ImagesRecord
 import mountmast.storage.JobRecord
 import mountmast.storage.JournalRecord
@@ -68,6 +71,8 @@
     private var nextBucket = 0
     private val writtenImages = HashMap<Int, Map<MachineId, Map<ImageId, Double>>>()
     private var writtenWatermark: WallTime? = null
+    private var failingNotBefore = Moment(0)
+    private var writtenFailing: Map<JobId, FailingJob>? = null
     private var progressNotBefore = Moment(0)
     private val writtenProgress = ArrayList<String>()
 
@@ -133,6 +138,7 @@
         }
         addSnapshot(batch)
         addProgress(batch)
+        addFailing(batch)
         addImages(batch)
         return batch.takeIf { it.writes.isNotEmpty() }
     }
@@ -193,6 +199,8 @@
         progressNotBefore = Moment(0)
         watermarkNotBefore = Moment(0)
         writtenWatermark = null
+        failingNotBefore = Moment(0)
+        writtenFailing = null
     }
 
     private fun addOver(batch: Batch, job: Job) {
@@ -262,6 +270,17 @@
         progressNotBefore = now + PROGRESS_EVERY_MS
     }
 
+    /** Notes which jobs fail wherever they run: each new leader would start all of their tasks again, and evict others for them. */
+    private fun addFailing(batch: Batch) {
+        val now = clock.now()
+        if (now < failingNotBefore || batch.writes.size >= limits.txnOps) return
+        failingNotBefore = now + FAILING_EVERY_MS
+        val failing = ledger.health.failing(most = limits.textPerValue / FAILING_LENGTH)
+        if (failing == writtenFailing) return
+        writtenFailing = failing
+        put(batch, Keys.FAILING, WireJson.encodeToJsonElement(FailingRecord(failing)))
+    }
+
     /**
      * Notes now and then which images machines hold: reports do not say, and a new leader that does not know sends
      * urgent work to machines that must fetch first.
@@ -415,6 +434,10 @@
         private const val LONGEST_ENTRY = 400
         private const val WATERMARK_EVERY_MS = 2000L
         private const val PROGRESS_EVERY_MS = 1000L
+        private const val FAILING_EVERY_MS = 1000L
+
+        /** About what a job takes in the record of those that fail. */
+        private const val FAILING_LENGTH = 200
         private const val IMAGES_EVERY_MS = 1500L
         private const val IMAGE_BUCKETS = 8
         private const val NUMBER_LENGTH = 24
--- a/src/main/kotlin/mountmast/coordination/Reign.kt
+++ b/src/main/kotlin/mountmast/coordination/Reign.kt
@@ -18,6 +18,7 @@
 import mountmast.protocol.WorkerReport
 import mountmast.storage.Entry
 import mountmast.storage.FollowOutcome
+import mountmast.storage.FailingRecord
 import mountmast.storage.ImagesRecord
 import mountmast.storage.JobRecord
 import mountmast.storage.JournalRecord
@@ -104,12 +105,14 @@
         val snapshot = pointer?.let { decode<SnapshotRecord>(it.key, it.value) }
         val parts = if (snapshot == null) emptyList() else store.listAll(Keys.snapshotParts(snapshot.generation)).first
         val (slots, _) = store.listAll(Keys.JOURNAL)
+        val failing = store.get(Keys.FAILING)
         lock.withLock {
             val now = clock.now()
             types?.let { entry -> decode<MachineTypes>(entry.key, entry.value)?.let { setTypes(it) } }
             for (entry in jobs) decode<JobRecord>(entry.key, entry.value)?.let { takeIn(it, entry.stamp) }
             journal.snapshotStamp = pointer?.stamp ?: Stamp.ABSENT
             replay(snapshot, parts, slots, now)
+            failing?.let { entry -> decode<FailingRecord>(entry.key, entry.value)?.let { ledger.health.recall(it.jobs, now) } }
             followFrom = revision
             knownUpTo = asked
             knownUpToWall = askedWall
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -23,6 +23,7 @@
     const val SNAPSHOT_PARTS = "s/"
     const val PROGRESS = "p/"
     const val WATERMARK = "watermark"
+    const val FAILING = "failing"
 
     /** A job that is not over, or whose tasks are not all gone. Compared by whoever ends or cancels it. */
     fun job(id: JobId) = JOBS + id.text
@@ -86,6 +87,14 @@
 @Serializable
 data class ImagesRecord(@SerialName("m") val images: Map<MachineId, Map<ImageId, Double>>)
 
+/** Some of the [machines] on which a job failed, and how often it failed in all, up to a bound. */
+@Serializable
+data class FailingJob(@SerialName("m") val machines: List<MachineId>, @SerialName("n") val failures: Int)
+
+/** Jobs that fail wherever they run; a hint that nothing depends on. */
+@Serializable
+data class FailingRecord(@SerialName("j") val jobs: Map<JobId, FailingJob>)
+
 /** A record of the journal: what changed, in the form of [JournalText]. Records of one reign and the next are numbered on. */
 @Serializable
 data class JournalRecord(@SerialName("q") val number: Long, @SerialName("t") val text: String)
--- a/src/test/kotlin/mountmast/coordination/MeetingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/MeetingsTest.kt
@@ -180,6 +180,23 @@
         }
     }
 
+    @Test
+    fun `a job that fails on every machine is not started whole again by each new leader`() = meeting(jobs = 1) {
+        val doomed = world.longJob(70) { it.copy(tasks = 12, cpus = 1.0, memoryGb = 1.0) }
+        world.poisoned += doomed.id
+        world.accept(doomed)
+        world.run(40_000, busy = false)
+        assertTrue(world.rules.startsOf(doomed.id) >= 3, "it was not tried on three machines")
+        val starts = world.rules.startsOf(doomed.id)
+        repeat(3) {
+            world.seats.first { it.controller?.reign() != null }.crash(15_000)
+            world.run(20_000, busy = false)
+        }
+        val again = world.rules.startsOf(doomed.id) - starts
+        assertTrue(again <= 6, "$again starts within a minute and three leaders")
+        confirm(doomed.id, world.seats.first { it.controller != null })
+    }
+
     @Test
     fun `ten leaders in two minutes, inside an outage too`() = meeting(jobs = 3, { it.copy(estimateS = 30.0) }) {
         repeat(10) { number ->
