--- a/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
@@ -140,7 +140,13 @@
         val half = maxOf(OPS_PER_END, batch.room / 2)
         val forEnds = minOf(jobsOver * OPS_PER_END, half)
         // Where both do not fit they take turns.
-        val left = if (batch.room > forEnds) batch.room - forEnds else if (endsFirst) 0 else batch.room
+        val left = if (batch.room > forEnds) {
+            batch.room - forEnds
+        } else if (endsFirst) {
+            0
+        } else {
+            batch.room
+        }
         val forOthers = if (left >= LEAST_SHARED_OPS) 1 else 0
         journal.addTo(batch, limits, left - forOthers, isCompact, isShort)
     }
--- a/src/test/kotlin/mountmast/coordination/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/WriteBudgetTest.kt
@@ -75,7 +75,11 @@
             println("$name: ${perKind.entries.joinToString { "${it.key} %.2f".format(it.value) }}")
             println(
                 "$name: %.1f starts a second, %d refused submissions, leader %.2f of %.2f, 429: %d".format(
-                    started, refused - refusedBefore, ofLeader, share, world.store.overRate,
+                    started,
+                    refused - refusedBefore,
+                    ofLeader,
+                    share,
+                    world.store.overRate,
                 ),
             )
             println("$name: ${unwritten()} changes wait")
--- /dev/null
+++ b/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
@@ -0,0 +1,61 @@
+package mountmast.storage
+
+import com.sun.net.httpserver.HttpServer
+import kotlinx.serialization.json.JsonPrimitive
+import mountmast.protocol.HoldId
+import mountmast.protocol.StateLimits
+import org.junit.jupiter.api.AfterEach
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertThrows
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.net.InetSocketAddress
+
+class HttpStateStoreTest {
+    private var status = 200
+    private var answer = """{"ledger":7}"""
+    private val server = HttpServer.create(InetSocketAddress("127.0.0.1", 0), 0).apply {
+        createContext("/") { exchange ->
+            exchange.requestBody.readAllBytes()
+            val body = answer.encodeToByteArray()
+            exchange.sendResponseHeaders(status, body.size.toLong())
+            exchange.responseBody.use { it.write(body) }
+        }
+        start()
+    }
+
+    private fun store(writesPerSecond: Double) =
+        HttpStateStore(server.address, StateLimits(1000.0, writesPerSecond, 2.0, 5), nodes = 1).apply { shareAs(leader = true) }
+
+    private fun put(key: String, text: String, hold: HoldId? = null) = Write.Put(key, JsonPrimitive(text), hold)
+
+    @AfterEach
+    fun stop() = server.stop(0)
+
+    @Test
+    fun `a transaction that is larger than the service takes is told from one that was refused for a while`() {
+        val store = store(1000.0)
+        val transaction = Transaction(emptyList(), listOf(put("small", "x"), put("large", "x".repeat(3000)), Write.Delete("gone")))
+        status = 400
+        answer = """{"error":"too large"}"""
+        val rejected = assertThrows(StoreRejected::class.java) { store.commit(transaction) }
+        assertEquals("large", rejected.largestKey)
+        assertEquals(3002, rejected.largestBytes)
+        assertEquals(3, rejected.changes)
+        answer = """{"error":"no such lease"}"""
+        assertThrows(HoldEnded::class.java) { store.commit(Transaction(emptyList(), listOf(put("lead", "x", HoldId(3u))))) }
+        status = 429
+        assertThrows(StoreRefused::class.java) { store.commit(transaction) }
+    }
+
+    @Test
+    fun `a change beyond this node's share is answered at once, before anything is sent`() {
+        val store = store(4.0)
+        fun commit() = store.commit(Transaction(emptyList(), listOf(put("k", "x"))))
+        repeat(3) { commit() }
+        assertEquals(0, store.writeRoom().spare)
+        val began = System.nanoTime()
+        assertThrows(StoreRefused::class.java) { repeat(5) { commit() } }
+        assertTrue(System.nanoTime() - began < 2_000_000_000, "refused late")
+    }
+}
--- a/src/test/kotlin/mountmast/storage/TypesFormTest.kt
+++ b/src/test/kotlin/mountmast/storage/TypesFormTest.kt
@@ -23,7 +23,9 @@
     private val store = StandInStore(time, limits = limits).View(Random(1), Trouble(time))
 
     private fun types(count: Int) = MachineTypes(
-        List(count) { MachineType(TypeId("type-$it"), 32.0, 0.0, 256.0, 50.0, 0.3, 2.28, 0.82, 50.0, listOf(Zone("rz-ost"), Zone("rz-linz"))) },
+        List(count) {
+            MachineType(TypeId("type-$it"), 32.0, 0.0, 256.0, 50.0, 0.3, 2.28, 0.82, 50.0, listOf(Zone("rz-ost"), Zone("rz-linz")))
+        },
     )
 
     private fun write(writes: List<Write>) = store.commit(Transaction(emptyList(), writes))
