--- /dev/null
+++ b/src/test/kotlin/mountmast/standin/production/JournalText.kt
@@ -0,0 +1,142 @@
+package mountmast.standin.production
+
+import java.util.BitSet
+
+/*
+ * Frozen: copied from the version in production (`production` in deploy/service.toml), so that tests can show what its processes
+ * read of what later versions write. Not to be edited or renamed together with the classes of the main sources.
+ */
+
+/** How a task came off its machine. */
+enum class TaskEnd(val mark: Char) {
+    /** It completed. */
+    DONE('!'),
+
+    /** It has to run again. */
+    UNDONE('-'),
+
+    /** It has to run again, since it gave way to another. */
+    EVICTED('~'),
+}
+
+/** Takes in what a journal or snapshot says, entry by entry, in the order in which it happened. */
+interface JournalReader {
+    fun done(job: JobId, ranges: String)
+    fun evictedBefore(task: TaskId, times: Int)
+    fun started(task: TaskId, machine: MachineId, session: Session, attempt: Attempt, zone: Zone)
+    fun ended(task: TaskId, end: TaskEnd)
+    fun reserved(machine: MachineId, job: JobId, victims: List<TaskId>)
+}
+
+/**
+ * Changes of what tasks are where, as text: one record holds hundreds of them, since the state service counts writes,
+ * not bytes. Entries end with a semicolon; names of machines and zones never hold one (see [MachineId]).
+ */
+class JournalText {
+    private val text = StringBuilder()
+    val length: Int get() = text.length
+
+    fun done(job: JobId, ranges: String) = entry('=').append(job.text).append(' ').append(ranges).append(';').done()
+
+    fun evictedBefore(task: String, times: Int) = entry('%').append(task).append(' ').append(times).append(';').done()
+
+    fun started(task: String, machine: MachineId, session: Session, attempt: Attempt, zone: Zone) =
+        entry('+').append(task).append(' ').append(machine.text).append(' ').append(session.number.toString()).append(' ')
+            .append(attempt.number.toString()).append(' ').append(zone.text).append(';').done()
+
+    fun ended(task: String, end: TaskEnd) = entry(end.mark).append(task).append(';').done()
+
+    fun reserved(machine: MachineId, job: JobId, victims: List<String>) {
+        entry('x').append(machine.text).append(' ').append(job.text)
+        victims.forEach { text.append(' ').append(it) }
+        text.append(';')
+    }
+
+    private fun entry(mark: Char) = text.append(mark)
+
+    private fun StringBuilder.done() = Unit
+
+    /** The text so far; begins anew. */
+    fun take(): String = text.toString().also { text.setLength(0) }
+
+    companion object {
+        /** Tells [reader] what [text] holds; returns how many entries could not be read. */
+        fun read(text: String, reader: JournalReader): Int {
+            var unreadable = 0
+            var from = 0
+            while (from < text.length) {
+                val to = text.indexOf(';', from).let { if (it < 0) text.length else it }
+                if (to > from && !readEntry(text[from], text.substring(from + 1, to), reader)) unreadable++
+                from = to + 1
+            }
+            return unreadable
+        }
+
+        private fun readEntry(mark: Char, entry: String, reader: JournalReader): Boolean {
+            val end = TaskEnd.entries.firstOrNull { it.mark == mark }
+            if (end != null) {
+                reader.ended(TaskId.parse(entry) ?: return false, end)
+                return true
+            }
+            val fields = entry.split(' ', limit = if (mark == '+') STARTED_FIELDS else 0)
+            if (fields.size < 2) return false
+            when (mark) {
+                '=' -> reader.done(JobId.parse(fields[0]) ?: return false, fields[1])
+                '%' -> reader.evictedBefore(TaskId.parse(fields[0]) ?: return false, fields[1].toIntOrNull() ?: return false)
+                'x' -> reader.reserved(
+                    MachineId(fields[0]),
+                    JobId.parse(fields[1]) ?: return false,
+                    fields.drop(2).mapNotNull(TaskId::parse),
+                )
+                '+' -> {
+                    if (fields.size != STARTED_FIELDS) return false
+                    reader.started(
+                        TaskId.parse(fields[0]) ?: return false,
+                        MachineId(fields[1]),
+                        Session(fields[2].toULongOrNull() ?: return false),
+                        Attempt(fields[3].toULongOrNull() ?: return false),
+                        Zone(fields[4]),
+                    )
+                }
+                else -> return false
+            }
+            return true
+        }
+
+        private const val STARTED_FIELDS = 5
+    }
+}
+
+/** Sets of task numbers written as ranges: `0-4,7`. */
+object Ranges {
+    /** Ranges of [set], in texts of at most about [mostLength] characters. */
+    fun encode(set: BitSet, mostLength: Int): List<String> {
+        val texts = ArrayList<String>()
+        val text = StringBuilder()
+        var start = set.nextSetBit(0)
+        while (start >= 0) {
+            val end = set.nextClearBit(start) - 1
+            if (text.isNotEmpty()) text.append(',')
+            text.append(start)
+            if (end > start) text.append('-').append(end)
+            if (text.length >= mostLength) {
+                texts += text.toString()
+                text.setLength(0)
+            }
+            start = set.nextSetBit(end + 1)
+        }
+        if (text.isNotEmpty()) texts += text.toString()
+        return texts
+    }
+
+    /** Sets in [set] what [text] names within [size]; false where it cannot be read. */
+    fun decodeInto(text: String, set: BitSet, size: Int): Boolean {
+        for (part in text.split(',')) {
+            val first = part.substringBefore('-').toIntOrNull() ?: return false
+            val last = if ('-' in part) part.substringAfter('-').toIntOrNull() ?: return false else first
+            if (first < 0 || last < first || last >= size) return false
+            set.set(first, last + 1)
+        }
+        return true
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/mountmast/standin/production/PeerMessages.kt
@@ -0,0 +1,31 @@
+package mountmast.standin.production
+
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.protobuf.ProtoNumber
+
+/*
+ * Frozen: copied from the version in production (`production` in deploy/service.toml), so that tests can show what its processes
+ * read of what later versions write. Not to be edited or renamed together with the classes of the main sources.
+ */
+
+/** What controller nodes tell one another about once a second. */
+@Serializable
+data class PeerHello(
+    @ProtoNumber(1) val node: String,
+    /** Highest term this node has seen. */
+    @ProtoNumber(2) val term: Long,
+    /** Whether this node reaches the state service and knows the machine types. */
+    @ProtoNumber(3) val serves: Boolean,
+    /** Whether this node leads in [term]. */
+    @ProtoNumber(4) val leads: Boolean,
+    /** Jobs whose cancellation the sender committed, as long as the receiver has not answered a greeting with them. */
+    @ProtoNumber(5) val cancelled: List<String> = emptyList(),
+)
+
+/** A user's request that the sender cannot serve itself. */
+@Serializable
+data class RelayRequest(@ProtoNumber(1) val method: String, @ProtoNumber(2) val path: String, @ProtoNumber(3) val body: String)
+
+/** The answer to a relayed request. */
+@Serializable
+data class RelayAnswer(@ProtoNumber(1) val status: Int, @ProtoNumber(2) val body: String, @ProtoNumber(3) val retryAfterS: Int = 0)
