--- a/src/main/kotlin/mountmast/coordination/JobDesk.kt
+++ b/src/main/kotlin/mountmast/coordination/JobDesk.kt
@@ -13,7 +13,6 @@
 import mountmast.protocol.JobStatus
 import mountmast.protocol.JobValidation
 import mountmast.protocol.MachineType
-import mountmast.protocol.MachineTypes
 import mountmast.protocol.Malformed
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.Stamp
@@ -29,8 +28,10 @@
 import mountmast.storage.OverRecord
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
+import mountmast.storage.StoreRejected
 import mountmast.storage.StoreTrouble
 import mountmast.storage.Transaction
+import mountmast.storage.TypesForm
 import mountmast.storage.Write
 import mountmast.transport.UserAnswer
 import mountmast.transport.UserService
@@ -71,8 +72,7 @@
 
     /** Reads the machine types that the leader has stored. */
     fun refreshTypes() {
-        val entry = store.get(Keys.TYPES) ?: return
-        types = WireJson.decodeFromJsonElement<MachineTypes>(entry.value).types
+        types = TypesForm.read(store)?.types ?: return
     }
 
     override fun ready() = isReady()
@@ -204,6 +204,9 @@
     /** Serves from the store, or through another node; where neither can, the user is told at once to come back. */
     private fun served(relayed: Boolean, request: RelayRequest, serve: () -> UserAnswer): UserAnswer = try {
         serve()
+    } catch (e: StoreRejected) {
+        // Every other node would send the same, so it is not passed on.
+        later("the state service does not take the record")
     } catch (e: StoreTrouble) {
         (if (relayed) null else relay(request)) ?: later("the state service does not answer")
     } catch (e: IllegalArgumentException) {
--- a/src/main/kotlin/mountmast/coordination/WriteLimits.kt
+++ b/src/main/kotlin/mountmast/coordination/WriteLimits.kt
@@ -19,16 +19,11 @@
     )
 
     companion object {
-        private const val BYTES_PER_KB = 1024
-
-        /** Some room is left, since the state service may write JSON at greater length. */
-        private const val FILLED_SHARE = 0.95
-
         /** The longest entry of the journal fits, with the JSON around it. */
         private const val LEAST_VALUE_BYTES = 512
 
         fun of(limits: StateLimits) = WriteLimits(
-            maxOf((limits.valueKb * BYTES_PER_KB * FILLED_SHARE).toInt(), LEAST_VALUE_BYTES),
+            maxOf(limits.valueBytes, LEAST_VALUE_BYTES),
             limits.transactionOps,
         )
     }
--- a/src/main/kotlin/mountmast/protocol/StateLimits.kt
+++ b/src/main/kotlin/mountmast/protocol/StateLimits.kt
@@ -13,6 +13,9 @@
     /** Conditions in one transaction. */
     val transactionConditions: Int get() = transactionOps * CONDITIONS_PER_OP
 
+    /** Bytes of JSON that a value is filled up to: some room is left, since the state service may write it at greater length. */
+    val valueBytes: Int get() = (valueKb * BYTES_PER_KB * FILLED_SHARE).toInt()
+
     /** Each limit as low as the lower of the two has it. */
     fun lowerOf(other: StateLimits) = StateLimits(
         requestsPerSecond = minOf(requestsPerSecond, other.requestsPerSecond),
@@ -25,6 +28,9 @@
         /** A transaction takes four times as many conditions as changes. */
         const val CONDITIONS_PER_OP = 4
 
+        private const val BYTES_PER_KB = 1024
+        private const val FILLED_SHARE = 0.95
+
         /** A job that is over is moved: one put and one delete. */
         const val LEAST_TRANSACTION_OPS = 2
     }
--- a/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
+++ b/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
@@ -14,8 +14,6 @@
  * parts that a submission left behind before it failed are never taken for those of another list. Thread-safe.
  */
 class PrerequisiteLists(private val store: StateStore, private val limits: StateLimits) {
-    private val bytesPerValue = (limits.valueKb * BYTES_PER_KB * FILLED_SHARE).toInt()
-
     /** The record to store for [record], all of whose prerequisites stand in its spec: the list moves out if it is long. */
     fun store(record: JobRecord): JobRecord {
         if (fits(record)) return record
@@ -28,7 +26,7 @@
     }
 
     /** Whether [record] fits into one value as it is. */
-    fun fits(record: JobRecord): Boolean = WireJson.encodeToString(JobRecord.serializer(), record).encodeToByteArray().size <= bytesPerValue
+    fun fits(record: JobRecord): Boolean = jsonSize(WireJson.encodeToJsonElement(record)) <= limits.valueBytes
 
     /** Whether all of [record] but its prerequisites fits into one value. */
     fun fitsWithoutPrerequisites(record: JobRecord): Boolean =
@@ -60,7 +58,7 @@
         return WireJson.decodeFromJsonElement<PrerequisiteListPart>(entry.value).jobs
     }
 
-    private fun idsPerValue() = maxOf(1, (bytesPerValue - PART_OVERHEAD_BYTES) / BYTES_PER_ID)
+    private fun idsPerValue() = maxOf(1, (limits.valueBytes - PART_OVERHEAD_BYTES) / BYTES_PER_ID)
 
     private fun digest(prerequisites: List<JobId>): String {
         val hash = MessageDigest.getInstance("SHA-256").digest(prerequisites.joinToString(",").encodeToByteArray())
@@ -68,13 +66,8 @@
     }
 
     private companion object {
-        const val BYTES_PER_KB = 1024
-
-        /** Some room is left, since the state service may write JSON at greater length. */
-        const val FILLED_SHARE = 0.95
-
-        /** The longest id, in quotes and with a comma. */
-        const val BYTES_PER_ID = 23
+        /** The longest id, in quotes, with a comma and a space. */
+        const val BYTES_PER_ID = 24
 
         /** The JSON around the ids of a part. */
         const val PART_OVERHEAD_BYTES = 16
--- a/src/test/kotlin/mountmast/coordination/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/ProductionFormsTest.kt
@@ -26,6 +26,7 @@
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.Shape
 import mountmast.protocol.Stamp
+import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.protocol.Term
 import mountmast.protocol.TypeId
@@ -49,6 +50,7 @@
 import mountmast.storage.Keys
 import mountmast.storage.LeaderRecord
 import mountmast.storage.OverRecord
+import mountmast.storage.PrerequisiteLists
 import mountmast.storage.ProgressRecord
 import mountmast.storage.SnapshotPart
 import mountmast.storage.SnapshotRecord
@@ -122,7 +124,7 @@
         assertEquals(OverRecord(JobStatus.DONE, 40), stored<OverRecord>(Keys.over(JobId("j-000005"))))
         assertEquals(OverRecord(JobStatus.CANCELLED, 4), stored<OverRecord>(Keys.over(JobId("j-000004"))))
         assertEquals(JournalRecord(47, "xvm-000017 j-000001 j-000008/1 j-000008/2;"), stored<JournalRecord>(Keys.journalSlot(47)))
-        assertTrue(stored<SnapshotPart>(Keys.snapshotPart(1, 0)).text.startsWith("=j-000002 0-2;%j-000008/2 1;"))
+        assertTrue(stored<SnapshotPart>(Keys.snapshotPart(1, 0)).text().startsWith("=j-000002 0-2;%j-000008/2 1;"))
         assertEquals(ProgressRecord("j-000001 0 2;j-000002 3 0;j-000008 0 4;"), stored<ProgressRecord>(Keys.progress(0)))
         val zones = listOf(Zone("a"), Zone("b"))
         val small = MachineType(TypeId("s"), 4.0, 0.0, 16.0, 20.0, 1.0, 0.3, 0.1, 4.0, zones)
@@ -161,7 +163,7 @@
         // Without the snapshot all of it is replayed, and has to come to the same.
         val journalAlone = entries.filterKeys { it != Keys.SNAPSHOT && !it.startsWith(Keys.SNAPSHOT_PARTS) }
         val marks = journalAlone.filterKeys { it.startsWith(Keys.JOURNAL) }
-            .flatMap { (key, _) -> stored<JournalRecord>(key).text.split(';').mapNotNull { it.firstOrNull() } }
+            .flatMap { (key, _) -> stored<JournalRecord>(key).text().split(';').mapNotNull { it.firstOrNull() } }
         assertEquals(setOf('+', '!', '-', '~', 'x'), marks.toSet())
         assertEquals(lines("ledger.txt").drop(1), describe(loaded(storeOf(journalAlone))).drop(1))
     }
@@ -298,8 +300,8 @@
 
     private fun unreadable(entries: Map<String, JsonElement>): Int = entries.keys.sumOf { key ->
         when {
-            key.startsWith(Keys.JOURNAL) -> JournalText.read(stored<JournalRecord>(key).text, Ledger(0.5).replay(Moment(0)))
-            key.startsWith(Keys.SNAPSHOT_PARTS) -> JournalText.read(stored<SnapshotPart>(key).text, Ledger(0.5).replay(Moment(0)))
+            key.startsWith(Keys.JOURNAL) -> JournalText.read(stored<JournalRecord>(key).text(), Ledger(0.5).replay(Moment(0)))
+            key.startsWith(Keys.SNAPSHOT_PARTS) -> JournalText.read(stored<SnapshotPart>(key).text(), Ledger(0.5).replay(Moment(0)))
             else -> 0
         }
     }
@@ -313,7 +315,8 @@
         val clock = time.clock(0.0, 0)
         val mandate = Mandate(Term(1u shl 30), Stamp(1u), HoldId(1u), clock.now(), WallTime(0))
         val timing = Timing.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, reportS = 1.0)
-        return Reign(mandate, store, NoWorkers, emptyMap(), Policy(), timing, clock).apply { load() }
+        val lists = PrerequisiteLists(store, StateLimits(80.0, 30.0, 8.0, 16))
+        return Reign(mandate, store, NoWorkers, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
     }
 
     /** In the form in which production's code described its own. */
