--- a/src/main/kotlin/mountmast/coordination/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/Controller.kt
@@ -15,6 +15,8 @@
 import mountmast.protocol.Term
 import mountmast.protocol.Verb
 import mountmast.protocol.WorkerReport
+import mountmast.storage.FORMAT_VERSION
+import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
 import mountmast.storage.StoreTrouble
 import mountmast.transport.BeatOutcome
@@ -51,7 +53,11 @@
     private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.reportS)
     private val leadership = Leadership(store, settings.node, run, timing, clock)
     private val notices = CancellationNotices(settings.members.map { it.node }, clock, timing.noticesMs)
-    private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, settings.txnOps * CONDITIONS_PER_OP)
+
+    /** Whether every node of the deployment reads the current forms. */
+    val formats = FormatAgreement(store, settings.members.map { it.node })
+    private val prerequisiteLists = PrerequisiteLists(store, settings.stateLimits)
+    private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, settings.stateLimits, { formats.isCurrent })
 
     /** What users may ask of this node. */
     val users: UserService get() = desk
@@ -97,6 +103,7 @@
         } catch (e: StoreTrouble) {
             log.debug("machine types: {}", e.message)
         }
+        formats.step()
     }
 
     /** A leader that renews but learns of no cancellation may soon answer no worker any more; an outage is no such case. */
@@ -139,8 +146,9 @@
         }
         if (current?.reign?.mandate === mandate) return
         store.shareAs(leader = true)
-        val reign = Reign(mandate, store, workers, settings.teams, policy, timing, clock) { it in notices }
-        val writer = LedgerWriter(reign, store, WriteLimits(settings.valueKb, settings.txnOps), clock) { leadership.lost() }
+        val reign =
+            Reign(mandate, store, workers, settings.teams, policy, timing, clock, { it in notices }, prerequisiteLists)
+        val writer = LedgerWriter(reign, store, settings.stateLimits, clock, { formats.isCurrent }) { leadership.lost() }
         val fleet = Fleet(reign, cloud, clock, "${settings.node}-$run-${mandate.term}", fleetPolicy, timing)
         office.set(Office(reign, writer, fleet))
     }
@@ -181,6 +189,17 @@
         }
     }
 
+    /** Learns what became of jobs that others wait for; false where there was nothing to learn. */
+    fun resolvePrerequisites(): Boolean {
+        val reign = reign() ?: return false
+        return try {
+            reign.resolvePrerequisites()
+        } catch (e: StoreTrouble) {
+            log.debug("looking up prerequisites: {}", e.message)
+            false
+        }
+    }
+
     /** Renting and returning cannot be taken back, so only a leader that was confirmed just now does either. */
     fun manageFleet() {
         val current = office.get()?.takeIf { it.reign.ready } ?: return
@@ -254,6 +273,7 @@
 
     private fun note(hello: PeerHello) {
         hellos[NodeId(hello.node)] = hello to clock.now().ms
+        formats.heard(NodeId(hello.node), hello.formatVersion)
         leadership.heard(Term(hello.term.toULong()))
         val cancelled = hello.cancelled.mapNotNull(JobId::parse)
         if (cancelled.isEmpty()) return
@@ -266,6 +286,7 @@
         leadership.highestTerm().number.toLong(),
         canServe(),
         leadership.mandate() != null,
+        formatVersion = FORMAT_VERSION,
     )
 
     private fun freshHellos() = hellos.values.filter { (_, at) -> clock.now().ms - at < HELLO_FRESH_MS }.map { it.first }
@@ -290,9 +311,6 @@
         const val CONFIRMED_MS = 2500L
         const val HELLO_FRESH_MS = 6000L
         const val TYPES_STEPS = 30
-
-        /** A transaction takes four times as many conditions as changes. */
-        const val CONDITIONS_PER_OP = 4
         const val MOST_UNINFORMED_STEPS = 8
         const val MOST_HELPED = 10_000
         const val LAG_WEIGHT = 0.03
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/FailingJobsWriter.kt
@@ -0,0 +1,45 @@
+package mountmast.coordination
+
+import kotlinx.serialization.json.encodeToJsonElement
+import mountmast.protocol.Clock
+import mountmast.protocol.JobId
+import mountmast.protocol.Moment
+import mountmast.protocol.WireJson
+import mountmast.storage.FailingJob
+import mountmast.storage.FailingRecord
+import mountmast.storage.Keys
+import mountmast.storage.jsonSize
+
+/**
+ * Notes which jobs fail wherever they run, as a hint: each new leader would start all of their tasks again, and stop
+ * others for them. Guarded as the [Ledger] is.
+ */
+class FailingJobsWriter(private val ledger: Ledger, private val clock: Clock) {
+    private var notBefore = Moment(Long.MIN_VALUE / 2)
+    private var written: Map<JobId, FailingJob> = emptyMap()
+
+    fun addTo(batch: WriteBatch, limits: WriteLimits) {
+        val now = clock.now()
+        if (batch.room <= 0 || now < notBefore) return
+        notBefore = now + EVERY_MS
+        val failing = ledger.health.failing(most = limits.valueBytes / BYTES_PER_JOB)
+        if (failing == written) return
+        val value = WireJson.encodeToJsonElement(FailingRecord(failing))
+        if (jsonSize(value) > limits.valueBytes) return
+        written = failing
+        batch.put(Keys.FAILING, value)
+    }
+
+    /** What was added last may not have been written. */
+    fun putBack() {
+        notBefore = Moment(Long.MIN_VALUE / 2)
+        written = emptyMap()
+    }
+
+    private companion object {
+        const val EVERY_MS = 1000L
+
+        /** About what a job takes in the record. */
+        const val BYTES_PER_JOB = 200
+    }
+}
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -7,15 +7,20 @@
 import mountmast.protocol.JobSpec
 import mountmast.protocol.JobStatus
 import mountmast.protocol.MachineId
+import mountmast.protocol.MachineType
 import mountmast.protocol.NodeId
 import mountmast.protocol.Term
 import mountmast.protocol.WallTime
 
-/** Names of the keys in the state service. */
+/**
+ * Names of the keys in the state service. They are the contract between versions: processes of two versions work on the
+ * same keys during an upgrade, so keys are added, but never renamed or used for something else.
+ */
 object Keys {
     const val LEADER = "lead"
     const val TERM = "term"
     const val TYPES = "types"
+    const val TYPES_PARTS = "types/"
     const val JOBS = "j/"
     const val IMAGES = "images/"
     const val JOURNAL = "l/"
@@ -23,40 +28,57 @@
     const val SNAPSHOT_PARTS = "s/"
     const val PROGRESS = "p/"
     const val WATERMARK = "watermark"
+    const val PREREQUISITE_LISTS = "d/"
+    const val FORMAT = "format"
+    private const val OVER = "f/"
+    private const val SLOT_DIGITS = 3
+    private const val PART_DIGITS = 5
+    private const val KEPT_GENERATIONS = 2
+    const val FAILING = "failing"
 
     /** A job that is not over, or whose tasks are not all gone. Compared by whoever ends or cancels it. */
     fun job(id: JobId) = JOBS + id.text
 
     /** The final state of a job that is over; written in the transaction that deletes [job]. */
-    fun over(id: JobId) = "f/${id.text}"
+    fun over(id: JobId) = OVER + id.text
 
     /** A slot of the journal; slots are used again in turn. */
-    fun journalSlot(slot: Int) = JOURNAL + slot.toString().padStart(3, '0')
+    fun journalSlot(slot: Int) = JOURNAL + slot.toString().padStart(SLOT_DIGITS, '0')
 
     fun slotOfKey(key: String): Int? = key.removePrefix(JOURNAL).toIntOrNull()
 
     /** A part of the snapshot of [generation]: two generations are kept apart, so that one is always whole. */
-    fun snapshotPart(generation: Long, part: Int) = "${snapshotParts(generation)}${part.toString().padStart(5, '0')}"
+    fun snapshotPart(generation: Long, part: Int) = "${snapshotParts(generation)}${part.toString().padStart(PART_DIGITS, '0')}"
 
-    fun snapshotParts(generation: Long) = "$SNAPSHOT_PARTS${generation % 2}/"
+    fun snapshotParts(generation: Long) = "$SNAPSHOT_PARTS${generation % KEPT_GENERATIONS}/"
+
+    /** Machine types that the value at [TYPES] has no room for; counted from 1. */
+    fun typesPart(part: Int) = TYPES_PARTS + part
 
     /** One part of what users are told of running jobs. */
     fun progress(part: Int) = PROGRESS + part
 
+    /** One part of a list of prerequisites that does not fit into its job's record. */
+    fun prerequisiteList(job: JobId, digest: String, part: Int) =
+        "$PREREQUISITE_LISTS${job.text}/$digest/${part.toString().padStart(PART_DIGITS, '0')}"
+
     fun jobOfKey(key: String): JobId? = JobId.parse(key.removePrefix(JOBS))
 }
 
+// The serial names of all records below are the contract between versions. Fields are only added, optional, and never
+// renamed or reused; an added one is lost where an older version reads a record and writes it back.
+
 /** Who leads. Attached to the leader's hold, so it vanishes when the leader does. */
 @Serializable
 data class LeaderRecord(
-    val node: NodeId,
+    @SerialName("node") val node: NodeId,
     /** Drawn at each start of the process: a restarted node is another holder. */
-    val run: String,
-    val term: Term,
+    @SerialName("run") val run: String,
+    @SerialName("term") val term: Term,
     /** When its election began, for those who help it at first. */
-    val since: WallTime = WallTime(0),
+    @SerialName("since") val since: WallTime = WallTime(0),
     /** The watermark of cancellations as it was found at the election. */
-    val watermark: WallTime = WallTime(0),
+    @SerialName("watermark") val watermark: WallTime = WallTime(0),
 )
 
 /**
@@ -68,7 +90,7 @@
 
 /** The highest term ever taken; never deleted. */
 @Serializable
-data class TermRecord(val term: Term)
+data class TermRecord(@SerialName("term") val term: Term)
 
 /** A job that is not over yet. */
 @Serializable
@@ -76,19 +98,67 @@
     @SerialName("s") val spec: JobSpec,
     @SerialName("at") val submitted: WallTime,
     @SerialName("c") val cancelled: Boolean = false,
-)
+    /** Where the prerequisites are kept if they do not fit into this record; the spec names none then. */
+    @SerialName("pl") val prerequisiteList: PrerequisiteListRef? = null,
+) {
+    /** Whether the job names jobs that have to be done before it. */
+    val hasPrerequisites: Boolean get() = spec.prerequisites.isNotEmpty() || prerequisiteList != null
+}
+
+/** Names the parts of a list of prerequisites. The digest tells apart lists that two submissions of one id bring. */
+@Serializable
+data class PrerequisiteListRef(@SerialName("h") val digest: String, @SerialName("n") val parts: Int)
+
+/** One part of a list of prerequisites. */
+@Serializable
+data class PrerequisiteListPart(@SerialName("j") val jobs: List<JobId>)
 
 /** A job that is over. */
 @Serializable
-data class OverRecord(@SerialName("st") val status: JobStatus, @SerialName("n") val tasks: Int)
+data class OverRecord(
+    @SerialName("st") val status: JobStatus,
+    @SerialName("n") val tasks: Int,
+    /** When it ended; absent in records of versions without pipelines. */
+    @SerialName("at") val endedAt: WallTime? = null,
+    /** Whether it was a service, which no job may wait for; absent in records of versions without pipelines. */
+    @SerialName("sv") val isService: Boolean = false,
+)
+
+/**
+ * The machine types, or the first of them where they do not fit into one value.
+ *
+ * @property parts how many more values hold the others, under [Keys.typesPart]
+ * @property digest of the names in all parts, to tell parts that do not belong together
+ */
+@Serializable
+data class TypesRecord(
+    @SerialName("hulls") val types: List<MachineType>,
+    @SerialName("n") val parts: Int = 0,
+    @SerialName("d") val digest: Int? = null,
+)
 
 /** Which images some of the machines are thought to hold, in gigabytes; a hint that nothing depends on. */
 @Serializable
 data class ImagesRecord(@SerialName("m") val images: Map<MachineId, Map<ImageId, Double>>)
 
+/** Some of the [machines] on which a job failed, and how often it failed in all, up to a bound. */
+@Serializable
+data class FailingJob(@SerialName("m") val machines: List<MachineId>, @SerialName("n") val failures: Int)
+
+/** Jobs that fail wherever they run; a hint that nothing depends on. */
+@Serializable
+data class FailingRecord(@SerialName("j") val jobs: Map<JobId, FailingJob>)
+
 /** A record of the journal: what changed, in the form of [JournalText]. Records of one reign and the next are numbered on. */
 @Serializable
-data class JournalRecord(@SerialName("q") val number: Long, @SerialName("t") val text: String)
+data class JournalRecord(
+    @SerialName("q") val number: Long,
+    @SerialName("t") val plain: String,
+    /** The text in the compact form of [TextCodec]; [plain] is empty then. */
+    @SerialName("z") val compressed: String? = null,
+) {
+    fun text(): String = TextCodec.read(plain, compressed)
+}
 
 /** The latest whole snapshot: it holds what the journal said up to record [upTo]. */
 @Serializable
@@ -96,8 +166,22 @@
 
 /** A part of a snapshot, in the form of [JournalText]. */
 @Serializable
-data class SnapshotPart(@SerialName("t") val text: String)
+data class SnapshotPart(@SerialName("t") val plain: String, @SerialName("z") val compressed: String? = null) {
+    fun text(): String = TextCodec.read(plain, compressed)
+}
 
 /** How far running jobs have come, for users: `JOB DONE RUNNING;...`. */
 @Serializable
-data class ProgressRecord(@SerialName("t") val text: String)
+data class ProgressRecord(@SerialName("t") val plain: String, @SerialName("z") val compressed: String? = null) {
+    fun text(): String = TextCodec.read(plain, compressed)
+}
+
+/**
+ * Version of the stored and sent forms that this code reads and writes. It rises when a form is added that the version
+ * before cannot read. 1: before there was a number; nodes of that version tell none.
+ */
+const val FORMAT_VERSION = 2
+
+/** Every node of the deployment reads the forms of [version]; written once that is known, and never lowered. */
+@Serializable
+data class FormatRecord(@SerialName("v") val version: Int)
