--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -37,7 +37,7 @@
     System.setProperty("sun.net.httpserver.maxIdleConnections", sockets.idle.toString())
     System.setProperty("sun.net.httpserver.idleInterval", "60")
     System.setProperty("jdk.httpserver.maxConnections", sockets.accepted.toString())
-    val run = SecureRandom().nextLong().toULong().toString(36)
+    val run = SecureRandom().nextLong().toULong().toString(Character.MAX_RADIX)
     val store = HttpStateStore(settings.state, settings.stateRps, settings.stateWriteRps, settings.nodes)
     store.shareAs(leader = false)
     val controller = Controller(
--- a/src/main/kotlin/mountmast/coordination/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/Leadership.kt
@@ -49,7 +49,7 @@
      * A worker that was silent for so long has left out a report: two of the longest intervals, and the pause before it
      * tries another node.
      */
-    val quietMs: Long get() = maxOf(LEAST_QUIET_MS, reportMs * 5 / 2 + RETRY_MS)
+    val quietMs: Long get() = maxOf(LEAST_QUIET_MS, (reportMs * QUIET_REPORTS).toLong() + RETRY_MS)
 
     /** How long a cancellation that another node told of is kept in mind: until all tasks of the job are gone for certain. */
     val noticesMs: Long get() = 2 * (informedMs + leaseOverMs)
@@ -74,9 +74,11 @@
         private const val HELP_MS = 8000L
         private const val LEAST_QUIET_MS = 6000L
         private const val RETRY_MS = 1000L
+        private const val QUIET_REPORTS = 2.5
         private const val TTL_SHARE = 0.35
         private const val LEAST_TTL_MS = 2000L
         private const val MOST_TTL_MS = 5000L
+        private const val MOST_GRACE_MS = 60_000L
 
         /** For kills, saving and the network, once the last lease has run out. */
         private const val RESERVE_MS = 3000L
@@ -95,7 +97,7 @@
             val informed = (cancelS * 1000).toLong() - lease - RESERVE_MS
             return Timing(
                 ttl,
-                (informed - ttl).coerceIn(0, 60_000),
+                (informed - ttl).coerceIn(0, MOST_GRACE_MS),
                 lease,
                 Math.ceil(clockOffMs).toLong(),
                 (reportS * 1000).toLong(),
--- a/src/main/kotlin/mountmast/transport/HttpCaller.kt
+++ b/src/main/kotlin/mountmast/transport/HttpCaller.kt
@@ -56,10 +56,17 @@
             return Reply(status, bytes)
         } catch (e: NoAnswer) {
             throw e
+        } catch (e: ConnectException) {
+            throw connection.noAnswer(to, e, mayBeCarriedOut = false)
+        } catch (e: NoRouteToHostException) {
+            throw connection.noAnswer(to, e, mayBeCarriedOut = false)
         } catch (e: IOException) {
-            connection.disconnect()
-            val never = e is ConnectException || e is NoRouteToHostException
-            throw NoAnswer("$to: ${e.message}", mayBeCarriedOut = !never)
+            throw connection.noAnswer(to, e, mayBeCarriedOut = true)
         }
     }
+
+    private fun HttpURLConnection.noAnswer(to: InetSocketAddress, cause: IOException, mayBeCarriedOut: Boolean): NoAnswer {
+        disconnect()
+        return NoAnswer("$to: ${cause.message}", mayBeCarriedOut)
+    }
 }
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -29,6 +29,9 @@
 /** Largest request body. */
 const val MOST_BODY_BYTES = 64 * 1024
 
+/** Largest body between nodes: a relayed request and all that is around it. */
+private const val MOST_PEER_BODY_BYTES = 4 * MOST_BODY_BYTES
+
 private const val JOBS = "/v1/jobs"
 private const val CANCEL = "/cancel"
 
@@ -125,6 +128,7 @@
 }
 
 /** Turns whatever a handler throws into an answer: no request may end a thread. */
+@Suppress("TooGenericExceptionCaught") // The last resort for faults in handlers, which are logged.
 private fun guarded(handler: HttpHandler): HttpHandler = { request ->
     try {
         handler(request)
@@ -141,7 +145,7 @@
 private inline fun Request.only(allowed: Method, answer: () -> Response): Response =
     if (method == allowed) answer() else text(405, refusal("method not allowed")).header("Allow", allowed.name)
 
-private fun Request.bytes(): ByteArray = body.stream.readNBytes(4 * MOST_BODY_BYTES)
+private fun Request.bytes(): ByteArray = body.stream.readNBytes(MOST_PEER_BODY_BYTES)
 
 private fun Request.boundedBody(): String? {
     val bytes = body.stream.readNBytes(MOST_BODY_BYTES + 1)
--- a/src/test/kotlin/mountmast/coordination/MeetingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/MeetingsTest.kt
@@ -132,7 +132,7 @@
     fun `tasks that end far apart across changes of leader are each counted once`() =
         meeting(jobs = 2, { it.copy(tasks = 3, estimateS = 5.0) }) {
             val apart = world.accept(world.longJob(30) { it.copy(tasks = 3, cpus = 4.0, estimateS = 12.0) })
-            val ended = world.cloud.workers.filter { it.alive }.onEachIndexed { i, it -> it.slowTimes = 1L + i }
+            val ended = world.cloud.workers.filter { it.alive }.onEachIndexed { i, worker -> worker.slowTimes = 1L + i }
             assertTrue(ended.isNotEmpty())
             repeat(3) {
                 world.seats.firstOrNull { it.controller?.reign() != null }?.crash(3000)
@@ -200,14 +200,8 @@
     fun `a leader ends while machines with long tasks cannot be reached, or do not hear the new one`() =
         meeting(jobs = 3, { it.copy(estimateS = 60.0) }) {
             val busy = world.cloud.workers.filter { it.busy }
-            busy.forEachIndexed { i, it ->
-                if (i % 2 ==
-                    0
-                ) {
-                    it.cutUntil = world.time.now + 20_000
-                } else {
-                    it.deafUntil = world.time.now + 20_000
-                }
+            busy.forEachIndexed { i, worker ->
+                if (i % 2 == 0) worker.cutUntil = world.time.now + 20_000 else worker.deafUntil = world.time.now + 20_000
             }
             leading.crash(30_000)
             world.run(2000, busy = false)
@@ -273,7 +267,7 @@
             world.seats.firstOrNull { it.controller?.reign() != null }?.crash(world.random.nextLong(50, 900))
             world.run(world.random.nextLong(500, 3000), busy = false)
         }
-        world.seats.forEachIndexed { i, it -> it.crash(if (i == 0) 500 else 25_000) }
+        world.seats.forEachIndexed { i, seat -> seat.crash(if (i == 0) 500 else 25_000) }
         world.run(10_000, busy = false)
         world.expectDone(jobs, 120_000)
     }
--- a/src/test/kotlin/mountmast/coordination/SchedulerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/SchedulerTest.kt
@@ -76,7 +76,7 @@
     private fun plan(machines: List<MachineView>, jobs: List<JobView>, assurance: Map<TeamId, Double> = emptyMap()): Plan {
         val uses = jobs.groupBy {
             it.spec.team
-        }.mapValues { (_, of) -> of.fold(Resources.NONE) { sum, it -> sum + it.spec.perTask * it.live } }
+        }.mapValues { (_, of) -> of.fold(Resources.NONE) { sum, job -> sum + job.spec.perTask * job.live } }
         return scheduler.plan(Snapshot(machines, jobs, uses, teams, assurance))
     }
 
--- a/src/test/kotlin/mountmast/standin/StandInWorker.kt
+++ b/src/test/kotlin/mountmast/standin/StandInWorker.kt
@@ -40,7 +40,6 @@
     }
 
     private val tasks = LinkedHashMap<TaskId, Running>()
-    private val progress = HashMap<TaskId, Long>()
     private val images = HashSet<ImageId>()
 
     /** Tasks that completed here: started again, they exit as soon as they have their image. */
--- a/src/test/kotlin/mountmast/transport/RoutesTest.kt
+++ b/src/test/kotlin/mountmast/transport/RoutesTest.kt
@@ -23,7 +23,7 @@
                 entered.countDown()
                 blocked.await(10, TimeUnit.SECONDS)
             }
-            if (body == "burst") throw IllegalStateException("on purpose")
+            if (body == "burst") error("on purpose")
             return UserAnswer(201, "{}")
         }
 
@@ -39,8 +39,8 @@
 
     private fun call(method: Method, path: String, body: String = "") = routes(Request(method, path).body(body))
 
-    private fun report(machine: String) =
-        """{"host":"$machine","address":"127.0.0.1:1","hull":"s","yard":"a","loaners":false,"watch":1,"tally":1,"helm":0,"pieces":[],"more":1}"""
+    private fun report(machine: String) = """{"host":"$machine","address":"127.0.0.1:1","hull":"s","yard":"a","loaners":false,""" +
+        """"watch":1,"tally":1,"helm":0,"pieces":[],"more":1}"""
 
     @Test
     fun `paths and methods are told apart`() {
