--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/FleetInventory.kt
@@ -0,0 +1,81 @@
+package mountmast.coordination
+
+import mountmast.protocol.ListedMachine
+import mountmast.protocol.ListedState
+import mountmast.protocol.MachineType
+import mountmast.protocol.MachineTypes
+import mountmast.protocol.Moment
+import mountmast.transport.Cloud
+import mountmast.transport.CloudTrouble
+import kotlin.concurrent.withLock
+
+/** Keeps the ledger's machine types and machines as the cloud lists them. Called by one thread; takes the [Reign]'s lock. */
+class FleetInventory(private val reign: Reign, private val cloud: Cloud, private val policy: FleetPolicy) {
+    private val ledger get() = reign.ledger
+    private var typesReadAt: Moment? = null
+    private var machinesReadAt: Moment? = null
+
+    /** Reads again what was read too long ago. Throws [CloudTrouble] where that fails and cannot be done without. */
+    fun refresh(now: Moment) {
+        if (isDue(typesReadAt, policy.typesEveryMs, now)) readTypes(now)
+        if (isDue(machinesReadAt, policy.listEveryMs, now)) readMachines(now)
+    }
+
+    private fun isDue(last: Moment?, everyMs: Long, now: Moment) = last == null || now - last >= everyMs
+
+    private fun readTypes(now: Moment) {
+        val types = try {
+            cloud.machineTypes()
+        } catch (e: CloudTrouble) {
+            // The store keeps the types, so that an outage of the cloud stops nobody from submitting.
+            if (reign.lock.withLock { ledger.types.isEmpty() }) throw e
+            return
+        }
+        typesReadAt = now
+        reign.lock.withLock {
+            val isChanged = withoutPrices(ledger.types.values) != withoutPrices(types)
+            reign.setTypes(MachineTypes(types))
+            if (isChanged) {
+                reign.pendingTypes = MachineTypes(types)
+                reign.wakeWriter()
+            }
+        }
+    }
+
+    /** A change of prices alone is not worth a write. */
+    private fun withoutPrices(types: Collection<MachineType>) = types.map { it.copy(price = 0.0, spotPrice = 0.0) }
+
+    private fun readMachines(now: Moment) {
+        val listed = ArrayList<ListedMachine>()
+        do {
+            val page = cloud.list(listed.lastOrNull()?.id)
+            listed += page.machines
+        } while (page.more && page.machines.isNotEmpty())
+        machinesReadAt = now
+        reign.lock.withLock { for (machine in listed) takeIn(machine, now) }
+    }
+
+    private fun takeIn(listed: ListedMachine, now: Moment) {
+        if (listed.id in ledger.tombstones) return
+        val known = ledger.machines[listed.id]
+        if (known?.type == null) ledger.machines[listed.id] = create(listed, known, now)
+        if (listed.state == ListedState.FAILED) ledger.machines[listed.id]?.listedFailed = true
+    }
+
+    /** The machine as listed, with all that was [known] of it before its type was. */
+    private fun create(listed: ListedMachine, known: Machine?, now: Moment): Machine {
+        val machine = Machine(listed.id, listed.type, listed.zone, listed.spot, known?.state ?: MachineState.BOOTING)
+        machine.rentedAt = now + -(listed.ageS * MS_PER_S).toLong()
+        machine.knownAt = now
+        machine.address = listed.address
+        machine.answeredAt = known?.answeredAt ?: now
+        known?.let(machine::takeOver)
+        ledger.recalledImages.remove(listed.id)?.let(machine::recallImages)
+        machine.listedRunning = listed.state == ListedState.RUNNING
+        return machine
+    }
+
+    private companion object {
+        const val MS_PER_S = 1000
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/MachineRentals.kt
@@ -0,0 +1,85 @@
+package mountmast.coordination
+
+import mountmast.protocol.Moment
+import mountmast.protocol.RentalId
+import mountmast.protocol.RentalRequest
+import mountmast.transport.Cloud
+import mountmast.transport.CloudTrouble
+import mountmast.transport.RentalOutcome
+import org.slf4j.LoggerFactory
+import kotlin.concurrent.withLock
+
+private val log = LoggerFactory.getLogger("mountmast.fleet")
+
+/**
+ * Rents machines, each request by a name that no other process uses. A request without an answer is repeated by the same name
+ * before any other is made, so that none is carried out twice. Called by one thread; takes the [Reign]'s lock.
+ */
+class MachineRentals(
+    private val reign: Reign,
+    private val cloud: Cloud,
+    private val policy: FleetPolicy,
+    timing: Timing,
+    history: OfferHistory,
+    /** Begins the names of rental requests. */
+    private val requestPrefix: String,
+) {
+    private val ledger get() = reign.ledger
+    private val pausedUntil = HashMap<Offer, Moment>()
+    private val planner = RentalPlanner(reign, timing, history, ::isPaused)
+    private var requestCount = 0
+    private var unanswered: RentalRequest? = null
+
+    /** One round of renting, decided as of [now]. Throws [CloudTrouble] where the cloud does not answer. */
+    fun step(now: Moment) {
+        unanswered?.let { return send(it, now) }
+        val plan = reign.lock.withLock { planner.plan(now) }
+        for ((offer, wanted) in plan) rent(offer, wanted, now)
+    }
+
+    private fun rent(offer: Offer, wanted: Int, now: Moment) {
+        var left = wanted
+        while (left > 0 && !isPaused(offer, now)) {
+            val count = minOf(left, Cloud.MOST_PER_RENTAL)
+            val id = RentalId("$requestPrefix-${++requestCount}")
+            send(RentalRequest(id, offer.type, offer.zone, offer.spot, count), now)
+            left -= count
+        }
+    }
+
+    private fun isPaused(offer: Offer, now: Moment) = pausedUntil[offer].let { it != null && now < it }
+
+    private fun send(request: RentalRequest, now: Moment) {
+        val offer = Offer(request.type, request.zone, request.spot)
+        unanswered = request
+        val outcome = try {
+            cloud.rent(request)
+        } catch (e: CloudTrouble) {
+            if (!e.mayBeCarriedOut) unanswered = null
+            throw e
+        }
+        unanswered = null
+        when (outcome) {
+            RentalOutcome.NoCapacity -> pausedUntil[offer] = now + policy.noCapacityPauseMs
+            is RentalOutcome.Rented -> {
+                if (outcome.machines.size < request.count) pausedUntil[offer] = now + policy.noCapacityPauseMs
+                logRental(offer, outcome.machines.size, request.count)
+                takeIn(outcome, offer, now)
+            }
+        }
+    }
+
+    private fun logRental(offer: Offer, rented: Int, wanted: Int) =
+        log.info("rented {} of {} {} in {}{}", rented, wanted, offer.type, offer.zone, if (offer.spot) ", spot" else "")
+
+    private fun takeIn(outcome: RentalOutcome.Rented, offer: Offer, now: Moment) = reign.lock.withLock {
+        for (id in outcome.machines) {
+            if (id in ledger.machines || id in ledger.tombstones) continue
+            ledger.machines[id] = Machine(id, offer.type, offer.zone, offer.spot, MachineState.BOOTING).apply {
+                rentedAt = now
+                knownAt = now
+                idleSince = now
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/MachineReturns.kt
@@ -0,0 +1,114 @@
+package mountmast.coordination
+
+import mountmast.protocol.Clock
+import mountmast.protocol.MachineId
+import mountmast.protocol.MachineType
+import mountmast.protocol.Moment
+import mountmast.transport.Cloud
+import org.slf4j.LoggerFactory
+import kotlin.concurrent.withLock
+
+private val log = LoggerFactory.getLogger("mountmast.fleet")
+
+/**
+ * Returns machines that are idle, dead, sick or out of reach. A machine chosen once is returned for certain: its deletion is
+ * asked for again until it is answered. Called by one thread; takes the [Reign]'s lock.
+ */
+class MachineReturns(
+    private val reign: Reign,
+    private val cloud: Cloud,
+    private val clock: Clock,
+    private val policy: FleetPolicy,
+    private val timing: Timing,
+    private val history: OfferHistory,
+) {
+    private val ledger get() = reign.ledger
+
+    /** One round of returns, decided as of [now]. Throws `CloudTrouble` where the cloud does not answer. */
+    fun step(now: Moment) {
+        val chosen = reign.lock.withLock { choose(now) }
+        if (chosen.isEmpty()) return
+        cloud.delete(chosen)
+        reign.lock.withLock {
+            for (id in chosen) ledger.buryMachine(id, clock.now())
+            val forgotten = ledger.tombstones.entries.takeWhile { now - it.value > TOMBSTONE_MS }.map { it.key }
+            ledger.tombstones.keys.removeAll(forgotten.toSet())
+            reign.wakeWriter()
+        }
+    }
+
+    private fun choose(now: Moment): List<MachineId> {
+        val chosen = ledger.machines.values.filter { it.id !in ledger.tombstones && (it.deleting || shouldReturn(it, now)) }
+        for (machine in chosen) {
+            if (!machine.deleting) beginReturn(machine)
+        }
+        return chosen.map { it.id }.take(Cloud.MOST_PER_DELETION)
+    }
+
+    private fun beginReturn(machine: Machine) {
+        log.info("machine {} ({}, {}) returned: {}", machine.id, machine.type, machine.zone, reason(machine))
+        history.noteReturn(machine)
+        machine.deleting = true
+    }
+
+    private fun reason(machine: Machine) = when {
+        machine.listedFailed -> "failed"
+        machine.state == MachineState.EXPIRED -> "silent"
+        machine.quarantined -> "sick"
+        machine.unreachedSince != null -> "hears nothing"
+        machine.state == MachineState.BOOTING -> "never came up"
+        machine.noticed -> "to be taken"
+        else -> "idle"
+    }
+
+    private fun shouldReturn(machine: Machine, now: Moment): Boolean {
+        val type = ledger.types[machine.type] ?: return false
+        return machine.listedFailed || when (machine.state) {
+            // A machine that hung or was cut off comes back with its images, sooner than another one boots; one that is
+            // dead is listed as failed soon, and costs nothing.
+            MachineState.EXPIRED -> now - machine.expiredAt > timing.leaseOverMs
+            MachineState.SILENT -> false
+            MachineState.BOOTING -> hasFailedToBoot(machine, type, now)
+            MachineState.UP -> isUnreachedForGood(machine, now) || (machine.live.isEmpty() && isUnneeded(machine, type, now))
+        }
+    }
+
+    private fun hasFailedToBoot(machine: Machine, type: MachineType, now: Moment): Boolean {
+        val bootMs = (type.bootS * MS_PER_S).toLong()
+        val bootingSince = maxOf(machine.rentedAt, machine.knownAt + -bootMs)
+        return now - bootingSince > BOOT_LIMIT_FACTOR * bootMs + BOOT_LIMIT_MARGIN_MS
+    }
+
+    /** Its tasks are free once it is deleted; but where hardly any worker hears us, it is not the machines. */
+    private fun isUnreachedForGood(machine: Machine, now: Moment): Boolean {
+        val since = machine.unreachedSince ?: return false
+        return now - since > reign.unreachedPatienceMs && !reign.hearing.manyUnreached()
+    }
+
+    private fun isUnneeded(machine: Machine, type: MachineType, now: Moment): Boolean {
+        if (machine.quarantined || machine.noticed) return true
+        return machine.reservedFor == null &&
+            now - machine.idleSince > idleReturnMs(machine, type) &&
+            now - machine.rentedAt > MIN_PAID_MS
+    }
+
+    /** What takes long to boot is kept longer, and what costs more than need be is not. */
+    private fun idleReturnMs(machine: Machine, type: MachineType): Long {
+        val keptMs = maxOf(policy.idleReturnMs, (2 * type.bootS * MS_PER_S).toLong())
+        return if (machine.spot) keptMs else (keptMs * minOf(1.0, type.spotPrice / type.price)).toLong()
+    }
+
+    private companion object {
+        const val MS_PER_S = 1000
+
+        /** Some machines take several times as long to boot; what exceeds this is given up. */
+        const val BOOT_LIMIT_FACTOR = 4
+        const val BOOT_LIMIT_MARGIN_MS = 15_000L
+
+        /** A machine costs at least a minute, so returning it sooner saves nothing. */
+        const val MIN_PAID_MS = 55_000L
+
+        /** For how long returned machines stay known by name. */
+        const val TOMBSTONE_MS = 600_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/OfferHistory.kt
@@ -0,0 +1,67 @@
+package mountmast.coordination
+
+import mountmast.protocol.Moment
+
+/**
+ * What became lately of the machines rented by each [Offer]: spot machines that were lost, and machines that did not boot in
+ * time. Counts decay by [decay]. Guarded as its [Ledger] is.
+ */
+class OfferHistory(private val ledger: Ledger) {
+    private val spotLosses = HashMap<Offer, Double>()
+    private val neverBooted = HashMap<Offer, Double>()
+
+    /** Takes note of a machine that is about to be returned. */
+    fun noteReturn(machine: Machine) {
+        val offer = machine.offer() ?: return
+        if (machine.state == MachineState.BOOTING && !machine.listedFailed) neverBooted.merge(offer, 1.0, Double::plus)
+        if (machine.spot && (machine.state == MachineState.EXPIRED || machine.noticed)) spotLosses.merge(offer, 1.0, Double::plus)
+    }
+
+    /** Lets old events count less; called once in each round of renting. */
+    fun decay() {
+        spotLosses.replaceAll { _, count -> count * DECAY_PER_ROUND }
+        neverBooted.replaceAll { _, count -> count * DECAY_PER_ROUND }
+    }
+
+    /** By how much losses make [offer] look dearer than its price. */
+    fun priceFactor(offer: Offer): Double = 1 + (spotLosses[offer] ?: 0.0) * LOSS_WEIGHT
+
+    /**
+     * Whether a machine has booted for longer than machines mostly take. It may still come up, and is used then; but what waits
+     * for it gets another machine meanwhile.
+     */
+    fun isLate(machine: Machine, now: Moment): Boolean {
+        val type = ledger.types[machine.type] ?: return false
+        return now - machine.rentedAt > (type.bootS * LATE_BOOT_FACTOR * MS_PER_S).toLong() + LATE_BOOT_MARGIN_MS
+    }
+
+    /**
+     * Offers of which most machines rented lately are late or never came up: whatever is rented there next would be late as
+     * well. They are left alone while others can be had. Among many machines a few that never boot mean nothing.
+     */
+    fun lateOffers(now: Moment): Set<Offer> {
+        val late = HashMap<Offer, Double>(neverBooted)
+        val booted = HashMap<Offer, Int>()
+        for (machine in ledger.machines.values) {
+            val offer = machine.offer() ?: continue
+            if (machine.state != MachineState.BOOTING) {
+                if (now - machine.rentedAt < RECENT_MS) booted.merge(offer, 1, Int::plus)
+            } else if (!machine.deleting && !machine.listedRunning && isLate(machine, now)) {
+                late.merge(offer, 1.0, Double::plus)
+            }
+        }
+        return late.filter { (offer, count) -> count >= MIN_LATE_MACHINES && count > (booted[offer] ?: 0) }.keys
+    }
+
+    private companion object {
+        const val MS_PER_S = 1000
+        const val DECAY_PER_ROUND = 0.99
+        const val LOSS_WEIGHT = 0.1
+
+        /** Machines mostly boot within 1.5 times what is said. */
+        const val LATE_BOOT_FACTOR = 2.0
+        const val LATE_BOOT_MARGIN_MS = 5000L
+        const val MIN_LATE_MACHINES = 3
+        const val RECENT_MS = 300_000L
+    }
+}
