--- a/src/main/kotlin/mountmast/coordination/Hearing.kt
+++ b/src/main/kotlin/mountmast/coordination/Hearing.kt
@@ -6,44 +6,55 @@
 
 private val log = LoggerFactory.getLogger("mountmast.reign")
 
-/** Notices machines that report but hear nothing. Guarded as its [Ledger] is. */
+/**
+ * Detects machines whose reports arrive while answers and commands do not reach them. Guarded as its [Ledger] is.
+ */
 class Hearing(private val ledger: Ledger, private val mandate: Mandate, private val timing: Timing) {
+    /** What a report tells of whether earlier answers arrived; both may be false. */
+    private class Evidence(val isEffectMissing: Boolean, val isEffectShown: Boolean)
+
     /**
-     * Notices workers whose reports arrive while answers and commands do not reach them: their token lags, starts that
-     * an answer told are not shown, or their session rises although they are answered. Such a machine gets no more
-     * work, and is returned if that lasts; a report that shows an answer's effect clears it. True where the machine may have work again.
+     * Takes note of [report], which this leader is about to answer; true where the machine is reached again and may have work.
+     *
+     * An answer did not arrive if the worker's token lags behind ours, or a start that it told is not shown; the caller counts
+     * sessions that rise although the worker was answered. A machine with [MOST_UNHEARD] such reports in a row gets no more
+     * work, and is returned if that lasts. A report that shows an answer's effect clears it.
      */
     fun note(machine: Machine, report: WorkerReport, now: Moment, readyAt: Moment): Boolean {
-        val answered = machine.answeredTally
-        var missing = answered != null && answered < report.tally && report.term < mandate.term
-        var shown = now - machine.sessionSince > timing.leaseOverMs && report.term.reign == mandate.term.reign
-        for (assignment in machine.live.values) {
-            val told = assignment.startedInBeat ?: continue
-            if (assignment.phase != Phase.COMMITTED || assignment.session != report.session || report.tally <= told) continue
-            if (assignment.reported == null) {
-                missing = true
-            } else {
-                shown = true
-                assignment.startedInBeat = null
-            }
-        }
-        // A node that has just begun answers so slowly that workers drop its answers: that says nothing of them.
-        if (now - readyAt < SETTLING_MS) {
-            machine.unheard = 0
-        } else if (missing) {
-            machine.unheard++
-        } else if (shown) {
-            machine.unheard = 0
+        val evidence = evidence(machine, report, now)
+        when {
+            // A node that has just begun answers so slowly that workers drop its answers: that says nothing of them.
+            now - readyAt < SETTLING_MS -> machine.unheard = 0
+            evidence.isEffectMissing -> machine.unheard++
+            evidence.isEffectShown -> machine.unheard = 0
         }
         if (machine.unheard >= MOST_UNHEARD && machine.unreachedSince == null) {
             machine.unreachedSince = now
             log.info("machine {} reports, but nothing seems to reach it", machine.id)
-        } else if (machine.unheard == 0 && machine.unreachedSince != null) {
+            return false
+        }
+        val isReachedAgain = machine.unheard == 0 && machine.unreachedSince != null
+        if (isReachedAgain) {
             machine.unreachedSince = null
             log.info("machine {} is reached again", machine.id)
-            return true
         }
-        return false
+        return isReachedAgain
+    }
+
+    private fun evidence(machine: Machine, report: WorkerReport, now: Moment): Evidence {
+        val answered = machine.answeredTally
+        val isTokenLagging = answered != null && answered < report.tally && report.term < mandate.term
+        val outlivesLease = now - machine.sessionSince > timing.leaseOverMs && report.term.reign == mandate.term.reign
+        val toldStarts = machine.live.values.filter { isToldBefore(it, report) }
+        val (missing, shown) = toldStarts.partition { it.reported == null }
+        for (assignment in shown) assignment.startedInBeat = null
+        return Evidence(isTokenLagging || missing.isNotEmpty(), outlivesLease || shown.isNotEmpty())
+    }
+
+    /** Whether the start of [assignment] was in the answer to a report of the same session before this one. */
+    private fun isToldBefore(assignment: Assignment, report: WorkerReport): Boolean {
+        val answered = assignment.startedInBeat ?: return false
+        return assignment.phase == Phase.COMMITTED && assignment.session == report.session && report.tally > answered
     }
 
     /** Whether so many workers hear nothing that it must be this node, which cannot send. The caller holds the lock. */
--- a/src/main/kotlin/mountmast/coordination/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/Leadership.kt
@@ -1,5 +1,6 @@
 package mountmast.coordination
 
+import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
@@ -29,97 +30,9 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leadership")
 
-/** How long leaders may act without the state service, derived from what the workers are promised. */
-data class Timing(
-    val ttlMs: Long,
-    val graceMs: Long,
-    val leaseMs: Long,
-    val clockOffMs: Long,
-    val reportMs: Long,
-    /**
-     * For how long after the last moment up to which every cancellation is known workers may be answered: the lease that
-     * an answer renews must run out before a cancellation that came just after that moment has to be carried out.
-     */
-    val informedMs: Long,
-) {
-    /** After this long without an answer from a leader a worker has given up its tasks, drift included. */
-    val leaseOverMs: Long get() = drifted(leaseMs) + MARGIN_MS
-
-    /**
-     * A worker that was silent for so long has left out a report: two of the longest intervals, and the pause before it
-     * tries another node.
-     */
-    val quietMs: Long get() = maxOf(LEAST_QUIET_MS, (reportMs * QUIET_REPORTS).toLong() + RETRY_MS)
-
-    /** How long a cancellation that another node told of is kept in mind: until all tasks of the job are gone for certain. */
-    val noticesMs: Long get() = 2 * (informedMs + leaseOverMs)
-
-    /** For this long after its election a leader must suppose that the one before still answers workers. */
-    val formerLeaderMs: Long get() = drifted(graceMs) + MARGIN_MS
-
-    /**
-     * For this long after its election other nodes may renew workers' leases in a leader's name: one that has just
-     * started is too slow for all workers at once, and their leases run out.
-     */
-    val helpMs: Long get() = minOf(HELP_MS, graceMs)
-
-    /** Until when, by any node's time of day, helpers may answer for a leader elected at [since] by its own. */
-    fun helpUntil(since: WallTime) = WallTime(since.ms + helpMs - 2 * clockOffMs - MARGIN_MS)
-
-    /** Until when, by any node's time of day, those may answer workers who know no cancellation after [watermark]. */
-    fun uninformedUntil(watermark: WallTime) = WallTime(watermark.ms + informedMs - 2 * clockOffMs - MARGIN_MS)
-
-    companion object {
-        private const val MARGIN_MS = 500L
-        private const val HELP_MS = 8000L
-        private const val LEAST_QUIET_MS = 6000L
-        private const val RETRY_MS = 1000L
-        private const val QUIET_REPORTS = 2.5
-        private const val TTL_SHARE = 0.35
-        private const val LEAST_TTL_MS = 2000L
-        private const val MOST_TTL_MS = 5000L
-        private const val MOST_GRACE_MS = 60_000L
-
-        /** For kills, saving and the network, once the last lease has run out. */
-        private const val RESERVE_MS = 3000L
-
-        /** Twice the promised bound of 0.05%, once for either clock. */
-        private fun drifted(ms: Long) = ms + ms / 1000 + 1
-
-        /**
-         * The grace ends early enough that a task which only a cut-off leader can reach is gone within
-         * `cancel_s` of its cancellation: the hold, the grace and the worker's lease run out one after another.
-         */
-        fun of(leaseS: Double, cancelS: Double, clockOffMs: Double, reportS: Double): Timing {
-            val lease = (leaseS * 1000).toLong()
-            // A successor must be found, and be found by the workers, well before their leases run out.
-            val ttl = (lease * TTL_SHARE).toLong().coerceIn(LEAST_TTL_MS, MOST_TTL_MS)
-            val informed = (cancelS * 1000).toLong() - lease - RESERVE_MS
-            return Timing(
-                ttl,
-                (informed - ttl).coerceIn(0, MOST_GRACE_MS),
-                lease,
-                Math.ceil(clockOffMs).toLong(),
-                (reportS * 1000).toLong(),
-                maxOf(informed, ttl),
-            )
-        }
-    }
-}
-
-/** A time of leading: the term, and the version of the leader's key on which every write depends. */
-class Mandate(
-    val term: Term,
-    val stamp: Stamp,
-    val hold: HoldId,
-    val electedAt: Moment,
-    /** Of cancellations, as the leader before left it. */
-    val watermark: WallTime,
-)
-
 /**
  * Decides which node leads. The leader's key hangs on a hold at the state service; the term is kept beside it for
- * good and rises with every election.
+ * good and rises with every election. Thread-safe; [step] is called by one thread, and makes no call under the lock.
  */
 class Leadership(
     private val store: StateStore,
@@ -135,15 +48,20 @@
     private var leader: NodeId? = null
     private var highest = Term(0u)
     private var doubted = false
-    private var troubledSince: Moment? = null
+    private var storeFailingSince: Moment? = null
     private var abstainUntil = Moment(Long.MIN_VALUE)
     private var spareHold: HoldId? = null
     private var seenUpTo = Revision(0u)
     private var helpUntil = WallTime(0)
     private var helpTerm = Term(0u)
 
+    /** What this node leads by, or null while it does not lead. */
     fun mandate(): Mandate? = lock.withLock { mandate }
+
+    /** The node that leads, as far as this one knows. */
     fun leader(): NodeId? = lock.withLock { if (mandate != null) node else leader }
+
+    /** The highest term that this node has heard of. */
     fun highestTerm(): Term = lock.withLock { highest }
 
     /**
@@ -203,11 +121,11 @@
         try {
             val own = mandate()
             if (own == null) followOrElect() else renew(own)
-            troubledSince?.let { log.info("the state service answers again after {} ms", clock.now() - it) }
-            troubledSince = null
+            storeFailingSince?.let { log.info("the state service answers again after {} ms", clock.now() - it) }
+            storeFailingSince = null
         } catch (e: StoreTrouble) {
-            if (troubledSince == null) log.info("the state service does not serve this node: {}", e.message)
-            troubledSince = troubledSince ?: clock.now()
+            if (storeFailingSince == null) log.info("the state service does not serve this node: {}", e.message)
+            storeFailingSince = storeFailingSince ?: clock.now()
             lock.withLock {
                 val own = mandate ?: return
                 val unconfirmed = clock.now() - confirmedAt >= timing.ttlMs
@@ -268,6 +186,7 @@
         if (clock.now() >= abstainUntil) elect(entry?.stamp ?: Stamp.ABSENT)
     }
 
+    /** Tries to become leader; [stamp] is that of the leader's key, which must not have changed since. */
     private fun elect(stamp: Stamp) {
         val asked = clock.now()
         val began = clock.wall()
@@ -277,28 +196,31 @@
             confirmedAt = asked
         }
         val termEntry = store.get(Keys.TERM)
-        val stored = termEntry?.let { WireJson.decodeFromJsonElement<TermRecord>(it.value).term } ?: Term(0u)
-        val term = stored.next()
-        // Where no leader has left a watermark, nothing ran so far.
-        val watermark = store.get(Keys.WATERMARK)?.let { WireJson.decodeFromJsonElement<WatermarkRecord>(it.value).at } ?: began
-        val record = LeaderRecord(node, run, term, began, watermark)
-        val transaction = Transaction(
-            listOf(Condition(Keys.LEADER, stamp), Condition(Keys.TERM, termEntry?.stamp ?: Stamp.ABSENT)),
-            listOf(
-                Write.Put(Keys.LEADER, WireJson.encodeToJsonElement(record), hold),
-                Write.Put(Keys.TERM, WireJson.encodeToJsonElement(TermRecord(term))),
-            ),
-        )
+        val lastTerm = termEntry?.let { WireJson.decodeFromJsonElement<TermRecord>(it.value).term } ?: Term(0u)
+        val record = LeaderRecord(node, run, lastTerm.next(), began, readWatermark() ?: began)
         try {
+            val transaction = election(record, hold, stamp, termEntry?.stamp ?: Stamp.ABSENT)
             when (val outcome = store.commit(transaction)) {
                 is CommitOutcome.Committed -> begin(record, Stamp(outcome.revision.number), hold)
                 is CommitOutcome.Conflict -> log.debug("another node was elected: {}", outcome.failed)
             }
         } catch (e: HoldEnded) {
+            log.debug("the hold ended before the election: {}", e.message)
             lock.withLock { spareHold = null }
         }
     }
 
+    /** The low watermark of cancellations, or null where no leader has left one: then nothing ran so far. */
+    private fun readWatermark(): WallTime? = store.get(Keys.WATERMARK)?.let { WireJson.decodeFromJsonElement<WatermarkRecord>(it.value).at }
+
+    private fun election(record: LeaderRecord, hold: HoldId, leaderStamp: Stamp, termStamp: Stamp) = Transaction(
+        listOf(Condition(Keys.LEADER, leaderStamp), Condition(Keys.TERM, termStamp)),
+        listOf(
+            Write.Put(Keys.LEADER, WireJson.encodeToJsonElement(record), hold),
+            Write.Put(Keys.TERM, WireJson.encodeToJsonElement(TermRecord(record.term))),
+        ),
+    )
+
     private fun begin(record: LeaderRecord, stamp: Stamp, hold: HoldId) = lock.withLock {
         val term = record.term
         mandate = Mandate(term, stamp, hold, clock.now(), record.watermark)
@@ -313,7 +235,7 @@
         const val ABSTAIN_MS = 20_000L
     }
 
-    private fun decode(value: kotlinx.serialization.json.JsonElement): LeaderRecord? = try {
+    private fun decode(value: JsonElement): LeaderRecord? = try {
         WireJson.decodeFromJsonElement<LeaderRecord>(value)
     } catch (e: IllegalArgumentException) {
         null
--- a/src/main/kotlin/mountmast/coordination/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/Node.kt
@@ -17,14 +17,26 @@
 
 /** Runs a [Controller]: its servers, and a thread for each kind of step. */
 class Node(private val settings: Settings, private val operators: OperatorSettings, private val controller: Controller) {
+    /** Starts the servers, then the threads; they run until the process ends. */
     fun start() {
+        val sockets = Sockets.of(settings.maxConnections)
+        startServers(sockets)
+        startMembership()
+        startLeaderWork(sockets)
+        log.info("{} serves on {}", settings.node, settings.serveOn)
+    }
+
+    private fun startServers(sockets: Sockets) {
         // What users submit is shed first: their polls have a limit of their own, and both leave threads to the workers.
         val admission = Admissions(operators.admission.limit(), operators.admission.limit())
-        val sockets = Sockets.of(settings.maxConnections)
         publicRoutes(controller.users, controller, admission)
             .asServer(BoundedServer(settings.serveOn, "serve", SERVE_THREADS, sockets.waiting)).start()
         peerRoutes(controller.users, controller)
             .asServer(BoundedServer(settings.peerListen, "peer", PEER_THREADS, PEER_WAITING)).start()
+    }
+
+    /** Starts what every node does, whether it leads or not. */
+    private fun startMembership() {
         loop("leadership") {
             controller.lead()
             if (controller.awaitVacancy(LEADERSHIP_MS)) LEADERSHIP_GAP_MS else LEADERSHIP_MS
@@ -41,14 +53,11 @@
             controller.greet()
             GREET_MS
         }
-        whileLeading("pass") { reign ->
-            val began = System.nanoTime()
-            controller.pass()
-            val tookMs = (System.nanoTime() - began) / NANOS_PER_MS
-            reign.awaitPlacement(operators.policy.passMs)
-            // However large the ledger, passes leave most of the processor to the workers' reports.
-            maxOf(PASS_GAP_MS, tookMs * PASS_SHARE)
-        }
+    }
+
+    /** Starts what only a leader does; these threads idle on any other node. */
+    private fun startLeaderWork(sockets: Sockets) {
+        whileLeading("pass", ::passAndWait)
         whileLeading("writer") { reign ->
             if (!controller.write()) reign.awaitWritable(WRITE_IDLE_MS)
             WRITE_GAP_MS
@@ -60,9 +69,19 @@
         }
         repeat(CALLERS) { number -> whileLeading("caller-$number") { if (controller.call()) 0 else CALL_GAP_MS } }
         repeat(sockets.posters) { number -> whileLeading("poster-$number") { if (controller.post(POST_WAIT_MS)) 0 else POST_GAP_MS } }
-        log.info("{} serves on {}", settings.node, settings.serveOn)
     }
 
+    /** Runs a pass and waits until the next is due or asked for; returns how long to pause at least. */
+    private fun passAndWait(reign: Reign): Long {
+        val began = System.nanoTime()
+        controller.pass()
+        val tookMs = (System.nanoTime() - began) / NANOS_PER_MS
+        reign.awaitPlacement(operators.policy.passMs)
+        // However large the ledger, passes leave most of the processor to the workers' reports.
+        return maxOf(PASS_GAP_MS, tookMs * PASS_SHARE)
+    }
+
+    /** Repeats [step] while this node leads. */
     private fun whileLeading(name: String, step: (Reign) -> Long) = loop(name) { controller.reign()?.let(step) ?: IDLE_MS }
 
     /** Repeats [step] on a thread of its own, pausing as long as it says. */
