--- a/src/main/kotlin/mountmast/transport/HttpCaller.kt
+++ b/src/main/kotlin/mountmast/transport/HttpCaller.kt
@@ -23,6 +23,7 @@
  * carried out has to be told apart from what was not, so this uses the JDK's client directly.
  */
 class HttpCaller(private val connectMs: Int = 1000) {
+    /** Calls [to] and waits up to [waitMs] for each part of the answer. Throws [NoAnswer] where none came. */
     fun call(
         to: InetSocketAddress,
         method: String,
@@ -31,31 +32,12 @@
         waitMs: Int,
         contentType: String = "application/json",
     ): Reply {
-        val url = URI.create("http://${to.hostString}:${to.port}$path").toURL()
-        val connection = url.openConnection() as HttpURLConnection
-        connection.requestMethod = method
-        connection.connectTimeout = minOf(connectMs, waitMs)
-        connection.readTimeout = waitMs
-        connection.useCaches = false
-        connection.instanceFollowRedirects = false
+        val connection = prepare(URI.create("http://${to.hostString}:${to.port}$path"), method, waitMs)
+        if (body != null) connection.announce(body, contentType)
+        connect(connection, to)
         try {
-            if (body != null) {
-                connection.doOutput = true
-                connection.setRequestProperty("Content-Type", contentType)
-                connection.setFixedLengthStreamingMode(body.size)
-            }
-            try {
-                connection.connect()
-            } catch (e: IOException) {
-                throw NoAnswer("$to: ${e.message}", mayBeCarriedOut = false)
-            }
             if (body != null) connection.outputStream.use { it.write(body) }
-            val status = connection.responseCode
-            val stream = if (status >= HttpURLConnection.HTTP_BAD_REQUEST) connection.errorStream else connection.inputStream
-            val bytes = stream?.use { it.readBytes() } ?: ByteArray(0)
-            return Reply(status, bytes)
-        } catch (e: NoAnswer) {
-            throw e
+            return connection.readReply()
         } catch (e: ConnectException) {
             throw connection.noAnswer(to, e, mayBeCarriedOut = false)
         } catch (e: NoRouteToHostException) {
@@ -65,6 +47,36 @@
         }
     }
 
+    private fun prepare(uri: URI, method: String, waitMs: Int): HttpURLConnection {
+        val connection = uri.toURL().openConnection() as HttpURLConnection
+        connection.requestMethod = method
+        connection.connectTimeout = minOf(connectMs, waitMs)
+        connection.readTimeout = waitMs
+        connection.useCaches = false
+        connection.instanceFollowRedirects = false
+        return connection
+    }
+
+    private fun HttpURLConnection.announce(body: ByteArray, contentType: String) {
+        doOutput = true
+        setRequestProperty("Content-Type", contentType)
+        setFixedLengthStreamingMode(body.size)
+    }
+
+    private fun connect(connection: HttpURLConnection, to: InetSocketAddress) {
+        try {
+            connection.connect()
+        } catch (e: IOException) {
+            throw NoAnswer("$to: ${e.message}", mayBeCarriedOut = false)
+        }
+    }
+
+    private fun HttpURLConnection.readReply(): Reply {
+        val status = responseCode
+        val stream = if (status >= HttpURLConnection.HTTP_BAD_REQUEST) errorStream else inputStream
+        return Reply(status, stream?.use { it.readBytes() } ?: ByteArray(0))
+    }
+
     private fun HttpURLConnection.noAnswer(to: InetSocketAddress, cause: IOException, mayBeCarriedOut: Boolean): NoAnswer {
         disconnect()
         return NoAnswer("$to: ${cause.message}", mayBeCarriedOut)
--- /dev/null
+++ b/src/main/kotlin/mountmast/transport/HttpMessages.kt
@@ -0,0 +1,65 @@
+package mountmast.transport
+
+import kotlinx.serialization.SerializationException
+import kotlinx.serialization.encodeToString
+import mountmast.protocol.Refusal
+import mountmast.protocol.WireJson
+import org.http4k.core.HttpHandler
+import org.http4k.core.MemoryBody
+import org.http4k.core.Method
+import org.http4k.core.Request
+import org.http4k.core.Response
+import org.http4k.core.Status
+import org.slf4j.LoggerFactory
+import java.io.IOException
+
+private val log = LoggerFactory.getLogger("mountmast.transport")
+
+/** Largest request body. */
+const val MOST_BODY_BYTES = 64 * 1024
+
+/** Largest body between nodes: a relayed request and all that is around it. */
+private const val MOST_PEER_BODY_BYTES = 4 * MOST_BODY_BYTES
+
+/** The JSON body of a refusal. */
+fun refusal(why: String): String = WireJson.encodeToString(Refusal(why))
+
+/** Turns whatever a handler throws into an answer: no request may end a thread. */
+@Suppress("TooGenericExceptionCaught") // The last resort for faults in handlers, which are logged.
+internal fun guarded(handler: HttpHandler): HttpHandler = { request ->
+    try {
+        handler(request)
+    } catch (e: SerializationException) {
+        json(400, refusal("malformed"))
+    } catch (e: IOException) {
+        json(503, refusal("interrupted"), retryAfterS = 1)
+    } catch (e: RuntimeException) {
+        log.error("request {} failed", request.uri.path, e)
+        json(500, refusal("internal error"), retryAfterS = 1)
+    }
+}
+
+/** Answers by [answer], or refuses every method but [allowed]. */
+internal inline fun Request.only(allowed: Method, answer: () -> Response): Response =
+    if (method == allowed) answer() else json(405, refusal("method not allowed")).header("Allow", allowed.name)
+
+/** The body of a request between nodes, cut off at its bound. */
+internal fun Request.bytes(): ByteArray = body.stream.readNBytes(MOST_PEER_BODY_BYTES)
+
+/** The body, or null where it is larger than [MOST_BODY_BYTES]. */
+internal fun Request.boundedBody(): String? {
+    val bytes = body.stream.readNBytes(MOST_BODY_BYTES + 1)
+    return if (bytes.size > MOST_BODY_BYTES) null else bytes.decodeToString()
+}
+
+/** This answer as HTTP. */
+internal fun UserAnswer.toResponse() = json(status, body, retryAfterS)
+
+/** An answer in JSON; with [retryAfterS] above 0 it says when to come back. */
+internal fun json(status: Int, body: String, retryAfterS: Int = 0): Response {
+    val response = Response(Status(status, null)).header("Content-Type", "application/json").body(body)
+    return if (retryAfterS > 0) response.header("Retry-After", retryAfterS.toString()) else response
+}
+
+/** A successful answer in protobuf. */
+internal fun protobuf(bytes: ByteArray) = Response(Status.OK).header("Content-Type", "application/x-protobuf").body(MemoryBody(bytes))
--- a/src/main/kotlin/mountmast/transport/Sockets.kt
+++ b/src/main/kotlin/mountmast/transport/Sockets.kt
@@ -18,23 +18,23 @@
     companion object {
         /** The shares of [most] sockets. */
         fun of(most: Int): Sockets {
-            val own = maxOf(minOf(LEAST_OWN, most / 2), most / OWN_SHARE)
+            val own = maxOf(minOf(MIN_OWN, most / 2), most / OWN_SHARE)
             val accepted = most - own
             return Sockets(
                 accepted,
                 accepted,
-                (most / WAITING_SHARE).coerceIn(LEAST_WAITING, MOST_WAITING),
-                (most / PER_POSTER).coerceIn(LEAST_POSTERS, MOST_POSTERS),
+                (most / WAITING_SHARE).coerceIn(MIN_WAITING, MAX_WAITING),
+                (most / PER_POSTER).coerceIn(MIN_POSTERS, MAX_POSTERS),
             )
         }
 
-        private const val LEAST_OWN = 64
+        private const val MIN_OWN = 64
         private const val OWN_SHARE = 10
         private const val WAITING_SHARE = 4
-        private const val LEAST_WAITING = 64
-        private const val MOST_WAITING = 1024
+        private const val MIN_WAITING = 64
+        private const val MAX_WAITING = 1024
         private const val PER_POSTER = 150
-        private const val LEAST_POSTERS = 4
-        private const val MOST_POSTERS = 16
+        private const val MIN_POSTERS = 4
+        private const val MAX_POSTERS = 16
     }
 }
