--- a/src/main/kotlin/mountmast/coordination/DependentClaims.kt
+++ b/src/main/kotlin/mountmast/coordination/DependentClaims.kt
@@ -57,8 +57,9 @@
         }
     }
 
-    private fun claimOfDependents(job: Job): Claim =
-        dependents[job.id].orEmpty().filter { !it.cancelled }.fold(Claim.NONE) { claim, it -> claim.tightenedBy(passedOnBy(it)) }
+    private fun claimOfDependents(job: Job): Claim = dependents[job.id].orEmpty().filter {
+        !it.cancelled
+    }.fold(Claim.NONE) { claim, dependent -> claim.tightenedBy(passedOnBy(dependent)) }
 
     /** What the prerequisites of [job] have to meet for it: they must be done one run of it before it is due. */
     private fun passedOnBy(job: Job): Claim {
--- a/src/main/kotlin/mountmast/coordination/JobDesk.kt
+++ b/src/main/kotlin/mountmast/coordination/JobDesk.kt
@@ -206,6 +206,7 @@
         serve()
     } catch (e: StoreRejected) {
         // Every other node would send the same, so it is not passed on.
+        log.debug("{}: {}", request.path, e.message)
         later("the state service does not take the record")
     } catch (e: StoreTrouble) {
         (if (relayed) null else relay(request)) ?: later("the state service does not answer")
--- a/src/main/kotlin/mountmast/coordination/Reign.kt
+++ b/src/main/kotlin/mountmast/coordination/Reign.kt
@@ -10,7 +10,6 @@
 import mountmast.protocol.Moment
 import mountmast.protocol.Revision
 import mountmast.protocol.Stamp
-import mountmast.protocol.TaskId
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 import mountmast.protocol.WallTime
@@ -68,6 +67,7 @@
 
     /** Which jobs wait for which. */
     private val dependencies = JobDependencies(ledger)
+    private val snapshots = SchedulingSnapshots(ledger, dependencies, teams, timing, clock)
     val hearing = Hearing(ledger, mandate, timing)
     private var assurance: Map<TeamId, Double> = emptyMap()
     private var followFrom = Revision(0u)
@@ -396,7 +396,7 @@
         val now = clock.now()
         releaseReservations(now)
         if (now - tidiedAt >= TIDY_MS) tidy(now)
-        val plan = scheduler.plan(snapshot(now))
+        val plan = scheduler.plan(snapshots.take(now, assurance))
         assurance = plan.assurance
         waiting = plan.waiting
         for (start in plan.starts) {
@@ -428,7 +428,7 @@
         emptyQuarantined()
         dispatch.callWorkers(readyAt, now)
         delays.tellStalls(waiting, now)
-        delays.tellLate { job -> untilS(job.ownDue) }
+        delays.tellLate { job -> snapshots.untilS(job.ownDue) }
     }
 
     private fun reserve(id: MachineId, job: JobId, now: Moment) {
@@ -456,7 +456,7 @@
     /** Stops what would not complete before the cloud takes its machine, so that it saves and goes on elsewhere. */
     private fun emptyNoticed(now: Moment) {
         for (machine in ledger.machines.values) {
-            if (machine.noticed) stopOn(machine) { remainingS(it, now) >= machine.noticeS }
+            if (machine.noticed) stopOn(machine) { snapshots.remainingS(it, now) >= machine.noticeS }
         }
     }
 
@@ -482,64 +482,6 @@
         }
     }
 
-    private fun snapshot(now: Moment): Snapshot {
-        val machines = ArrayList<MachineView>(ledger.machines.size)
-        for (machine in ledger.machines.values) {
-            // Whoever reaches no controller loses its tasks with its lease, although direct commands may still reach it.
-            if (!machine.usable(now) || now - machine.reportedAt > timing.quietMs) continue
-            val type = ledger.types[machine.type] ?: continue
-            val zone = machine.zone ?: continue
-            machines += MachineView(
-                machine.id,
-                type,
-                zone,
-                machine.spot,
-                type.capacity - machine.used,
-                machine.images.keys,
-                machine.reservedFor,
-            ) { machine.live.values.map { resident(it, now) } }
-        }
-        val jobs = ArrayList<JobView>(ledger.jobs.size)
-        // What waits for other jobs is no demand yet, whatever it has been promised.
-        dependencies.refreshClaims()
-        for (job in ledger.jobs.values) if (!job.cancelled && job.isReleased) jobs += view(job, now)
-        return Snapshot(machines, jobs, teams.keys.associateWith { ledger.use(it) }, teams, assurance)
-    }
-
-    private fun remainingS(assignment: Assignment, now: Moment): Double {
-        val estimate = ledger.runEstimateS(assignment.job)
-        val elapsed = assignment.runningSince?.let { (now - it) / 1000.0 } ?: 0.0
-        return maxOf(estimate - elapsed, estimate * LEAST_REMAINING)
-    }
-
-    private fun resident(assignment: Assignment, now: Moment): Resident {
-        val job = assignment.job
-        return Resident(
-            TaskId(job.id, assignment.index),
-            job.spec,
-            remainingS(assignment, now),
-            job.evictions.get(assignment.index),
-            assignment.stopGraceS != null || assignment.phase == Phase.ENDED,
-        )
-    }
-
-    private fun view(job: Job, now: Moment): JobView {
-        val runS = ledger.runEstimateS(job)
-        val perZone = if (!job.spec.oneZone && !job.spec.spread) {
-            emptyMap()
-        } else {
-            job.live.values.groupingBy { it.zone }.eachCount()
-        }
-        return JobView(
-            job.schedulingSpec, job.waitingFrom, job.openCount, job.spec.tasks - job.doneCount, job.live.size, perZone, runS, job.failedOn,
-            job.poisoned, now >= job.notBefore, untilDueS(job) - runS, (now - job.lastProgress) / 1000.0,
-        ) { count -> job.firstOpen(count) }
-    }
-
-    private fun untilDueS(job: Job): Double = untilS(job.effectiveDue)
-
-    private fun untilS(due: WallTime?): Double = if (due == null) NO_DEADLINE_S else (due.ms - clock.wall().ms) / 1000.0
-
     /** Has the next pass come soon; the caller holds the lock. */
     fun wakePlacement() {
         placeSoon = true
@@ -567,10 +509,8 @@
 
     private companion object {
         const val RESERVATION_MS = 30_000L
-        const val LEAST_REMAINING = 0.1
         const val TIDY_MS = 1000L
         const val VICTIMS_PER_ENTRY = 16
-        const val NO_DEADLINE_S = 1e6
         const val MOST_RESOLVED_AT_ONCE = 100
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/SchedulingSnapshots.kt
@@ -0,0 +1,86 @@
+package mountmast.coordination
+
+import mountmast.protocol.Clock
+import mountmast.protocol.Moment
+import mountmast.protocol.TaskId
+import mountmast.protocol.TeamId
+import mountmast.protocol.TeamQuota
+import mountmast.protocol.WallTime
+
+/**
+ * Turns the ledger into what the scheduler decides on. A job that waits for others is left out: it is no demand yet.
+ * Guarded as the [Ledger] is.
+ */
+class SchedulingSnapshots(
+    private val ledger: Ledger,
+    private val dependencies: JobDependencies,
+    private val teams: Map<TeamId, TeamQuota>,
+    private val timing: Timing,
+    private val clock: Clock,
+) {
+    /** What a pass decides on; [assurance] holds the smoothed degrees of the pass before. */
+    fun take(now: Moment, assurance: Map<TeamId, Double>): Snapshot {
+        val machines = ArrayList<MachineView>(ledger.machines.size)
+        for (machine in ledger.machines.values) {
+            // Whoever reaches no controller loses its tasks with its lease, although direct commands may still reach it.
+            if (!machine.usable(now) || now - machine.reportedAt > timing.quietMs) continue
+            val type = ledger.types[machine.type] ?: continue
+            val zone = machine.zone ?: continue
+            machines += MachineView(
+                machine.id,
+                type,
+                zone,
+                machine.spot,
+                type.capacity - machine.used,
+                machine.images.keys,
+                machine.reservedFor,
+            ) { machine.live.values.map { resident(it, now) } }
+        }
+        val jobs = ArrayList<JobView>(ledger.jobs.size)
+        // What waits for other jobs is no demand yet, whatever it has been promised.
+        dependencies.refreshClaims()
+        for (job in ledger.jobs.values) if (!job.cancelled && job.isReleased) jobs += view(job, now)
+        return Snapshot(machines, jobs, teams.keys.associateWith { ledger.use(it) }, teams, assurance)
+    }
+
+    /** How long a task will still run, as far as its estimate tells, in seconds. */
+    fun remainingS(assignment: Assignment, now: Moment): Double {
+        val estimate = ledger.runEstimateS(assignment.job)
+        val elapsed = assignment.runningSince?.let { (now - it) / 1000.0 } ?: 0.0
+        return maxOf(estimate - elapsed, estimate * LEAST_REMAINING)
+    }
+
+    private fun resident(assignment: Assignment, now: Moment): Resident {
+        val job = assignment.job
+        return Resident(
+            TaskId(job.id, assignment.index),
+            job.schedulingSpec,
+            remainingS(assignment, now),
+            job.evictions.get(assignment.index),
+            assignment.stopGraceS != null || assignment.phase == Phase.ENDED,
+        )
+    }
+
+    private fun view(job: Job, now: Moment): JobView {
+        val runS = ledger.runEstimateS(job)
+        val perZone = if (!job.spec.oneZone && !job.spec.spread) {
+            emptyMap()
+        } else {
+            job.live.values.groupingBy { it.zone }.eachCount()
+        }
+        return JobView(
+            job.schedulingSpec, job.waitingFrom, job.openCount, job.spec.tasks - job.doneCount, job.live.size, perZone, runS, job.failedOn,
+            job.poisoned, now >= job.notBefore, untilDueS(job) - runS, (now - job.lastProgress) / 1000.0,
+        ) { count -> job.firstOpen(count) }
+    }
+
+    private fun untilDueS(job: Job): Double = untilS(job.effectiveDue)
+
+    /** Seconds until [due], or a long time where there is none. */
+    fun untilS(due: WallTime?): Double = if (due == null) NO_DEADLINE_S else (due.ms - clock.wall().ms) / 1000.0
+
+    private companion object {
+        const val NO_DEADLINE_S = 1e6
+        const val LEAST_REMAINING = 0.1
+    }
+}
--- a/src/main/kotlin/mountmast/protocol/JobValidation.kt
+++ b/src/main/kotlin/mountmast/protocol/JobValidation.kt
@@ -51,7 +51,7 @@
         memoryGb = amount(body, "memGb"),
         image = ImageId(string(body, "bundle")),
         imageGb = amount(body, "sizeGb"),
-        types = types(body),
+        types = strings(body, "hulls")?.map { TypeId(it) },
         zone = optional(body, "yard")?.let { zone(string(it, "yard")) },
         oneZone = flag(body, "together"),
         spread = flag(body, "scatter"),
@@ -60,7 +60,9 @@
         checkpointEveryS = amount(body, "markEveryS"),
         saveS = amount(body, "markCostS"),
         deadlineS = optional(body, "dueS")?.let { amount(it, "dueS") },
-        prerequisites = prerequisites(body),
+        prerequisites = strings(body, PREREQUISITES).orEmpty()
+            .map { JobId.parse(it) ?: throw Malformed("$PREREQUISITES: not a job id") }
+            .distinct(),
     )
 
     /** Why [job] can never run, or null where it can. */
@@ -123,22 +125,12 @@
         return value.content.toBooleanStrictOrNull() ?: throw Malformed("$name: not true or false")
     }
 
-    private fun types(body: JsonObject): List<TypeId>? {
-        val list = optional(body, "hulls") ?: return null
-        if (list !is JsonArray) throw Malformed("hulls: not a list")
-        return list.map { TypeId(string(it, "hulls")) }
+    private fun strings(body: JsonObject, name: String): List<String>? {
+        val list = optional(body, name) ?: return null
+        if (list !is JsonArray) throw Malformed("$name: not a list")
+        return list.map { string(it, name) }
     }
 
-    /** The jobs named as prerequisites, each once; whether they exist is for the caller to find out. */
-    private fun prerequisites(body: JsonObject): List<JobId> {
-        val list = optional(body, PREREQUISITES) ?: return emptyList()
-        if (list !is JsonArray) throw Malformed("$PREREQUISITES: not a list")
-        return list.map { jobId(it) }.distinct()
-    }
-
-    private fun jobId(element: JsonElement): JobId =
-        JobId.parse(string(element, PREREQUISITES)) ?: throw Malformed("$PREREQUISITES: not a job id")
-
     private fun <T> choice(body: JsonObject, name: String, values: Map<String, T>): T =
         values[string(body, name)] ?: throw Malformed("$name: unknown value")
 
--- a/src/main/kotlin/mountmast/storage/TextCodec.kt
+++ b/src/main/kotlin/mountmast/storage/TextCodec.kt
@@ -7,7 +7,7 @@
 import java.util.zip.Inflater
 
 /** A compressed text that cannot be read. */
-class UnreadableText(message: String) : IllegalArgumentException(message)
+class UnreadableText(message: String, cause: Throwable? = null) : IllegalArgumentException(message, cause)
 
 /**
  * A piece of a longer text in the form in which one value holds it: as it is, or compressed.
@@ -126,7 +126,7 @@
         val bytes = try {
             Base64.getDecoder().decode(compressed)
         } catch (e: IllegalArgumentException) {
-            throw UnreadableText("not Base64: ${e.message}")
+            throw UnreadableText("not Base64: ${e.message}", e)
         }
         val inflater = Inflater(true)
         try {
@@ -141,7 +141,7 @@
             }
             return out.toString(Charsets.UTF_8)
         } catch (e: DataFormatException) {
-            throw UnreadableText("not compressed text: ${e.message}")
+            throw UnreadableText("not compressed text: ${e.message}", e)
         } finally {
             inflater.end()
         }
--- a/src/test/kotlin/mountmast/protocol/JobValidationTest.kt
+++ b/src/test/kotlin/mountmast/protocol/JobValidationTest.kt
@@ -1,5 +1,6 @@
 package mountmast.protocol
 
+import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonNull
 import kotlinx.serialization.json.JsonObject
@@ -29,6 +30,15 @@
         assertNull(bare.deadlineS)
     }
 
+    @Test
+    fun `prerequisites may be absent, null or empty, and doubles count once`() {
+        for (none in listOf(good, with("waitsOn", JsonNull), with("waitsOn", JsonArray(emptyList())))) {
+            assertEquals(emptyList<JobId>(), JobValidation.parse(none).prerequisites)
+        }
+        val names = listOf("j-2", "j-1", "j-2").map { JsonPrimitive(it) }
+        assertEquals(listOf(JobId("j-2"), JobId("j-1")), JobValidation.parse(with("waitsOn", JsonArray(names))).prerequisites)
+    }
+
     @Test
     fun `every missing or invalid field is refused by name`() {
         for (name in good.keys - setOf("hulls", "yard", "dueS", "new")) {
@@ -41,7 +51,8 @@
             "vcpus" to JsonPrimitive("8.0"), "vcpus" to JsonPrimitive(-1), "vcpus" to JsonPrimitive(1e300),
             "memGb" to JsonPrimitive(true), "together" to JsonPrimitive("true"), "shape" to JsonPrimitive("ensemble"),
             "urgency" to JsonPrimitive("low"), "hulls" to JsonPrimitive("g8"), "yard" to JsonPrimitive(3),
-            "owner" to JsonNull, "dueS" to JsonPrimitive(-5),
+            "owner" to JsonNull, "dueS" to JsonPrimitive(-5), "waitsOn" to JsonPrimitive("j-000001"),
+            "waitsOn" to JsonArray(listOf(JsonPrimitive("job-1"))), "waitsOn" to JsonArray(listOf(JsonPrimitive(1))),
         )
         for ((name, value) in invalid) assertThrows(Malformed::class.java, { JobValidation.parse(with(name, value)) }, name)
         for (text in listOf("", "[]", "3", "{", "null")) {
