--- a/src/main/kotlin/mountmast/CommandLineTool.kt
+++ b/src/main/kotlin/mountmast/CommandLineTool.kt
@@ -1,10 +1,10 @@
 package mountmast
 
 import mountmast.coordination.OperatorSettings
-import mountmast.protocol.BadSettings
+import mountmast.protocol.InvalidSettingsException
 import mountmast.protocol.Settings
 import mountmast.transport.HttpCaller
-import mountmast.transport.NoAnswer
+import mountmast.transport.NoAnswerException
 import picocli.CommandLine
 import picocli.CommandLine.Model.CommandSpec
 import picocli.CommandLine.Model.OptionSpec
@@ -75,8 +75,8 @@
             settings = Settings.read(File(config))
             operators = if (tuning == null) OperatorSettings() else OperatorSettings.read(tuning) { File(tuning).inputStream() }
             val unknown = operators.policy.guaranteedFromOf.keys - settings.teams.keys
-            if (unknown.isNotEmpty()) throw BadSettings("$tuning: <guaranteed-from> names an unknown team ${unknown.first()}")
-        } catch (e: BadSettings) {
+            if (unknown.isNotEmpty()) throw InvalidSettingsException("$tuning: <guaranteed-from> names an unknown team ${unknown.first()}")
+        } catch (e: InvalidSettingsException) {
             return usage(e.message.orEmpty())
         }
         if (checkOnly) {
@@ -115,7 +115,7 @@
     private fun call(at: InetSocketAddress, method: String, path: String, body: ByteArray?): Int {
         val reply = try {
             HttpCaller().call(at, method, path, body, WAIT_MS)
-        } catch (e: NoAnswer) {
+        } catch (e: NoAnswerException) {
             return fail("no answer from $at: ${e.message}; check the address or try another node")
         }
         if (reply.status in 200..201) {
--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.encodeToString
 import mountmast.coordination.OperatorSettings
 import mountmast.protocol.Attempt
-import mountmast.protocol.BeatAnswer
+import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobValidation
 import mountmast.protocol.MachineId
 import mountmast.protocol.Member
@@ -12,10 +12,10 @@
 import mountmast.protocol.OrdersMessage
 import mountmast.protocol.PeerHello
 import mountmast.protocol.RelayRequest
+import mountmast.protocol.ReportNumber
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Session
 import mountmast.protocol.Settings
-import mountmast.protocol.Tally
 import mountmast.protocol.TaskState
 import mountmast.protocol.Term
 import mountmast.protocol.TypeId
@@ -61,10 +61,10 @@
         val caller = HttpCaller()
         val self = InetSocketAddress("127.0.0.1", port)
         val report = WorkerReport(
-            MachineId("vm-1"), "127.0.0.1:1", TypeId("t"), Zone("z"), false, Session(1u), Tally(1u), Term(0u), null,
+            MachineId("vm-1"), "127.0.0.1:1", TypeId("t"), Zone("z"), false, Session(1u), ReportNumber(1u), Term(0u), null,
             listOf(ReportedTask("j-1/0", Attempt(1u), TaskState.RUNNING)),
         )
-        WireJson.encodeToString(BeatAnswer(Term(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
+        WireJson.encodeToString(HeartbeatResponse(Term(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
         JobValidation.parse(JobValidation.parseObject(JOB))
         val bodies = listOf("/agent/beat" to WireJson.encodeToString(report), "/v1/jobs" to JOB)
         for ((path, body) in bodies) caller.call(self, "POST", path, body.encodeToByteArray(), CALL_MS)
--- a/src/main/kotlin/mountmast/coordination/CancellationNotices.kt
+++ b/src/main/kotlin/mountmast/coordination/CancellationNotices.kt
@@ -2,7 +2,7 @@
 
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
 
 /**
@@ -15,7 +15,7 @@
 class CancellationNotices(private val members: List<NodeId>, private val clock: Clock, private val keepMs: Long) {
     private val lock = Any()
     private val pending = members.associateWith { LinkedHashSet<JobId>() }
-    private val known = LinkedHashMap<JobId, Moment>()
+    private val known = LinkedHashMap<JobId, MonotonicTime>()
 
     /** This node committed the cancellation of [id]. */
     fun committed(id: JobId): Unit = synchronized(lock) {
@@ -23,7 +23,7 @@
         remember(id)
         for (waiting in pending.values) {
             waiting += id
-            if (waiting.size > MOST_PENDING) waiting.remove(waiting.first())
+            if (waiting.size > MAX_PENDING) waiting.remove(waiting.first())
         }
     }
 
@@ -36,7 +36,7 @@
         val oldest = known.entries.iterator()
         while (oldest.hasNext()) {
             val entry = oldest.next()
-            if (now - entry.value <= keepMs && known.size <= MOST_KNOWN) break
+            if (now - entry.value <= keepMs && known.size <= MAX_KNOWN) break
             oldest.remove()
         }
     }
@@ -48,15 +48,15 @@
     fun all(): List<JobId> = synchronized(lock) { known.keys.toList() }
 
     /** What [member] has still to be told, the oldest first. */
-    fun pendingFor(member: NodeId): List<JobId> = synchronized(lock) { pending[member].orEmpty().take(MOST_AT_ONCE) }
+    fun pendingFor(member: NodeId): List<JobId> = synchronized(lock) { pending[member].orEmpty().take(MAX_AT_ONCE) }
 
     /** [member] answered a greeting with [ids]. */
     fun acknowledged(member: NodeId, ids: List<JobId>): Unit = synchronized(lock) { pending[member]?.removeAll(ids.toSet()) }
 
     private companion object {
         /** Some 10 KB of a greeting. */
-        const val MOST_AT_ONCE = 500
-        const val MOST_PENDING = 5000
-        const val MOST_KNOWN = 10_000
+        const val MAX_AT_ONCE = 500
+        const val MAX_PENDING = 5000
+        const val MAX_KNOWN = 10_000
     }
 }
--- a/src/main/kotlin/mountmast/coordination/Dispatch.kt
+++ b/src/main/kotlin/mountmast/coordination/CommandDispatcher.kt
@@ -2,11 +2,11 @@
 
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineId
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Order
 import mountmast.protocol.OrdersMessage
+import mountmast.protocol.ReportNumber
 import mountmast.protocol.Session
-import mountmast.protocol.Tally
 import mountmast.protocol.Term
 import mountmast.protocol.Verb
 import mountmast.protocol.WorkerReport
@@ -17,18 +17,18 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-/** What workers are told to do, in answers to their reports and by direct commands. Guarded by the [Reign]'s lock. */
-class Dispatch(
+/** What workers are told to do, in answers to their reports and by direct commands. Guarded by the [LeaderTerm]'s lock. */
+class CommandDispatcher(
     private val lock: ReentrantLock,
     private val ledger: Ledger,
-    private val mandate: Mandate,
+    private val grant: LeadershipGrant,
     private val workers: Workers,
     private val timing: Timing,
     private val clock: Clock,
     /** Whether the jobs are known up to a moment ago; the caller holds the lock. */
-    private val isInformed: (Moment) -> Boolean,
+    private val isInformed: (MonotonicTime) -> Boolean,
     /** Takes the report with which a worker answers a command; called with the lock held. */
-    private val onReport: (WorkerReport, Moment) -> Unit,
+    private val onReport: (WorkerReport, MonotonicTime) -> Unit,
 ) {
     private val postQueue = LinkedHashSet<MachineId>()
     private val postable: Condition = lock.newCondition()
@@ -37,7 +37,7 @@
     private val callQueue = LinkedHashSet<MachineId>()
 
     /** The token for [machine]. */
-    fun token(machine: Machine) = mandate.term.fenced(machine.fences)
+    fun token(machine: Machine) = grant.term.fenced(machine.fences)
 
     /**
      * Commands without an answer may be executed minutes later, also when their job has long been cancelled. A higher token
@@ -50,16 +50,16 @@
         }
     }
 
-    /** Takes note of the token that a worker of this reign shows. */
+    /** Takes note of the token that a worker of this term shows. */
     fun noteToken(machine: Machine, shown: Term) {
-        if (shown.reign != mandate.term.reign) return
-        val fences = (shown.number - mandate.term.number).toInt()
+        if (shown.election != grant.term.election) return
+        val fences = (shown.number - grant.term.number).toInt()
         machine.fences = maxOf(machine.fences, fences)
         machine.mayStillStart.values.removeIf { it < fences }
     }
 
-    /** Every command that the worker has not shown to have executed; [inBeat] names the report they answer. */
-    fun outstanding(machine: Machine, inBeat: Tally?): List<Order> {
+    /** Every command that the worker has not shown to have executed; [inHeartbeat] names the report they answer. */
+    fun outstanding(machine: Machine, inHeartbeat: ReportNumber?): List<Order> {
         val orders = ArrayList<Order>()
         // A job may have been cancelled since the jobs were last read, and nothing of it may start then.
         val mayStart = isInformed(clock.now())
@@ -68,16 +68,16 @@
             val grace = assignment.stopGraceS
             if (grace == null && assignment.reported == null && mayStart) {
                 orders += Order(Verb.START, assignment.taskName, assignment.attempt)
-                if (inBeat != null) assignment.startedInBeat = inBeat
+                if (inHeartbeat != null) assignment.startedInHeartbeat = inHeartbeat
             }
             if (grace != null) orders += Order(Verb.STOP, assignment.taskName, assignment.attempt, grace)
         }
-        if (inBeat != null) {
-            for (stranger in machine.strangers) {
-                if (!stranger.exited) {
-                    orders += Order(Verb.STOP, stranger.taskName, stranger.attempt, 0.0)
-                } else if (mayForget(stranger, machine)) {
-                    orders += Order(Verb.FORGET, stranger.taskName, stranger.attempt)
+        if (inHeartbeat != null) {
+            for (unknownTask in machine.unknownTasks) {
+                if (!unknownTask.exited) {
+                    orders += Order(Verb.STOP, unknownTask.taskName, unknownTask.attempt, 0.0)
+                } else if (mayForget(unknownTask, machine)) {
+                    orders += Order(Verb.FORGET, unknownTask.taskName, unknownTask.attempt)
                 }
             }
         }
@@ -88,8 +88,8 @@
      * A start that comes once more, even one that was carried out and answered, runs an attempt again that the worker has
      * forgotten: beside the next attempt, or long after its job was cancelled. What completed would only complete again.
      */
-    private fun mayForget(stranger: Stranger, machine: Machine) =
-        (stranger.completed || machine.strangers.size > MOST_KEPT) && stranger.taskName to stranger.attempt !in machine.mayStillStart
+    private fun mayForget(unknownTask: UnknownTask, machine: Machine) = (unknownTask.completed || machine.unknownTasks.size > MAX_KEPT) &&
+        unknownTask.taskName to unknownTask.attempt !in machine.mayStillStart
 
     /** Has the commands for a machine sent soon; the caller holds the lock. */
     fun queue(id: MachineId) {
@@ -111,7 +111,7 @@
             // A host behind a cut holds a poster until its deadline, and with a fifth of the fleet cut the commands to all
             // the others waited. Whoever is silent gets them in the answer to its next report.
             if (now - machine.heardAt > timing.quietMs) return true
-            val orders = outstanding(machine, inBeat = null)
+            val orders = outstanding(machine, inHeartbeat = null)
             if (orders.isEmpty()) return true
             forStarts(machine, orders) { it.postsOut++ }
             machine.postInFlight = true
@@ -140,7 +140,7 @@
     private class Command(val machine: Machine, val session: Session, val fences: Int, val orders: List<Order>)
 
     private fun send(command: Command) {
-        val message = OrdersMessage(mandate.term.fenced(command.fences), command.session, command.orders)
+        val message = OrdersMessage(grant.term.fenced(command.fences), command.session, command.orders)
         val outcome = workers.order(checkNotNull(command.machine.address), message)
         lock.withLock { posted(command, outcome) }
     }
@@ -149,15 +149,15 @@
      * A worker that still reports to the leader before, which may be cut off from everybody else, learns of us only
      * from a command: our token in it, even without any order, makes it look for the new leader.
      */
-    private fun needsCall(machine: Machine, now: Moment) = machine.address != null &&
+    private fun needsCall(machine: Machine, now: MonotonicTime) = machine.address != null &&
         !machine.deleting &&
-        !machine.sawTerm &&
+        !machine.hasSeenTerm &&
         machine.state != MachineState.EXPIRED &&
         machine.state != MachineState.BOOTING &&
         now - machine.calledAt > CALL_AFTER_MS
 
     /** Has those workers called that have not shown our token although this node has led since [readyAt]. */
-    fun callWorkers(readyAt: Moment, now: Moment) {
+    fun callWorkers(readyAt: MonotonicTime, now: MonotonicTime) {
         if (now - readyAt !in CALL_AFTER_MS..timing.formerLeaderMs + timing.leaseOverMs) return
         for (machine in ledger.machines.values) if (needsCall(machine, now)) callQueue += machine.id
     }
@@ -191,6 +191,6 @@
         const val CALL_AFTER_MS = 3000L
 
         /** Attempts that a worker need not forget within a session; reports must not grow without end. */
-        const val MOST_KEPT = 64
+        const val MAX_KEPT = 64
     }
 }
--- a/src/main/kotlin/mountmast/coordination/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/Controller.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination
 
-import mountmast.protocol.BeatAnswer
 import mountmast.protocol.Clock
+import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
 import mountmast.protocol.Member
@@ -18,10 +18,10 @@
 import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
-import mountmast.storage.StoreTrouble
-import mountmast.transport.BeatOutcome
-import mountmast.transport.BeatService
+import mountmast.storage.StoreException
 import mountmast.transport.Cloud
+import mountmast.transport.HeartbeatOutcome
+import mountmast.transport.HeartbeatService
 import mountmast.transport.PeerService
 import mountmast.transport.Peers
 import mountmast.transport.UserAnswer
@@ -48,7 +48,7 @@
     private val clock: Clock,
     /** Drawn at each start, so that no two processes are ever taken for one another. */
     private val run: String,
-) : BeatService,
+) : HeartbeatService,
     PeerService {
     private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.reportS)
     private val leadership = Leadership(store, settings.node, run, timing, clock)
@@ -57,14 +57,15 @@
     /** Whether every node of the deployment reads the current forms. */
     val formats = FormatAgreement(store, settings.members.map { it.node })
     private val prerequisiteLists = PrerequisiteLists(store, settings.stateLimits)
-    private val desk = JobDesk(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, settings.stateLimits, { formats.isCurrent })
+    private val jobService =
+        JobService(store, settings.teams, clock, ::relay, ::ready, ::tellCancelled, settings.stateLimits, { formats.isCurrent })
 
     /** What users may ask of this node. */
-    val users: UserService get() = desk
+    val users: UserService get() = jobService
 
-    private class Office(val reign: Reign, val writer: LedgerWriter, val fleet: Fleet)
+    private class LeaderComponents(val leaderTerm: LeaderTerm, val writer: LedgerWriter, val fleet: Fleet)
 
-    private val office = AtomicReference<Office?>()
+    private val leaderComponents = AtomicReference<LeaderComponents?>()
     private val hellos = ConcurrentHashMap<NodeId, Pair<PeerHello, Long>>()
     private val helped = ConcurrentHashMap.newKeySet<MachineId>()
 
@@ -83,34 +84,34 @@
     @Volatile
     private var declinesUsers = false
 
-    /** The reign to work in, or null while this node does not lead. */
-    fun reign(): Reign? = office.get()?.reign?.takeIf { it.ready }
+    /** The term to work in, or null while this node does not lead. */
+    fun leaderTerm(): LeaderTerm? = leaderComponents.get()?.leaderTerm?.takeIf { it.ready }
 
     /** Renews, follows or tries to lead; about once a second. */
     fun lead() {
         leadership.step()
-        val reign = office.get()?.reign
+        val leaderTerm = leaderComponents.get()?.leaderTerm
         // Cut off from the workers alone, in either direction, this node would renew for ever while their leases run out.
-        val why = reign?.unfit() ?: reign?.let(::whyUninformed)
-        if (reign != null && why != null && freshHellos().any { it.serves }) leadership.resign(reign.mandate, why)
-        syncOffice()
+        val why = leaderTerm?.unfit() ?: leaderTerm?.let(::whyUninformed)
+        if (leaderTerm != null && why != null && freshHellos().any { it.serves }) leadership.resign(leaderTerm.grant, why)
+        syncLeaderComponents()
         weighUsers()
         try {
-            if (!desk.knowsTypes || stepsSinceTypes++ >= TYPES_STEPS) {
-                desk.refreshTypes()
+            if (!jobService.knowsTypes || stepsSinceTypes++ >= TYPES_STEPS) {
+                jobService.refreshTypes()
                 stepsSinceTypes = 0
             }
-        } catch (e: StoreTrouble) {
+        } catch (e: StoreException) {
             log.debug("machine types: {}", e.message)
         }
         formats.step()
     }
 
     /** A leader that renews but learns of no cancellation may soon answer no worker any more; an outage is no such case. */
-    private fun whyUninformed(reign: Reign): String? {
-        val renews = leadership.confirmedUntil(reign.mandate)?.let { clock.now() - it < CONFIRMED_MS } == true
-        uninformedSteps = if (renews && (reign.uninformedMs() ?: 0) > timing.ttlMs) uninformedSteps + 1 else 0
-        return if (uninformedSteps > MOST_UNINFORMED_STEPS) "the jobs cannot be followed" else null
+    private fun whyUninformed(leaderTerm: LeaderTerm): String? {
+        val renews = leadership.confirmedUntil(leaderTerm.grant)?.let { clock.now() - it < CONFIRMED_MS } == true
+        uninformedSteps = if (renews && (leaderTerm.uninformedMs() ?: 0) > timing.ttlMs) uninformedSteps + 1 else 0
+        return if (uninformedSteps > MAX_UNINFORMED_STEPS) "the jobs cannot be followed" else null
     }
 
     /** Notes that a sleep was [ms] too long: this process falls behind its share of the processor. */
@@ -123,34 +124,34 @@
      * no more or one of the others is missing: the load balancer takes a node back ever more slowly.
      */
     private fun weighUsers() {
-        val mandate = leadership.mandate()
+        val grant = leadership.grant()
         val others = freshHellos().count { it.serves }
         declinesUsers = when {
-            mandate == null || others < maxOf(LEAST_OTHERS, settings.members.size) -> false
-            else -> declinesUsers || (lagMs > BUSY_LAG_MS && clock.now() - mandate.electedAt > SETTLING_MS)
+            grant == null || others < maxOf(MIN_OTHERS, settings.members.size) -> false
+            else -> declinesUsers || (lagMs > BUSY_LAG_MS && clock.now() - grant.electedAt > SETTLING_MS)
         }
     }
 
     /** Waits while another node leads; false where there is nothing to wait for. */
     fun awaitVacancy(waitMs: Long): Boolean = leadership.awaitVacancy(waitMs)
 
-    private fun syncOffice() {
-        val mandate = leadership.mandate()
-        val current = office.get()
-        if (mandate == null) {
+    private fun syncLeaderComponents() {
+        val grant = leadership.grant()
+        val current = leaderComponents.get()
+        if (grant == null) {
             if (current != null) {
-                office.set(null)
+                leaderComponents.set(null)
                 store.shareAs(leader = false)
             }
             return
         }
-        if (current?.reign?.mandate === mandate) return
+        if (current?.leaderTerm?.grant === grant) return
         store.shareAs(leader = true)
-        val reign =
-            Reign(mandate, store, workers, settings.teams, policy, timing, clock, { it in notices }, prerequisiteLists)
-        val writer = LedgerWriter(reign, store, settings.stateLimits, clock, { formats.isCurrent }) { leadership.lost() }
-        val fleet = Fleet(reign, cloud, clock, "${settings.node}-$run-${mandate.term}", fleetPolicy, timing)
-        office.set(Office(reign, writer, fleet))
+        val leaderTerm =
+            LeaderTerm(grant, store, workers, settings.teams, policy, timing, clock, { it in notices }, prerequisiteLists)
+        val writer = LedgerWriter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { leadership.lost() }
+        val fleet = Fleet(leaderTerm, cloud, clock, "${settings.node}-$run-${grant.term}", fleetPolicy, timing)
+        leaderComponents.set(LeaderComponents(leaderTerm, writer, fleet))
     }
 
     /**
@@ -158,10 +159,10 @@
      * Not part of [lead]: reading takes seconds after a start, and the hold must be renewed meanwhile.
      */
     fun load(): Boolean {
-        val reign = office.get()?.reign ?: return false
+        val leaderTerm = leaderComponents.get()?.leaderTerm ?: return false
         return try {
-            reign.load()
-        } catch (e: StoreTrouble) {
+            leaderTerm.load()
+        } catch (e: StoreException) {
             log.debug("loading: {}", e.message)
             false
         }
@@ -169,21 +170,21 @@
 
     /** One pass of the scheduler. */
     fun pass() {
-        val reign = reign() ?: return
-        reign.pass()
-        leadership.confirmedUntil(reign.mandate)?.let { reign.expireSilent(it) }
+        val leaderTerm = leaderTerm() ?: return
+        leaderTerm.pass()
+        leadership.confirmedUntil(leaderTerm.grant)?.let { leaderTerm.expireSilent(it) }
     }
 
     /** Writes what the ledger changed; false where there was nothing to write. */
-    fun write(): Boolean = office.get()?.takeIf { it.reign.ready }?.writer?.step() ?: false
+    fun write(): Boolean = leaderComponents.get()?.takeIf { it.leaderTerm.ready }?.writer?.step() ?: false
 
     /** Learns of new and cancelled jobs; false where the state service did not tell. */
     fun follow(waitMs: Long): Boolean {
-        val reign = reign() ?: return false
+        val leaderTerm = leaderTerm() ?: return false
         return try {
-            reign.followJobs(waitMs)
+            leaderTerm.followJobs(waitMs)
             true
-        } catch (e: StoreTrouble) {
+        } catch (e: StoreException) {
             log.debug("following jobs: {}", e.message)
             false
         }
@@ -191,10 +192,10 @@
 
     /** Learns what became of jobs that others wait for; false where there was nothing to learn. */
     fun resolvePrerequisites(): Boolean {
-        val reign = reign() ?: return false
+        val leaderTerm = leaderTerm() ?: return false
         return try {
-            reign.resolvePrerequisites()
-        } catch (e: StoreTrouble) {
+            leaderTerm.resolvePrerequisites()
+        } catch (e: StoreException) {
             log.debug("looking up prerequisites: {}", e.message)
             false
         }
@@ -202,36 +203,36 @@
 
     /** Renting and returning cannot be taken back, so only a leader that was confirmed just now does either. */
     fun manageFleet() {
-        val current = office.get()?.takeIf { it.reign.ready } ?: return
-        val confirmed = leadership.confirmedUntil(current.reign.mandate) ?: return
+        val current = leaderComponents.get()?.takeIf { it.leaderTerm.ready } ?: return
+        val confirmed = leadership.confirmedUntil(current.leaderTerm.grant) ?: return
         if (clock.now() - confirmed < CONFIRMED_MS) current.fleet.step()
     }
 
     /** Sends commands to one worker; false where there were none to send. */
-    fun post(waitMs: Long): Boolean = reign()?.dispatch?.postNext(waitMs) ?: false
+    fun post(waitMs: Long): Boolean = leaderTerm()?.dispatch?.postNext(waitMs) ?: false
 
     /** Calls one worker that may still be with a former leader; false where there was none to call. */
-    fun call(): Boolean = reign()?.dispatch?.callNext() ?: false
+    fun call(): Boolean = leaderTerm()?.dispatch?.callNext() ?: false
 
-    override fun beat(report: WorkerReport): BeatOutcome {
+    override fun heartbeat(report: WorkerReport): HeartbeatOutcome {
         leadership.heard(report.term)
-        val mandate = leadership.mandate() ?: return help(report) ?: BeatOutcome.Elsewhere(leadership.leader())
-        val reign = office.get()?.reign
-        if (!leadership.mayAnswerWorkers() || report.term.reign > mandate.term.reign) return BeatOutcome.Elsewhere(null)
-        if (reign == null || reign.mandate !== mandate || !reign.mayAnswerWorkers()) return BeatOutcome.Elsewhere(null)
-        if (!reign.ready) return BeatOutcome.Accepted(BeatAnswer(maxOf(mandate.term, report.term), stopsOf(report)))
-        return BeatOutcome.Accepted(reign.beat(report))
+        val grant = leadership.grant() ?: return help(report) ?: HeartbeatOutcome.Elsewhere(leadership.leader())
+        val leaderTerm = leaderComponents.get()?.leaderTerm
+        if (!leadership.mayAnswerWorkers() || report.term.election > grant.term.election) return HeartbeatOutcome.Elsewhere(null)
+        if (leaderTerm == null || leaderTerm.grant !== grant || !leaderTerm.mayAnswerWorkers()) return HeartbeatOutcome.Elsewhere(null)
+        if (!leaderTerm.ready) return HeartbeatOutcome.Accepted(HeartbeatResponse(maxOf(grant.term, report.term), stopsOf(report)))
+        return HeartbeatOutcome.Accepted(leaderTerm.heartbeat(report))
     }
 
     /** Renews a worker's lease once for a leader that was elected a moment ago; its next report is sent there. */
-    private fun help(report: WorkerReport): BeatOutcome? {
+    private fun help(report: WorkerReport): HeartbeatOutcome? {
         val term = leadership.helps() ?: return null
         if (term != helpedIn) {
             helped.clear()
             helpedIn = term
         }
-        if (report.term.reign > term.reign || helped.size >= MOST_HELPED || !helped.add(report.machine)) return null
-        return BeatOutcome.Accepted(BeatAnswer(maxOf(term, report.term), stopsOf(report)))
+        if (report.term.election > term.election || helped.size >= MAX_HELPED || !helped.add(report.machine)) return null
+        return HeartbeatOutcome.Accepted(HeartbeatResponse(maxOf(term, report.term), stopsOf(report)))
     }
 
     /** What a node that does not know the jobs can tell a worker all the same: to stop what other nodes said is cancelled. */
@@ -247,8 +248,8 @@
     /** Before a user is told of a cancellation the leader is, if it can be reached, so that nothing of the job starts after it. */
     private fun tellCancelled(id: JobId) {
         notices.committed(id)
-        val reign = office.get()?.reign
-        if (reign != null) return reign.cancellationsHeard(listOf(id))
+        val leaderTerm = leaderComponents.get()?.leaderTerm
+        if (leaderTerm != null) return leaderTerm.cancellationsHeard(listOf(id))
         val leader = leadership.leader() ?: return
         if (freshHellos().any { it.node == leader.text }) settings.members.firstOrNull { it.node == leader }?.let(::greet)
     }
@@ -278,14 +279,14 @@
         val cancelled = hello.cancelled.mapNotNull(JobId::parse)
         if (cancelled.isEmpty()) return
         notices.heard(cancelled)
-        office.get()?.reign?.cancellationsHeard(cancelled)
+        leaderComponents.get()?.leaderTerm?.cancellationsHeard(cancelled)
     }
 
     private fun ownHello() = PeerHello(
         settings.node.text,
         leadership.highestTerm().number.toLong(),
         canServe(),
-        leadership.mandate() != null,
+        leadership.grant() != null,
         formatVersion = FORMAT_VERSION,
     )
 
@@ -298,7 +299,7 @@
         return UserAnswer(answer.status, answer.body, answer.retryAfterS)
     }
 
-    private fun canServe() = desk.knowsTypes && store.reachable
+    private fun canServe() = jobService.knowsTypes && store.reachable
 
     /**
      * Users are sent elsewhere only if some other node can serve what this one cannot. Where all are blocked alike,
@@ -311,11 +312,11 @@
         const val CONFIRMED_MS = 2500L
         const val HELLO_FRESH_MS = 6000L
         const val TYPES_STEPS = 30
-        const val MOST_UNINFORMED_STEPS = 8
-        const val MOST_HELPED = 10_000
+        const val MAX_UNINFORMED_STEPS = 8
+        const val MAX_HELPED = 10_000
         const val LAG_WEIGHT = 0.03
         const val BUSY_LAG_MS = 25.0
         const val SETTLING_MS = 10_000L
-        const val LEAST_OTHERS = 2
+        const val MIN_OTHERS = 2
     }
 }
--- a/src/main/kotlin/mountmast/coordination/DelayReports.kt
+++ b/src/main/kotlin/mountmast/coordination/DelayReports.kt
@@ -1,9 +1,9 @@
 package mountmast.coordination
 
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import org.slf4j.LoggerFactory
 
-private val log = LoggerFactory.getLogger("mountmast.reign")
+private val log = LoggerFactory.getLogger("mountmast.leader")
 
 /** Tells operators which jobs stall or are late. Guarded as its [Ledger] is. */
 class DelayReports(private val ledger: Ledger) {
@@ -21,11 +21,11 @@
 
     private fun tellWaiting(job: Job) {
         val open = job.release.open
-        log.info("job {} is late: it waits for {} jobs, among them {}", job.id, open.size, open.take(MOST_NAMED))
+        log.info("job {} is late: it waits for {} jobs, among them {}", job.id, open.size, open.take(MAX_NAMED))
     }
 
     /** Tells operators which jobs stall, for how long and what they wait for. */
-    fun tellStalls(waiting: List<Waiting>, now: Moment) {
+    fun tellStalls(waiting: List<Waiting>, now: MonotonicTime) {
         for (waits in waiting) {
             val job = ledger.jobs[waits.job] ?: continue
             val since = now - job.lastProgress
@@ -44,7 +44,7 @@
     }
 
     private companion object {
-        const val MOST_NAMED = 5
+        const val MAX_NAMED = 5
         const val STALL_MS = 30_000L
         const val STALL_REPEAT_MS = 60_000L
     }
--- a/src/main/kotlin/mountmast/coordination/FailingJobsWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/FailingJobsWriter.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WireJson
 import mountmast.storage.FailingJob
 import mountmast.storage.FailingRecord
@@ -15,7 +15,7 @@
  * others for them. Guarded as the [Ledger] is.
  */
 class FailingJobsWriter(private val ledger: Ledger, private val clock: Clock) {
-    private var notBefore = Moment(Long.MIN_VALUE / 2)
+    private var notBefore = MonotonicTime(Long.MIN_VALUE / 2)
     private var written: Map<JobId, FailingJob> = emptyMap()
 
     fun addTo(batch: WriteBatch, limits: WriteLimits) {
@@ -32,7 +32,7 @@
 
     /** What was added last may not have been written. */
     fun putBack() {
-        notBefore = Moment(Long.MIN_VALUE / 2)
+        notBefore = MonotonicTime(Long.MIN_VALUE / 2)
         written = emptyMap()
     }
 
--- a/src/main/kotlin/mountmast/coordination/Fleet.kt
+++ b/src/main/kotlin/mountmast/coordination/Fleet.kt
@@ -2,7 +2,7 @@
 
 import mountmast.protocol.Clock
 import mountmast.transport.Cloud
-import mountmast.transport.CloudTrouble
+import mountmast.transport.CloudException
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("mountmast.fleet")
@@ -12,7 +12,7 @@
  * work that waits. Called by one thread.
  */
 class Fleet(
-    reign: Reign,
+    leaderTerm: LeaderTerm,
     cloud: Cloud,
     private val clock: Clock,
     /** Begins the names of rental requests; no other process ever uses the same. */
@@ -20,10 +20,10 @@
     policy: FleetPolicy,
     timing: Timing,
 ) {
-    private val history = OfferHistory(reign.ledger)
-    private val inventory = FleetInventory(reign, cloud, policy)
-    private val returns = MachineReturns(reign, cloud, clock, policy, timing, history)
-    private val rentals = MachineRentals(reign, cloud, policy, timing, history, rentalPrefix)
+    private val history = OfferHistory(leaderTerm.ledger)
+    private val inventory = FleetInventory(leaderTerm, cloud, policy)
+    private val returns = MachineReturns(leaderTerm, cloud, clock, policy, timing, history)
+    private val rentals = MachineRentals(leaderTerm, cloud, policy, timing, history, rentalPrefix)
     private var isCloudFailing = false
 
     /** One round; called about once a second. */
@@ -35,7 +35,7 @@
             rentals.step(now)
             if (isCloudFailing) log.info("the cloud serves again")
             isCloudFailing = false
-        } catch (e: CloudTrouble) {
+        } catch (e: CloudException) {
             if (!isCloudFailing) log.info("the cloud does not serve: {}", e.message)
             isCloudFailing = true
         }
--- a/src/main/kotlin/mountmast/coordination/FleetInventory.kt
+++ b/src/main/kotlin/mountmast/coordination/FleetInventory.kt
@@ -4,40 +4,40 @@
 import mountmast.protocol.ListedState
 import mountmast.protocol.MachineType
 import mountmast.protocol.MachineTypes
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.transport.Cloud
-import mountmast.transport.CloudTrouble
+import mountmast.transport.CloudException
 import kotlin.concurrent.withLock
 
-/** Keeps the ledger's machine types and machines as the cloud lists them. Called by one thread; takes the [Reign]'s lock. */
-class FleetInventory(private val reign: Reign, private val cloud: Cloud, private val policy: FleetPolicy) {
-    private val ledger get() = reign.ledger
-    private var typesReadAt: Moment? = null
-    private var machinesReadAt: Moment? = null
+/** Keeps the ledger's machine types and machines as the cloud lists them. Called by one thread; takes the [LeaderTerm]'s lock. */
+class FleetInventory(private val leaderTerm: LeaderTerm, private val cloud: Cloud, private val policy: FleetPolicy) {
+    private val ledger get() = leaderTerm.ledger
+    private var typesReadAt: MonotonicTime? = null
+    private var machinesReadAt: MonotonicTime? = null
 
-    /** Reads again what was read too long ago. Throws [CloudTrouble] where that fails and cannot be done without. */
-    fun refresh(now: Moment) {
+    /** Reads again what was read too long ago. Throws [CloudException] where that fails and cannot be done without. */
+    fun refresh(now: MonotonicTime) {
         if (isDue(typesReadAt, policy.typesEveryMs, now)) readTypes(now)
         if (isDue(machinesReadAt, policy.listEveryMs, now)) readMachines(now)
     }
 
-    private fun isDue(last: Moment?, everyMs: Long, now: Moment) = last == null || now - last >= everyMs
+    private fun isDue(last: MonotonicTime?, everyMs: Long, now: MonotonicTime) = last == null || now - last >= everyMs
 
-    private fun readTypes(now: Moment) {
+    private fun readTypes(now: MonotonicTime) {
         val types = try {
             cloud.machineTypes()
-        } catch (e: CloudTrouble) {
+        } catch (e: CloudException) {
             // The store keeps the types, so that an outage of the cloud stops nobody from submitting.
-            if (reign.lock.withLock { ledger.types.isEmpty() }) throw e
+            if (leaderTerm.lock.withLock { ledger.types.isEmpty() }) throw e
             return
         }
         typesReadAt = now
-        reign.lock.withLock {
+        leaderTerm.lock.withLock {
             val isChanged = withoutPrices(ledger.types.values) != withoutPrices(types)
-            reign.setTypes(MachineTypes(types))
+            leaderTerm.setTypes(MachineTypes(types))
             if (isChanged) {
-                reign.pendingTypes = MachineTypes(types)
-                reign.wakeWriter()
+                leaderTerm.pendingTypes = MachineTypes(types)
+                leaderTerm.wakeWriter()
             }
         }
     }
@@ -45,17 +45,17 @@
     /** A change of prices alone is not worth a write. */
     private fun withoutPrices(types: Collection<MachineType>) = types.map { it.copy(price = 0.0, spotPrice = 0.0) }
 
-    private fun readMachines(now: Moment) {
+    private fun readMachines(now: MonotonicTime) {
         val listed = ArrayList<ListedMachine>()
         do {
             val page = cloud.list(listed.lastOrNull()?.id)
             listed += page.machines
         } while (page.more && page.machines.isNotEmpty())
         machinesReadAt = now
-        reign.lock.withLock { for (machine in listed) takeIn(machine, now) }
+        leaderTerm.lock.withLock { for (machine in listed) takeIn(machine, now) }
     }
 
-    private fun takeIn(listed: ListedMachine, now: Moment) {
+    private fun takeIn(listed: ListedMachine, now: MonotonicTime) {
         if (listed.id in ledger.tombstones) return
         val known = ledger.machines[listed.id]
         if (known?.type == null) ledger.machines[listed.id] = create(listed, known, now)
@@ -63,7 +63,7 @@
     }
 
     /** The machine as listed, with all that was [known] of it before its type was. */
-    private fun create(listed: ListedMachine, known: Machine?, now: Moment): Machine {
+    private fun create(listed: ListedMachine, known: Machine?, now: MonotonicTime): Machine {
         val machine = Machine(listed.id, listed.type, listed.zone, listed.spot, known?.state ?: MachineState.BOOTING)
         machine.rentedAt = now + -(listed.ageS * MS_PER_S).toLong()
         machine.knownAt = now
--- a/src/main/kotlin/mountmast/coordination/FormatAgreement.kt
+++ b/src/main/kotlin/mountmast/coordination/FormatAgreement.kt
@@ -12,7 +12,7 @@
 import mountmast.storage.FormatRecord
 import mountmast.storage.Keys
 import mountmast.storage.StateStore
-import mountmast.storage.StoreTrouble
+import mountmast.storage.StoreException
 import mountmast.storage.Transaction
 import mountmast.storage.Write
 import org.slf4j.LoggerFactory
@@ -57,7 +57,7 @@
                 currentMembers.containsAll(members) -> write(stamp)
                 ++stepsSinceRead >= READ_EVERY_STEPS -> read()
             }
-        } catch (e: StoreTrouble) {
+        } catch (e: StoreException) {
             // A write without an answer may have been carried out, or still be.
             storedStamp = null
             log.debug("agreement on forms: {}", e.message)
--- a/src/main/kotlin/mountmast/coordination/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/Health.kt
@@ -2,7 +2,7 @@
 
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.storage.FailingJob
 import org.slf4j.LoggerFactory
 
@@ -11,7 +11,7 @@
 /** Tells sick and slow machines from jobs that fail or run long wherever they are. Guarded as its [Ledger] is. */
 class Health(private val ledger: Ledger) {
     /** A task of [job] failed on [machine]. */
-    fun failed(machine: Machine, job: Job, now: Moment) {
+    fun failed(machine: Machine, job: Job, now: MonotonicTime) {
         // One failure may be chance; but a sick machine, always empty, would draw task after task.
         machine.notBefore = now + FAILED_PAUSE_MS
         job.failedOn += machine.id
@@ -26,12 +26,12 @@
         if (machine.strikes.size >= SICK_STRIKES && !machine.quarantined) {
             machine.quarantined = true
             log.info("machine {} quarantined: {} tasks failed in a row", machine.id, machine.strikes.size)
-            absolve(machine)
+            withdrawFailuresOn(machine)
         }
     }
 
-    private fun backOff(job: Job, now: Moment) {
-        val doublings = minOf(job.failures - Job.POISON_MACHINES, MOST_DOUBLINGS)
+    private fun backOff(job: Job, now: MonotonicTime) {
+        val doublings = minOf(job.failures - Job.POISON_MACHINES, MAX_DOUBLINGS)
         job.notBefore = now + (POISON_PAUSE_MS shl maxOf(0, doublings))
     }
 
@@ -44,13 +44,13 @@
         for (job in ledger.jobs.values) {
             if (failing.size >= most) break
             if (!job.poisoned || job.cancelled) continue
-            failing[job.id] = FailingJob(job.failedOn.take(MACHINES_NOTED), minOf(job.failures, Job.POISON_MACHINES + MOST_DOUBLINGS))
+            failing[job.id] = FailingJob(job.failedOn.take(MACHINES_NOTED), minOf(job.failures, Job.POISON_MACHINES + MAX_DOUBLINGS))
         }
         return failing
     }
 
     /** Goes on backing off what the leader before noted by [failing]. Called once the completed tasks are known. */
-    fun recall(failing: Map<JobId, FailingJob>, now: Moment) {
+    fun recall(failing: Map<JobId, FailingJob>, now: MonotonicTime) {
         for ((id, noted) in failing) {
             val job = ledger.jobs[id] ?: continue
             job.failedOn += noted.machines
@@ -60,11 +60,11 @@
     }
 
     /** What failed on a sick machine failed in bad company: its jobs are not held to fail everywhere. */
-    private fun absolve(machine: Machine) {
+    private fun withdrawFailuresOn(machine: Machine) {
         for (job in ledger.jobs.values) {
             if (!job.failedOn.remove(machine.id) || job.poisoned) continue
             job.failures = job.failedOn.size
-            job.notBefore = Moment(Long.MIN_VALUE)
+            job.notBefore = MonotonicTime(Long.MIN_VALUE)
         }
     }
 
@@ -89,7 +89,7 @@
      */
     private fun isSlow(job: Job, machine: MachineId, runS: Double): Boolean {
         if (job.runs < RUNS_TO_COMPARE) return false
-        if (machine !in job.slowOn && job.slowOn.size >= MOST_CALLED_SLOW) return false
+        if (machine !in job.slowOn && job.slowOn.size >= MAX_CALLED_SLOW) return false
         return runS > maxOf(job.runSumS / job.runs, job.spec.estimateS) * SLOW_TIMES + SLOW_EXTRA_S
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** Notices machines whose tasks run on and on while others of the same jobs have long completed elsewhere. */
-    fun noticeSlow(now: Moment) {
+    fun noticeSlow(now: MonotonicTime) {
         for (machine in ledger.machines.values) {
             if (machine.state != MachineState.UP) continue
             for (assignment in machine.live.values) {
@@ -120,12 +120,12 @@
     private companion object {
         const val FAILED_PAUSE_MS = 2000L
         const val POISON_PAUSE_MS = 5000L
-        const val MOST_DOUBLINGS = 4
+        const val MAX_DOUBLINGS = 4
         const val MACHINES_NOTED = 5
         const val SICK_STRIKES = 2
         const val RUNS_TO_COMPARE = 2
         const val SLOW_TIMES = 2.5
-        const val MOST_CALLED_SLOW = 2
+        const val MAX_CALLED_SLOW = 2
         const val SLOW_EXTRA_S = 5.0
     }
 }
--- a/src/main/kotlin/mountmast/coordination/ImagesWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/ImagesWriter.kt
@@ -4,7 +4,7 @@
 import mountmast.protocol.Clock
 import mountmast.protocol.ImageId
 import mountmast.protocol.MachineId
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WireJson
 import mountmast.storage.ImagesRecord
 import mountmast.storage.Keys
@@ -16,7 +16,7 @@
  * that does not know sends urgent work to machines that must fetch first.
  */
 class ImagesWriter(private val ledger: Ledger, private val clock: Clock) {
-    private var notBefore = Moment(Long.MIN_VALUE / 2)
+    private var notBefore = MonotonicTime(Long.MIN_VALUE / 2)
     private var nextBucket = 0
     private val written = HashMap<Int, Map<MachineId, Map<ImageId, Double>>>()
 
@@ -24,7 +24,7 @@
         val now = clock.now()
         if (batch.room <= 0 || now < notBefore) return
         notBefore = now + if (isShort) SHORT_EVERY_MS else EVERY_MS
-        val buckets = (BUCKETS * USUAL_VALUE_BYTES / limits.valueBytes).coerceIn(BUCKETS, MOST_BUCKETS)
+        val buckets = (BUCKETS * USUAL_VALUE_BYTES / limits.valueBytes).coerceIn(BUCKETS, MAX_BUCKETS)
         val bucket = nextBucket % buckets
         nextBucket = bucket + 1
         val held = held(bucket, buckets, limits.valueBytes - TextCodec.ENVELOPE_BYTES)
@@ -54,7 +54,7 @@
 
         /** Buckets where values take [USUAL_VALUE_BYTES]. */
         const val BUCKETS = 8
-        const val MOST_BUCKETS = 64
+        const val MAX_BUCKETS = 64
         const val USUAL_VALUE_BYTES = 8 * 1024
 
         /** Sizes are noted to a hundredth of a gigabyte. */
--- a/src/main/kotlin/mountmast/coordination/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/Job.kt
@@ -6,12 +6,12 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
 import mountmast.protocol.MachineId
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
+import mountmast.protocol.ReportNumber
 import mountmast.protocol.Resources
 import mountmast.protocol.Session
 import mountmast.protocol.Shape
 import mountmast.protocol.Stamp
-import mountmast.protocol.Tally
 import mountmast.protocol.TaskState
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
@@ -42,7 +42,7 @@
     val attempt: Attempt,
     val zone: Zone,
     var phase: Phase,
-    val placedAt: Moment,
+    val placedAt: MonotonicTime,
 ) {
     val taskName = "${job.id}/$index"
 
@@ -51,7 +51,7 @@
 
     /** Last state that the worker reported, or null before the first report that shows it. */
     var reported: TaskState? = null
-    var runningSince: Moment? = null
+    var runningSince: MonotonicTime? = null
 
     /** Set once the task is to be stopped: how long it may save. */
     var stopGraceS: Double? = null
@@ -70,7 +70,7 @@
     var postsOut = 0
 
     /** Latest report that was answered with its start; the next report shows whether that was executed. */
-    var startedInBeat: Tally? = null
+    var startedInHeartbeat: ReportNumber? = null
 }
 
 /** A job that is not over. */
@@ -148,12 +148,12 @@
     /** Machines on which a task failed since one of the job's tasks last completed. */
     val failedOn = LinkedHashSet<MachineId>()
     var failures = 0
-    var notBefore = Moment(Long.MIN_VALUE)
-    var learnedAt = Moment(0)
+    var notBefore = MonotonicTime(Long.MIN_VALUE)
+    var learnedAt = MonotonicTime(0)
 
     /** When a task was last placed or the job became known, for telling that it stalls. */
-    var lastProgress = Moment(0)
-    var lastStallReport: Moment? = null
+    var lastProgress = MonotonicTime(0)
+    var lastStallReport: MonotonicTime? = null
     var calledLate = false
 
     /**
--- a/src/main/kotlin/mountmast/coordination/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/JobDependencies.kt
@@ -2,7 +2,7 @@
 
 import mountmast.protocol.JobId
 import mountmast.protocol.JobStatus
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WallTime
 import mountmast.storage.JobRecord
 import mountmast.storage.OverRecord
@@ -17,14 +17,14 @@
  * A prerequisite that is not among the live jobs counts as open until its final state has been read from the state
  * service ([unresolved]): not known means wait. All steps go along edges of jobs that change, without recursion, so a
  * long chain or a wide fan costs what it has edges. Nothing is kept of finished jobs that no live job names, save the
- * final states of the last [MOST_REMEMBERED].
+ * final states of the last [MAX_REMEMBERED].
  */
 class JobDependencies(private val ledger: Ledger) {
     /** The jobs that wait for a prerequisite which is not known to be over. */
     private val dependents = HashMap<JobId, LinkedHashSet<Job>>()
 
     /** Prerequisites that are not among the live jobs, and when to look for them next. */
-    private val unresolved = LinkedHashMap<JobId, Moment>()
+    private val unresolved = LinkedHashMap<JobId, MonotonicTime>()
 
     /** Jobs whose list of prerequisites is kept apart from their record and was not read yet. */
     private val unreadLists = LinkedHashMap<JobId, JobRecord>()
@@ -35,7 +35,7 @@
     fun isRememberedAsOver(id: JobId) = id in finalStates
 
     /** Takes in a live job that this leader has not seen before. */
-    fun added(job: Job, record: JobRecord, now: Moment) {
+    fun added(job: Job, record: JobRecord, now: MonotonicTime) {
         unresolved.remove(job.id)
         claims.prerequisiteAdded(job)
         when {
@@ -48,14 +48,14 @@
     }
 
     /** The list of prerequisites of [id] was read. */
-    fun listRead(id: JobId, prerequisites: List<JobId>, now: Moment) {
+    fun listRead(id: JobId, prerequisites: List<JobId>, now: MonotonicTime) {
         unreadLists.remove(id) ?: return
         val job = ledger.jobs[id] ?: return
         job.release.isListKnown = true
         addPrerequisites(job, prerequisites, now)
     }
 
-    private fun addPrerequisites(job: Job, prerequisites: List<JobId>, now: Moment) {
+    private fun addPrerequisites(job: Job, prerequisites: List<JobId>, now: MonotonicTime) {
         job.release.prerequisites = prerequisites
         for (id in prerequisites) {
             val known = finalStates[id]
@@ -96,7 +96,7 @@
     }
 
     /** The final state of [id] is in the state service. Returns whether it released a job. */
-    fun ended(id: JobId, record: OverRecord, now: Moment): Boolean {
+    fun ended(id: JobId, record: OverRecord, now: MonotonicTime): Boolean {
         remember(id, record)
         unresolved.remove(id)
         val waiting = dependents.remove(id) ?: return false
@@ -119,7 +119,7 @@
     private fun remember(id: JobId, record: OverRecord) {
         finalStates.remove(id)
         finalStates[id] = record
-        if (finalStates.size > MOST_REMEMBERED) finalStates.remove(finalStates.keys.first())
+        if (finalStates.size > MAX_REMEMBERED) finalStates.remove(finalStates.keys.first())
     }
 
     /** Forgets [job], which is over, as one that waits for others. */
@@ -139,7 +139,7 @@
     fun refreshClaims() = claims.refresh(ledger.jobs)
 
     /** Prerequisites to be looked up in the state service now, at most [most]; the same are due again after a pause. */
-    fun takeUnresolved(most: Int, now: Moment): List<JobId> {
+    fun takeUnresolved(most: Int, now: MonotonicTime): List<JobId> {
         val due = unresolved.entries.filter { it.value <= now }.take(most).map { it.key }
         for (id in due) unresolved[id] = now + RETRY_MS
         return due
@@ -149,7 +149,7 @@
     fun unreadLists(): List<JobRecord> = unreadLists.values.toList()
 
     private companion object {
-        const val MOST_REMEMBERED = 1000
+        const val MAX_REMEMBERED = 1000
         const val RETRY_MS = 1000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/JobReader.kt
+++ b/src/main/kotlin/mountmast/coordination/JobReader.kt
@@ -12,8 +12,8 @@
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
 import mountmast.storage.StateStore
+import mountmast.storage.StoreException
 import mountmast.storage.StoreSilent
-import mountmast.storage.StoreTrouble
 import mountmast.storage.Transaction
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.ExecutionException
@@ -47,7 +47,7 @@
     private var reading = false
 
     /** Jobs that were not over when they were last read. */
-    private val seen: Cache<JobId, Seen> = CacheBuilder.newBuilder().maximumSize(MOST_SEEN).build()
+    private val seen: Cache<JobId, Seen> = CacheBuilder.newBuilder().maximumSize(MAX_SEEN).build()
 
     /** The state of [id] at some moment after this was called. */
     fun read(id: JobId): JobState = readAll(setOf(id)).getValue(id)
@@ -76,7 +76,7 @@
     fun note(record: JobRecord, stamp: Stamp) = seen.put(record.spec.id, Seen(record, stamp))
 
     private fun await(question: Question): Map<JobId, JobState>? = try {
-        question.answer.get(MOST_WAIT_MS, TimeUnit.MILLISECONDS)
+        question.answer.get(MAX_WAIT_MS, TimeUnit.MILLISECONDS)
     } catch (e: ExecutionException) {
         throw e.cause ?: e
     } catch (e: TimeoutException) {
@@ -128,7 +128,7 @@
     private fun answer(question: Question, states: MutableMap<JobId, JobState>) {
         try {
             question.answer.complete(question.ids.associateWith { id -> states.getOrPut(id) { readOne(id) } })
-        } catch (e: StoreTrouble) {
+        } catch (e: StoreException) {
             question.answer.completeExceptionally(e)
         } catch (e: IllegalArgumentException) {
             question.answer.completeExceptionally(e)
@@ -148,7 +148,7 @@
             is CommitOutcome.Committed -> jobs.keys
             is CommitOutcome.Conflict -> jobs.keys - outcome.failed.mapNotNull(Keys::jobOfKey).toSet()
         }
-    } catch (e: StoreTrouble) {
+    } catch (e: StoreException) {
         emptySet()
     }
 
@@ -166,9 +166,9 @@
 
     private companion object {
         /** Users wait two seconds for an answer. */
-        const val MOST_WAIT_MS = 1800L
+        const val MAX_WAIT_MS = 1800L
 
         /** Records of some 400 bytes. */
-        const val MOST_SEEN = 4000L
+        const val MAX_SEEN = 4000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/JobDesk.kt
+++ b/src/main/kotlin/mountmast/coordination/JobService.kt
@@ -28,8 +28,8 @@
 import mountmast.storage.OverRecord
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
+import mountmast.storage.StoreException
 import mountmast.storage.StoreRejected
-import mountmast.storage.StoreTrouble
 import mountmast.storage.Transaction
 import mountmast.storage.TypesForm
 import mountmast.storage.Write
@@ -38,13 +38,13 @@
 import mountmast.transport.refusal
 import org.slf4j.LoggerFactory
 
-private val log = LoggerFactory.getLogger("mountmast.desk")
+private val log = LoggerFactory.getLogger("mountmast.jobs")
 
 /**
  * Serves users on any node. The store is the truth: a job is called accepted, done or cancelled only after it says
  * so, and what is not final is read from it each time.
  */
-class JobDesk(
+class JobService(
     private val store: StateStore,
     private val teams: Map<TeamId, TeamQuota>,
     private val clock: Clock,
@@ -63,9 +63,9 @@
     val knowsTypes: Boolean get() = types.isNotEmpty()
 
     /** Final states never change, so they may be answered from memory. */
-    private val over: Cache<JobId, OverRecord> = CacheBuilder.newBuilder().maximumSize(MOST_REMEMBERED).build()
+    private val over: Cache<JobId, OverRecord> = CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build()
 
-    private val progress = ProgressBoard(store, clock)
+    private val progress = ProgressCache(store, clock)
     private val reader = JobReader(store, limits.transactionConditions)
     private val lists = PrerequisiteLists(store, limits)
     private val prerequisites = PrerequisiteEvaluator(store, reader, lists, over, limits.transactionConditions)
@@ -183,7 +183,7 @@
     }
 
     private fun describeWaiting(id: JobId, waitsOn: List<JobId>): UserAnswer {
-        val answer = JobAnswer(id, JobStatus.PENDING, done = 0, running = 0, waitsOn = waitsOn.take(MOST_NAMED))
+        val answer = JobAnswer(id, JobStatus.PENDING, done = 0, running = 0, waitsOn = waitsOn.take(MAX_NAMED))
         return UserAnswer(200, encode(answer))
     }
 
@@ -208,7 +208,7 @@
         // Every other node would send the same, so it is not passed on.
         log.debug("{}: {}", request.path, e.message)
         later("the state service does not take the record")
-    } catch (e: StoreTrouble) {
+    } catch (e: StoreException) {
         (if (relayed) null else relay(request)) ?: later("the state service does not answer")
     } catch (e: IllegalArgumentException) {
         // Not the user's fault, so it must not look like a malformed request.
@@ -224,9 +224,9 @@
     private companion object {
         const val TRIES = 3
         const val RETRY_AFTER_S = 1
-        const val MOST_REMEMBERED = 20_000L
+        const val MAX_REMEMBERED = 20_000L
 
         /** Of the jobs that a job waits for at most so many are named to its user. */
-        const val MOST_NAMED = 20
+        const val MAX_NAMED = 20
     }
 }
--- a/src/main/kotlin/mountmast/coordination/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/JournalWriter.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Stamp
 import mountmast.protocol.WireJson
 import mountmast.storage.JournalRecord
@@ -12,10 +12,10 @@
 import mountmast.storage.TextCodec
 
 /** Brings the ledger's changes into the journal, as many into each record as a value takes. */
-class JournalWriter(private val reign: Reign, private val clock: Clock) {
-    private val ledger get() = reign.ledger
-    private val journal get() = reign.journal
-    private var wroteAt = Moment(Long.MIN_VALUE / 2)
+class JournalWriter(private val leaderTerm: LeaderTerm, private val clock: Clock) {
+    private val ledger get() = leaderTerm.ledger
+    private val journal get() = leaderTerm.journal
+    private var wroteAt = MonotonicTime(Long.MIN_VALUE / 2)
 
     /** Adds changes in the order in which they happened, in at most [mostRecords] records. */
     fun addTo(batch: WriteBatch, limits: WriteLimits, mostRecords: Int, compact: Boolean, isShort: Boolean) {
--- a/src/main/kotlin/mountmast/coordination/Reign.kt
+++ b/src/main/kotlin/mountmast/coordination/LeaderTerm.kt
@@ -2,12 +2,12 @@
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.decodeFromJsonElement
-import mountmast.protocol.BeatAnswer
 import mountmast.protocol.Clock
+import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineTypes
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Revision
 import mountmast.protocol.Stamp
 import mountmast.protocol.TeamId
@@ -37,11 +37,11 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-private val log = LoggerFactory.getLogger("mountmast.reign")
+private val log = LoggerFactory.getLogger("mountmast.leader")
 
 /** What one node does while it leads. All of its state is rebuilt by the next leader. */
-class Reign(
-    val mandate: Mandate,
+class LeaderTerm(
+    val grant: LeadershipGrant,
     private val store: StateStore,
     workers: Workers,
     private val teams: Map<TeamId, TeamQuota>,
@@ -54,7 +54,7 @@
 ) {
     /** Guards the ledger and everything below. Held for moments; never during I/O. */
     val lock = ReentrantLock()
-    val ledger = Ledger(policy.runDecay).apply { reignIn(mandate.term) }
+    val ledger = Ledger(policy.runDecay).apply { beginTerm(grant.term) }
 
     /** Where the journal stands in the store. */
     val journal = JournalState()
@@ -68,20 +68,20 @@
     /** Which jobs wait for which. */
     private val dependencies = JobDependencies(ledger)
     private val snapshots = SchedulingSnapshots(ledger, dependencies, teams, timing, clock)
-    val hearing = Hearing(ledger, mandate, timing)
+    val reachability = ReachabilityMonitor(ledger, grant, timing)
     private var assurance: Map<TeamId, Double> = emptyMap()
     private var followFrom = Revision(0u)
 
     /** All changes of jobs before this are taken in, on this node's steady clock and by its time of day. */
-    private var knownUpTo = Moment(0)
-    private var knownUpToWall = mandate.watermark
+    private var knownUpTo = MonotonicTime(0)
+    private var knownUpToWall = grant.watermark
     private var placeSoon = false
 
     /** Commands to the workers. */
     val dispatch =
-        Dispatch(lock, ledger, mandate, workers, timing, clock, { now ->
+        CommandDispatcher(lock, ledger, grant, workers, timing, clock, { now ->
             now - knownUpTo < timing.ttlMs
-        }) { report, now -> takeReport(report, now, isBeat = false) }
+        }) { report, now -> takeReport(report, now, isHeartbeat = false) }
 
     /** Machine types that the store does not hold yet. */
     var pendingTypes: MachineTypes? = null
@@ -93,9 +93,9 @@
     @Volatile
     var ready = false
         private set
-    private var readyAt = Moment(0)
+    private var readyAt = MonotonicTime(0)
     private var imagesRead = false
-    private var tidiedAt = Moment(Long.MIN_VALUE / 2)
+    private var tidiedAt = MonotonicTime(Long.MIN_VALUE / 2)
 
     /**
      * Reads everything from the store, in two steps: first what is needed to go on, then hints. Only a leader changes
@@ -132,7 +132,7 @@
             ready = true
             log.info(
                 "term {}: {} jobs, {} assignments on {} machines",
-                mandate.term,
+                grant.term,
                 ledger.jobs.size,
                 ledger.machines.values.sumOf { it.live.size },
                 ledger.machines.size,
@@ -148,7 +148,7 @@
         }
     }
 
-    private fun replay(snapshot: SnapshotRecord?, parts: List<Entry>, slots: List<Entry>, now: Moment) {
+    private fun replay(snapshot: SnapshotRecord?, parts: List<Entry>, slots: List<Entry>, now: MonotonicTime) {
         val reader = ledger.replay(now)
         var unreadable = 0
         if (snapshot != null) {
@@ -221,7 +221,7 @@
     }
 
     /** An answer holds all changes that were made before it was asked for. */
-    private fun known(upTo: Moment, upToWall: WallTime) {
+    private fun known(upTo: MonotonicTime, upToWall: WallTime) {
         knownUpTo = upTo
         knownUpToWall = upToWall
     }
@@ -232,7 +232,7 @@
      * renews must run out before the first that may be unknown has to be carried out.
      */
     fun mayAnswerWorkers(): Boolean = lock.withLock {
-        if (ready) clock.now() - knownUpTo < timing.informedMs else clock.wall() < timing.uninformedUntil(mandate.watermark)
+        if (ready) clock.now() - knownUpTo < timing.informedMs else clock.wall() < timing.uninformedUntil(grant.watermark)
     }
 
     /** How long ago the jobs were last known, or null before they are. */
@@ -292,7 +292,7 @@
             val prerequisites = prerequisiteLists.read(record)
             lock.withLock { dependencies.listRead(record.spec.id, prerequisites, clock.now()) }
         }
-        val unresolved = lock.withLock { dependencies.takeUnresolved(MOST_RESOLVED_AT_ONCE, clock.now()) }
+        val unresolved = lock.withLock { dependencies.takeUnresolved(MAX_RESOLVED_AT_ONCE, clock.now()) }
         for (id in unresolved) {
             val entry = store.get(Keys.over(id)) ?: continue
             val record = decode<OverRecord>(entry.key, entry.value) ?: continue
@@ -302,35 +302,39 @@
     }
 
     /** Takes a worker's report and tells the worker what is outstanding. */
-    fun beat(report: WorkerReport): BeatAnswer = lock.withLock {
+    fun heartbeat(report: WorkerReport): HeartbeatResponse = lock.withLock {
         val now = clock.now()
-        val nothing = BeatAnswer(maxOf(mandate.term, report.term), emptyList())
+        val nothing = HeartbeatResponse(maxOf(grant.term, report.term), emptyList())
         if (!ready) return nothing
         // A copy that comes late renews no lease: whoever sent it has long dropped the answer.
-        if (!takeReport(report, now, isBeat = true)) return nothing
+        if (!takeReport(report, now, isHeartbeat = true)) return nothing
         val machine = ledger.machines[report.machine] ?: return nothing
-        if (hearing.note(machine, report, now, readyAt)) wakePlacement()
+        if (reachability.note(machine, report, now, readyAt)) wakePlacement()
         machine.answeredAt = now
-        machine.answeredTally = report.tally
-        val orders = dispatch.outstanding(machine, inBeat = report.tally)
+        machine.answeredReport = report.reportNumber
+        val orders = dispatch.outstanding(machine, inHeartbeat = report.reportNumber)
         dispatch.fenceOffStopped(machine)
-        BeatAnswer(dispatch.token(machine), orders)
+        HeartbeatResponse(dispatch.token(machine), orders)
     }
 
-    private fun takeReport(report: WorkerReport, now: Moment, isBeat: Boolean): Boolean {
+    private fun takeReport(report: WorkerReport, now: MonotonicTime, isHeartbeat: Boolean): Boolean {
         val before = ledger.machines[report.machine]
         val wasUsable = before?.usable(now) == true
         // A worker that is answered keeps its session, so a new one after an answer means that it did not arrive.
-        val lostAnswers = before?.session?.let { report.session > it } == true && before.answeredTally != null
+        val lostAnswers = before?.session?.let { report.session > it } == true && before.answeredReport != null
         val lostInLease = lostAnswers && now - checkNotNull(before).answeredAt < timing.leaseMs
         if (!ledger.report(report, now)) return false
         val machine = ledger.machines[report.machine] ?: return false
-        if (lostAnswers && isBeat) machine.unheard += if (lostInLease) Hearing.MOST_UNHEARD else 1
-        if (isBeat) machine.reportedAt = now
-        val isOurs = report.term.reign == mandate.term.reign
-        if (isOurs) machine.sawTerm = true
+        if (lostAnswers &&
+            isHeartbeat
+        ) {
+            machine.unacknowledgedReports += if (lostInLease) ReachabilityMonitor.MAX_UNACKNOWLEDGED_REPORTS else 1
+        }
+        if (isHeartbeat) machine.reportedAt = now
+        val isOurs = report.term.election == grant.term.election
+        if (isOurs) machine.hasSeenTerm = true
         dispatch.noteToken(machine, report.term)
-        if (isBeat && isOurs) withdrawStopped(machine, report)
+        if (isHeartbeat && isOurs) withdrawStopped(machine, report)
         if (ledger.unwritten.isNotEmpty()) writable.signalAll()
         if (!wasUsable && machine.usable(now)) wakePlacement()
         return true
@@ -343,10 +347,10 @@
     private fun withdrawStopped(machine: Machine, report: WorkerReport) {
         for (assignment in machine.live.values) {
             if (assignment.phase != Phase.COMMITTED || assignment.stopGraceS == null || assignment.reported != null) continue
-            val inBeat = assignment.startedInBeat
+            val inHeartbeat = assignment.startedInHeartbeat
             val mayArrive = assignment.postsOut > 0 ||
                 assignment.key in machine.mayStillStart ||
-                (inBeat != null && report.tally <= inBeat)
+                (inHeartbeat != null && report.reportNumber <= inHeartbeat)
             // What the report lists has been noted as reported by now.
             if (!mayArrive) ledger.end(assignment, completed = false)
         }
@@ -356,16 +360,16 @@
      * Calls dead the workers whose lease has provably run out. A leader that was cut off knows nothing of what its
      * successor answered: silence counts only as far as it is certain that nobody else led, [ledUntil].
      */
-    fun expireSilent(ledUntil: Moment) = lock.withLock {
+    fun expireSilent(ledUntil: MonotonicTime) = lock.withLock {
         if (!ready) return
         val now = clock.now()
         // Others may have answered in our name until then.
-        val helpedUntil = mandate.electedAt + timing.helpMs
+        val helpedUntil = grant.electedAt + timing.helpMs
         for (machine in ledger.machines.values.toList()) {
             if (machine.state != MachineState.UP && machine.state != MachineState.SILENT) continue
             if (ledUntil - maxOf(machine.answeredAt, helpedUntil) < timing.leaseOverMs) continue
             // Until the worker has shown our token, the leader before us may have answered it during its grace.
-            if (!machine.sawTerm && ledUntil - readyAt < timing.formerLeaderMs + timing.leaseOverMs) continue
+            if (!machine.hasSeenTerm && ledUntil - readyAt < timing.formerLeaderMs + timing.leaseOverMs) continue
             log.info("machine {} silent: its lease is over, {} tasks lost", machine.id, machine.live.size)
             ledger.endSession(machine, null)
             machine.state = MachineState.EXPIRED
@@ -378,10 +382,10 @@
     fun unfit(): String? = lock.withLock {
         val now = clock.now()
         val up = ledger.machines.values.filter { it.state == MachineState.UP && !it.deleting }
-        if (!ready || now - readyAt < timing.quietMs || up.size < Hearing.LEAST_FOR_DEAF) return null
+        if (!ready || now - readyAt < timing.quietMs || up.size < ReachabilityMonitor.MIN_MACHINES_TO_JUDGE_NODE) return null
         when {
             up.count { now - it.heardAt < timing.quietMs } * 2 < up.size -> "hardly any worker gets through to this node"
-            hearing.manyUnreached() -> "this node reaches hardly any worker"
+            reachability.areMostUnreached() -> "this node reaches hardly any worker"
             else -> null
         }
     }
@@ -406,7 +410,7 @@
             ledger.assign(job, start.index, machine, now)
         }
         for (eviction in plan.evictions) evict(eviction, now)
-        for (hold in plan.holds) reserve(hold.machine, hold.forJob, now)
+        for (hold in plan.reservations) reserve(hold.machine, hold.forJob, now)
         if (ledger.unwritten.isNotEmpty()) writable.signalAll()
     }
 
@@ -421,7 +425,7 @@
     )
 
     /** What need not be looked at in each pass. */
-    private fun tidy(now: Moment) {
+    private fun tidy(now: MonotonicTime) {
         tidiedAt = now
         emptyNoticed(now)
         ledger.health.noticeSlow(now)
@@ -431,13 +435,13 @@
         delays.tellLate { job -> snapshots.untilS(job.ownDue) }
     }
 
-    private fun reserve(id: MachineId, job: JobId, now: Moment) {
+    private fun reserve(id: MachineId, job: JobId, now: MonotonicTime) {
         val machine = ledger.machines[id] ?: return
         machine.reservedFor = job
         machine.reservedUntil = now + RESERVATION_MS
     }
 
-    private fun evict(eviction: Eviction, now: Moment) {
+    private fun evict(eviction: Eviction, now: MonotonicTime) {
         val machine = ledger.machines[eviction.machine] ?: return
         reserve(machine.id, eviction.forJob, now)
         log.info("machine {} emptied for {}: {} tasks stopped", machine.id, eviction.forJob, eviction.victims.size)
@@ -454,7 +458,7 @@
     }
 
     /** Stops what would not complete before the cloud takes its machine, so that it saves and goes on elsewhere. */
-    private fun emptyNoticed(now: Moment) {
+    private fun emptyNoticed(now: MonotonicTime) {
         for (machine in ledger.machines.values) {
             if (machine.noticed) stopOn(machine) { snapshots.remainingS(it, now) >= machine.noticeS }
         }
@@ -474,7 +478,7 @@
         }
     }
 
-    private fun releaseReservations(now: Moment) {
+    private fun releaseReservations(now: MonotonicTime) {
         for (machine in ledger.machines.values) {
             val job = machine.reservedFor ?: continue
             val state = ledger.jobs[job]
@@ -511,6 +515,6 @@
         const val RESERVATION_MS = 30_000L
         const val TIDY_MS = 1000L
         const val VICTIMS_PER_ENTRY = 16
-        const val MOST_RESOLVED_AT_ONCE = 100
+        const val MAX_RESOLVED_AT_ONCE = 100
     }
 }
--- a/src/main/kotlin/mountmast/coordination/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/Leadership.kt
@@ -5,7 +5,7 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
 import mountmast.protocol.HoldId
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
 import mountmast.protocol.Revision
 import mountmast.protocol.Stamp
@@ -19,7 +19,7 @@
 import mountmast.storage.Keys
 import mountmast.storage.LeaderRecord
 import mountmast.storage.StateStore
-import mountmast.storage.StoreTrouble
+import mountmast.storage.StoreException
 import mountmast.storage.TermRecord
 import mountmast.storage.Transaction
 import mountmast.storage.WatermarkRecord
@@ -43,23 +43,23 @@
     private val clock: Clock,
 ) {
     private val lock = ReentrantLock()
-    private var mandate: Mandate? = null
-    private var confirmedAt = Moment(0)
+    private var grant: LeadershipGrant? = null
+    private var confirmedAt = MonotonicTime(0)
     private var leader: NodeId? = null
     private var highest = Term(0u)
     private var doubted = false
-    private var storeFailingSince: Moment? = null
-    private var abstainUntil = Moment(Long.MIN_VALUE)
+    private var storeFailingSince: MonotonicTime? = null
+    private var abstainUntil = MonotonicTime(Long.MIN_VALUE)
     private var spareHold: HoldId? = null
     private var seenUpTo = Revision(0u)
     private var helpUntil = WallTime(0)
     private var helpTerm = Term(0u)
 
     /** What this node leads by, or null while it does not lead. */
-    fun mandate(): Mandate? = lock.withLock { mandate }
+    fun grant(): LeadershipGrant? = lock.withLock { grant }
 
     /** The node that leads, as far as this one knows. */
-    fun leader(): NodeId? = lock.withLock { if (mandate != null) node else leader }
+    fun leader(): NodeId? = lock.withLock { if (grant != null) node else leader }
 
     /** The highest term that this node has heard of. */
     fun highestTerm(): Term = lock.withLock { highest }
@@ -69,31 +69,31 @@
      * from a cut that concerns only itself; so it keeps workers alive for the grace, and a successor waits that long.
      */
     fun mayAnswerWorkers(): Boolean = lock.withLock {
-        mandate != null && clock.now() - confirmedAt < timing.ttlMs + timing.graceMs
+        grant != null && clock.now() - confirmedAt < timing.ttlMs + timing.graceMs
     }
 
     /**
      * Until when it is certain that nobody else led: a renewal that succeeded proves it for all time before it was
      * asked. Null once this node leads no more.
      */
-    fun confirmedUntil(own: Mandate): Moment? = lock.withLock { if (mandate === own) confirmedAt else null }
+    fun confirmedUntil(own: LeadershipGrant): MonotonicTime? = lock.withLock { if (grant === own) confirmedAt else null }
 
     /** The term in which this node may renew workers' leases for a leader just elected, or null. */
     fun helps(): Term? = lock.withLock {
-        helpTerm.takeIf { mandate == null && it == highest && it.number > 0u && clock.wall() < helpUntil }
+        helpTerm.takeIf { grant == null && it == highest && it.number > 0u && clock.wall() < helpUntil }
     }
 
     /** Gives the lead up, for another node to take; abstains for a while. */
-    fun resign(own: Mandate, why: String) {
+    fun resign(own: LeadershipGrant, why: String) {
         lock.withLock {
-            if (mandate !== own) return
+            if (grant !== own) return
             log.info("resigning in term {}: {}", own.term, why)
             lost()
             abstainUntil = clock.now() + ABSTAIN_MS
         }
         try {
             store.dropHold(own.hold)
-        } catch (e: StoreTrouble) {
+        } catch (e: StoreException) {
             log.debug("the hold will run out by itself: {}", e.message)
         }
     }
@@ -103,15 +103,15 @@
         val term = token.first()
         lock.withLock {
             if (term > highest) highest = term
-            val own = mandate ?: return
+            val own = grant ?: return
             if (term > own.term) doubted = true
         }
     }
 
     /** The leader's key was found changed. */
     fun lost() = lock.withLock {
-        mandate?.let { log.info("no longer leading in term {}", it.term) }
-        mandate = null
+        grant?.let { log.info("no longer leading in term {}", it.term) }
+        grant = null
         leader = null
         doubted = false
     }
@@ -119,15 +119,15 @@
     /** One look at the state service: renews, follows or tries to lead. Called about once a second. */
     fun step() {
         try {
-            val own = mandate()
+            val own = grant()
             if (own == null) followOrElect() else renew(own)
             storeFailingSince?.let { log.info("the state service answers again after {} ms", clock.now() - it) }
             storeFailingSince = null
-        } catch (e: StoreTrouble) {
+        } catch (e: StoreException) {
             if (storeFailingSince == null) log.info("the state service does not serve this node: {}", e.message)
             storeFailingSince = storeFailingSince ?: clock.now()
             lock.withLock {
-                val own = mandate ?: return
+                val own = grant ?: return
                 val unconfirmed = clock.now() - confirmedAt >= timing.ttlMs
                 if (unconfirmed && doubted) lost()
             }
@@ -139,24 +139,24 @@
      * leases run out as little as can be; false where this node need not wait for that.
      */
     fun awaitVacancy(waitMs: Long): Boolean {
-        val from = lock.withLock { seenUpTo.takeIf { mandate == null && leader != null && leader != node && it.number > 0u } }
+        val from = lock.withLock { seenUpTo.takeIf { grant == null && leader != null && leader != node && it.number > 0u } }
         if (from == null || clock.now() < abstainUntil) return false
         return try {
             val outcome = store.follow(Keys.LEADER, from, waitMs)
             if (outcome is FollowOutcome.Changes) lock.withLock { seenUpTo = outcome.upTo }
             true
-        } catch (e: StoreTrouble) {
+        } catch (e: StoreException) {
             log.debug("following the leader's key: {}", e.message)
             false
         }
     }
 
-    private fun renew(own: Mandate) {
+    private fun renew(own: LeadershipGrant) {
         val asked = clock.now()
         if (!store.renewHold(own.hold)) return lost()
         lock.withLock { confirmedAt = asked }
         if (lock.withLock { doubted }) {
-            // A worker or peer named a higher term. Only the store knows; a made-up number must not end a reign.
+            // A worker or peer named a higher term. Only the store knows; a made-up number must not end a term.
             val entry = store.get(Keys.LEADER)
             if (entry?.stamp != own.stamp) lost() else lock.withLock { doubted = false }
         }
@@ -223,7 +223,7 @@
 
     private fun begin(record: LeaderRecord, stamp: Stamp, hold: HoldId) = lock.withLock {
         val term = record.term
-        mandate = Mandate(term, stamp, hold, clock.now(), record.watermark)
+        grant = LeadershipGrant(term, stamp, hold, clock.now(), record.watermark)
         spareHold = null
         leader = node
         doubted = false
--- a/src/main/kotlin/mountmast/coordination/Ledger.kt
+++ b/src/main/kotlin/mountmast/coordination/Ledger.kt
@@ -6,7 +6,7 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Resources
 import mountmast.protocol.Session
 import mountmast.protocol.Stamp
@@ -30,7 +30,7 @@
 
 /**
  * Everything the leader knows: jobs, tasks, machines and what each team uses. Not thread-safe: guarded by the
- * [Reign]'s lock, and does no I/O.
+ * [LeaderTerm]'s lock, and does no I/O.
  *
  * The ledger frees a task only on evidence that cannot be outdated: the worker says that the attempt has exited,
  * its session is over, or the machine is deleted. A report that merely lacks a task proves nothing, since its start
@@ -42,7 +42,7 @@
     val machines = LinkedHashMap<MachineId, Machine>()
 
     /** Machines that were deleted, kept so that stale lists and late reports do not bring them back. */
-    val tombstones = LinkedHashMap<MachineId, Moment>()
+    val tombstones = LinkedHashMap<MachineId, MonotonicTime>()
     var types = LinkedHashMap<TypeId, MachineType>()
 
     /** Images of machines that were not heard from yet, as the leader before noted them. */
@@ -61,19 +61,19 @@
     /** Jobs that are complete or cancelled; over once nothing of them lives. */
     val finishing = LinkedHashSet<Job>()
 
-    /** Begins the numbers of this reign's attempts: a term is led once, so none is ever used twice. */
+    /** Begins the numbers of this term's attempts: a term is led once, so none is ever used twice. */
     private var lastAttempt = 0uL
 
     /** Sets the term in which attempts are given. */
-    fun reignIn(term: Term) {
-        lastAttempt = term.reign shl ATTEMPT_BITS
+    fun beginTerm(term: Term) {
+        lastAttempt = term.election shl ATTEMPT_BITS
     }
 
     /** What the tasks of [team] take that may be on a machine. */
     fun use(team: TeamId): Resources = uses[team] ?: Resources.NONE
 
     /** Takes in a job record as the store has it; all changes before [knownUpTo] had been taken in until now. */
-    fun putJob(record: JobRecord, stamp: Stamp, now: Moment, knownUpTo: WallTime = WallTime(0)): Job {
+    fun putJob(record: JobRecord, stamp: Stamp, now: MonotonicTime, knownUpTo: WallTime = WallTime(0)): Job {
         val job = jobs.getOrPut(record.spec.id) {
             Job(record.spec, record.submitted, stamp).apply {
                 learnedAt = now
@@ -94,7 +94,7 @@
             ?: knownUpTo
 
     /** Rebuilds from what earlier leaders wrote. */
-    fun replay(now: Moment) = object : JournalReader {
+    fun replay(now: MonotonicTime) = object : JournalReader {
         override fun done(job: JobId, ranges: String) {
             val known = jobs[job] ?: return
             val set = BitSet()
@@ -161,7 +161,7 @@
     }
 
     /** Intends to run a task on a machine. Nothing may be sent before the journal says so. */
-    fun assign(job: Job, index: Int, machine: Machine, now: Moment): Assignment {
+    fun assign(job: Job, index: Int, machine: Machine, now: MonotonicTime): Assignment {
         val assignment = Assignment(
             job,
             index,
@@ -206,7 +206,7 @@
     }
 
     /** Releases what an ended assignment held. Called when the store no longer lists it. */
-    fun release(assignment: Assignment, now: Moment) {
+    fun release(assignment: Assignment, now: MonotonicTime) {
         if (assignment.phase == Phase.RELEASED) return
         assignment.phase = Phase.RELEASED
         val job = assignment.job
@@ -224,7 +224,7 @@
     }
 
     /** Forgets a job that is over, with whatever it still had. */
-    fun dropJob(job: Job, now: Moment) {
+    fun dropJob(job: Job, now: MonotonicTime) {
         for (assignment in job.live.values.toList()) release(assignment, now)
         jobs.remove(job.id)
         finishing.remove(job)
@@ -238,7 +238,7 @@
     }
 
     /** Removes a machine that the cloud has deleted. */
-    fun buryMachine(id: MachineId, now: Moment) {
+    fun markDeleted(id: MachineId, now: MonotonicTime) {
         tombstones[id] = now
         val machine = machines[id] ?: return
         endSession(machine, null)
@@ -249,7 +249,7 @@
      * Takes in a worker's report. Returns false where it is older than what is known already.
      * What it says of exits and sessions is final, so it needs no proof of being recent.
      */
-    fun report(report: WorkerReport, now: Moment): Boolean {
+    fun report(report: WorkerReport, now: MonotonicTime): Boolean {
         if (report.machine in tombstones) return false
         var machine = machines[report.machine]
         if (machine == null || machine.type == null) {
@@ -263,7 +263,7 @@
             machine = known
         }
         val session = machine.session
-        if (session != null && (report.session < session || (report.session == session && report.tally <= machine.tally))) {
+        if (session != null && (report.session < session || (report.session == session && report.reportNumber <= machine.reportNumber))) {
             return false
         }
         if (session == null || report.session > session) {
@@ -271,7 +271,7 @@
             machine.mayStillStart.clear()
             machine.session = report.session
             machine.sessionSince = now
-            machine.answeredTally = null
+            machine.answeredReport = null
             // A session that nobody answered yet lives a full lease from its beginning, which may have been just now.
             machine.answeredAt = now
         }
@@ -279,7 +279,7 @@
             machine.state = MachineState.UP
             machine.idleSince = now
         }
-        machine.tally = report.tally
+        machine.reportNumber = report.reportNumber
         machine.address = report.address
         machine.heardAt = now
         if (report.noticeS != null && !machine.noticed) {
@@ -291,12 +291,12 @@
         return true
     }
 
-    private fun readTasks(machine: Machine, report: WorkerReport, now: Moment) {
-        val strangers = ArrayList<Stranger>()
+    private fun readTasks(machine: Machine, report: WorkerReport, now: MonotonicTime) {
+        val unknownTasks = ArrayList<UnknownTask>()
         for (reported in report.tasks) {
             val assignment = machine.live[reported.task]
             if (assignment == null || assignment.attempt != reported.attempt || assignment.session != report.session) {
-                strangers += Stranger(
+                unknownTasks += UnknownTask(
                     reported.task,
                     reported.attempt,
                     reported.state == TaskState.EXITED,
@@ -309,10 +309,10 @@
             assignment.reported = reported.state
             if (reported.state == TaskState.EXITED) exited(machine, assignment, reported.cause, now)
         }
-        machine.strangers = strangers
+        machine.unknownTasks = unknownTasks
     }
 
-    private fun exited(machine: Machine, assignment: Assignment, cause: ExitCause?, now: Moment) {
+    private fun exited(machine: Machine, assignment: Assignment, cause: ExitCause?, now: MonotonicTime) {
         val job = assignment.job
         end(assignment, completed = cause == ExitCause.DONE)
         when (cause) {
--- a/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
 import mountmast.protocol.JobStatus
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Shape
 import mountmast.protocol.Stamp
 import mountmast.protocol.StateLimits
@@ -19,9 +19,9 @@
 import mountmast.storage.OverRecord
 import mountmast.storage.SnapshotRecord
 import mountmast.storage.StateStore
+import mountmast.storage.StoreException
 import mountmast.storage.StoreRejected
 import mountmast.storage.StoreSilent
-import mountmast.storage.StoreTrouble
 import mountmast.storage.Transaction
 import mountmast.storage.WatermarkRecord
 import mountmast.storage.Write
@@ -39,7 +39,7 @@
  * leader or a former one, changes nothing that was written since.
  */
 class LedgerWriter(
-    private val reign: Reign,
+    private val leaderTerm: LeaderTerm,
     private val store: StateStore,
     stateLimits: StateLimits,
     private val clock: Clock,
@@ -47,19 +47,19 @@
     private val compact: () -> Boolean = { false },
     private val onDeposed: () -> Unit,
 ) {
-    private val ledger get() = reign.ledger
+    private val ledger get() = leaderTerm.ledger
     private var limits = WriteLimits.of(stateLimits)
-    private val journal = JournalWriter(reign, clock)
-    private val snapshots = SnapshotWriter(reign)
-    private val types = TypesWriter(reign)
+    private val journal = JournalWriter(leaderTerm, clock)
+    private val snapshots = SnapshotWriter(leaderTerm)
+    private val types = TypesWriter(leaderTerm)
     private val progress = ProgressWriter(ledger, clock)
     private val failing = FailingJobsWriter(ledger, clock)
     private val images = ImagesWriter(ledger, clock)
-    private var watermarkNotBefore = Moment(0)
+    private var watermarkNotBefore = MonotonicTime(0)
     private var writtenWatermark: WallTime? = null
     private var endsFirst = false
     private var rejectedOnce = false
-    private var pausedUntil = Moment(Long.MIN_VALUE / 2)
+    private var pausedUntil = MonotonicTime(Long.MIN_VALUE / 2)
 
     /** A batch that got no answer: asked again word for word until its fate is known. */
     private var unsettled: WriteBatch? = null
@@ -84,10 +84,10 @@
         } catch (e: StoreRejected) {
             rejected(batch, e)
             return false
-        } catch (e: StoreTrouble) {
+        } catch (e: StoreException) {
             log.debug("commit of {} writes: {}", transaction.writes.size, e.message)
             // What was refused was not executed; but an earlier try of the same may have been.
-            if (unsettled == null) reign.lock.withLock { putBack(batch) }
+            if (unsettled == null) leaderTerm.lock.withLock { putBack(batch) }
             return false
         }
         return when (outcome) {
@@ -100,7 +100,7 @@
         val wasFence = fence != null
         unsettled = null
         fence = null
-        reign.lock.withLock { if (wasFence) fenced(batch, stamp) else committed(batch, stamp) }
+        leaderTerm.lock.withLock { if (wasFence) fenced(batch, stamp) else committed(batch, stamp) }
         return true
     }
 
@@ -108,20 +108,20 @@
         val room = store.writeRoom()
         if (room.spare <= 0) return null
         if (!progress.knowsParts && !findProgress()) return null
-        return reign.lock.withLock { collect(minOf(room.spare, limits.transactionOps), room.isShort) }
+        return leaderTerm.lock.withLock { collect(minOf(room.spare, limits.transactionOps), room.isShort) }
     }
 
     private fun findProgress(): Boolean = try {
         progress.found(store.listAll(Keys.PROGRESS).first.map { it.key })
         true
-    } catch (e: StoreTrouble) {
+    } catch (e: StoreException) {
         log.debug("finding progress: {}", e.message)
         false
     }
 
     /** What matters most comes first: the ends of jobs and the journal, last what is for display or a hint. */
     private fun collect(mostOps: Int, isShort: Boolean): WriteBatch? {
-        val batch = WriteBatch(reign.mandate.stamp, mostOps)
+        val batch = WriteBatch(leaderTerm.grant.stamp, mostOps)
         val isCompact = compact()
         val ready = ledger.finishing.filter { it.nothingLives() }
         endsFirst = !endsFirst
@@ -150,7 +150,7 @@
         } else {
             batch.room
         }
-        val forOthers = if (left >= LEAST_SHARED_OPS) 1 else 0
+        val forOthers = if (left >= MIN_SHARED_OPS) 1 else 0
         journal.addTo(batch, limits, left - forOthers, isCompact, isShort)
     }
 
@@ -172,7 +172,7 @@
         val now = clock.now()
         if (now < watermarkNotBefore || batch.room <= 0) return
         watermarkNotBefore = now + WATERMARK_EVERY_MS
-        val watermark = reign.watermark()
+        val watermark = leaderTerm.watermark()
         if (watermark == writtenWatermark) return
         writtenWatermark = watermark
         batch.put(Keys.WATERMARK, WireJson.encodeToJsonElement(WatermarkRecord(watermark)))
@@ -183,7 +183,7 @@
         // What users are told went with it.
         progress.forget()
         failing.putBack()
-        watermarkNotBefore = Moment(0)
+        watermarkNotBefore = MonotonicTime(0)
         writtenWatermark = null
     }
 
@@ -200,11 +200,11 @@
                 is Unwritten.Reserved -> {}
             }
         }
-        if (freed) reign.wakePlacement()
+        if (freed) leaderTerm.wakePlacement()
         snapshots.committed(batch, stamp)
         for (end in batch.over) {
             log.debug("job {} is over", end.job.id)
-            reign.jobOver(end.job, end.record)
+            leaderTerm.jobOver(end.job, end.record)
         }
         types.committed(batch)
         buryEmptied()
@@ -215,7 +215,7 @@
         assignment.written = true
         if (assignment.phase != Phase.INTENDED) return
         assignment.phase = Phase.COMMITTED
-        reign.dispatch.queue(assignment.machine)
+        leaderTerm.dispatch.queue(assignment.machine)
     }
 
     /** Deleted machines whose assignments are released now are forgotten. */
@@ -232,7 +232,7 @@
         if (unsettled == null || batch.records.isEmpty()) {
             unsettled = null
             fence = null
-            reign.lock.withLock { putBack(batch) }
+            leaderTerm.lock.withLock { putBack(batch) }
         } else {
             val first = batch.records.first().number
             val empty = JournalRecord(first, "")
@@ -241,8 +241,8 @@
     }
 
     private fun fencing(put: Write.Put): Transaction {
-        val slot = JournalWriter.slotOf(reign.journal.next)
-        val conditions = listOf(Condition(Keys.LEADER, reign.mandate.stamp), Condition(put.key, reign.journal.stamps[slot]))
+        val slot = JournalWriter.slotOf(leaderTerm.journal.next)
+        val conditions = listOf(Condition(Keys.LEADER, leaderTerm.grant.stamp), Condition(put.key, leaderTerm.journal.stamps[slot]))
         return Transaction(conditions, listOf(put))
     }
 
@@ -262,7 +262,7 @@
             if (batch.records.isNotEmpty() && unsettled != null && wasCarriedOut(batch)) return true
             unsettled = null
             fence = null
-            reign.lock.withLock { putBack(batch) }
+            leaderTerm.lock.withLock { putBack(batch) }
             for (key in failed) {
                 when {
                     key.startsWith(Keys.JOBS) -> resolveJob(key)
@@ -271,7 +271,7 @@
                     else -> log.error("{} was changed by somebody else", key)
                 }
             }
-        } catch (e: StoreTrouble) {
+        } catch (e: StoreException) {
             log.debug("reading again: {}", e.message)
         } catch (e: IllegalArgumentException) {
             log.error("unreadable record among {}: {}", failed, e.message)
@@ -294,11 +294,11 @@
         val id = Keys.jobOfKey(key) ?: return
         val entry = store.get(key)
         val over = if (entry == null) store.get(Keys.over(id)) else null
-        reign.lock.withLock {
+        leaderTerm.lock.withLock {
             val job = ledger.jobs[id] ?: return
             when {
-                entry != null -> reign.takeIn(WireJson.decodeFromJsonElement<JobRecord>(entry.value), entry.stamp)
-                over != null -> reign.jobOver(job, WireJson.decodeFromJsonElement<OverRecord>(over.value))
+                entry != null -> leaderTerm.takeIn(WireJson.decodeFromJsonElement<JobRecord>(entry.value), entry.stamp)
+                over != null -> leaderTerm.jobOver(job, WireJson.decodeFromJsonElement<OverRecord>(over.value))
                 else -> log.error("job {} is in the store no more", id)
             }
         }
@@ -307,7 +307,7 @@
     private fun resolveSnapshot() {
         val entry = store.get(Keys.SNAPSHOT) ?: return
         val record = WireJson.decodeFromJsonElement<SnapshotRecord>(entry.value)
-        reign.lock.withLock { snapshots.became(record, entry.stamp) }
+        leaderTerm.lock.withLock { snapshots.became(record, entry.stamp) }
     }
 
     private companion object {
@@ -315,7 +315,7 @@
         const val OPS_PER_END = 2
 
         /** From so many changes on the journal leaves one to others. */
-        const val LEAST_SHARED_OPS = 3
+        const val MIN_SHARED_OPS = 3
         const val WATERMARK_EVERY_MS = 2000L
         const val REJECTED_PAUSE_MS = 1000L
     }
--- a/src/main/kotlin/mountmast/coordination/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/Machine.kt
@@ -4,10 +4,10 @@
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
+import mountmast.protocol.ReportNumber
 import mountmast.protocol.Resources
 import mountmast.protocol.Session
-import mountmast.protocol.Tally
 import mountmast.protocol.TypeId
 import mountmast.protocol.Zone
 
@@ -30,27 +30,27 @@
 class Machine(val id: MachineId, val type: TypeId?, val zone: Zone?, val spot: Boolean, var state: MachineState) {
     var address: String? = null
     var session: Session? = null
-    var tally = Tally(0u)
+    var reportNumber = ReportNumber(0u)
 
-    var heardAt = Moment(0)
+    var heardAt = MonotonicTime(0)
 
     /** When it last reported by itself: one that only answers commands hears nothing of its reports' answers. */
-    var reportedAt = Moment(0)
+    var reportedAt = MonotonicTime(0)
 
     /** When its lease was found to be over. */
-    var expiredAt = Moment(0)
+    var expiredAt = MonotonicTime(0)
 
     /** When a report was last answered, or the session became known: its lease runs from then at the latest. */
-    var answeredAt = Moment(0)
+    var answeredAt = MonotonicTime(0)
 
     /** The report that this leader answered last, if any. */
-    var answeredTally: Tally? = null
-    var rentedAt = Moment(0)
+    var answeredReport: ReportNumber? = null
+    var rentedAt = MonotonicTime(0)
 
     /** When this leader first knew of it. */
-    var knownAt = Moment(0)
-    var idleSince = Moment(0)
-    var notBefore = Moment(Long.MIN_VALUE)
+    var knownAt = MonotonicTime(0)
+    var idleSince = MonotonicTime(0)
+    var notBefore = MonotonicTime(Long.MIN_VALUE)
 
     /** The cloud will take it back. */
     var noticed = false
@@ -73,7 +73,7 @@
     val images = LinkedHashMap<ImageId, Double>()
 
     /** Tasks in the last report that the ledger has no assignment for. */
-    var strangers = emptyList<Stranger>()
+    var unknownTasks = emptyList<UnknownTask>()
 
     /**
      * Attempts whose start was in commands that got no answer, and with how many fences those were sent. Such commands may
@@ -82,30 +82,30 @@
      */
     val mayStillStart = HashMap<Pair<String, Attempt>, Int>()
 
-    /** By how much the token for this machine is above the reign's first. */
+    /** By how much the token for this machine is above the term's first. */
     var fences = 0
 
     /**
      * Whether the worker has shown our term: from then on it drops what earlier leaders say, and what it reports is
-     * no copy from before this reign, which might be of a machine long gone.
+     * no copy from before this term, which might be of a machine long gone.
      */
-    var sawTerm = false
+    var hasSeenTerm = false
 
     /** Reports in a row that show nothing of what the answers before them said. */
-    var unheard = 0
+    var unacknowledgedReports = 0
 
     /** Since when answers and commands seem not to reach the worker although its reports arrive. */
-    var unreachedSince: Moment? = null
-    var sessionSince = Moment(0)
+    var unreachedSince: MonotonicTime? = null
+    var sessionSince = MonotonicTime(0)
     var postInFlight = false
 
     /** When it was last called away from a former leader. */
-    var calledAt = Moment(0)
-    var postNotBefore = Moment(Long.MIN_VALUE)
+    var calledAt = MonotonicTime(0)
+    var postNotBefore = MonotonicTime(Long.MIN_VALUE)
 
     /** The job that this machine is being emptied for. */
     var reservedFor: JobId? = null
-    var reservedUntil = Moment(0)
+    var reservedUntil = MonotonicTime(0)
 
     /** Failures of tasks here, without a completion in between. */
     val strikes = ArrayList<JobId>()
@@ -114,8 +114,8 @@
     var slowStrikes = 0
     var quarantined = false
 
-    fun usable(now: Moment) = state == MachineState.UP &&
-        sawTerm &&
+    fun usable(now: MonotonicTime) = state == MachineState.UP &&
+        hasSeenTerm &&
         unreachedSince == null &&
         !noticed &&
         !deleting &&
@@ -147,4 +147,4 @@
 }
 
 /** A task on a machine that the ledger has no assignment for. */
-class Stranger(val taskName: String, val attempt: Attempt, val exited: Boolean, val completed: Boolean)
+class UnknownTask(val taskName: String, val attempt: Attempt, val exited: Boolean, val completed: Boolean)
--- a/src/main/kotlin/mountmast/coordination/MachineRentals.kt
+++ b/src/main/kotlin/mountmast/coordination/MachineRentals.kt
@@ -1,10 +1,10 @@
 package mountmast.coordination
 
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.RentalId
 import mountmast.protocol.RentalRequest
 import mountmast.transport.Cloud
-import mountmast.transport.CloudTrouble
+import mountmast.transport.CloudException
 import mountmast.transport.RentalOutcome
 import org.slf4j.LoggerFactory
 import kotlin.concurrent.withLock
@@ -13,10 +13,10 @@
 
 /**
  * Rents machines, each request by a name that no other process uses. A request without an answer is repeated by the same name
- * before any other is made, so that none is carried out twice. Called by one thread; takes the [Reign]'s lock.
+ * before any other is made, so that none is carried out twice. Called by one thread; takes the [LeaderTerm]'s lock.
  */
 class MachineRentals(
-    private val reign: Reign,
+    private val leaderTerm: LeaderTerm,
     private val cloud: Cloud,
     private val policy: FleetPolicy,
     timing: Timing,
@@ -24,37 +24,37 @@
     /** Begins the names of rental requests. */
     private val requestPrefix: String,
 ) {
-    private val ledger get() = reign.ledger
-    private val pausedUntil = HashMap<Offer, Moment>()
-    private val planner = RentalPlanner(reign, timing, history, ::isPaused)
+    private val ledger get() = leaderTerm.ledger
+    private val pausedUntil = HashMap<Offer, MonotonicTime>()
+    private val planner = RentalPlanner(leaderTerm, timing, history, ::isPaused)
     private var requestCount = 0
     private var unanswered: RentalRequest? = null
 
-    /** One round of renting, decided as of [now]. Throws [CloudTrouble] where the cloud does not answer. */
-    fun step(now: Moment) {
+    /** One round of renting, decided as of [now]. Throws [CloudException] where the cloud does not answer. */
+    fun step(now: MonotonicTime) {
         unanswered?.let { return send(it, now) }
-        val plan = reign.lock.withLock { planner.plan(now) }
+        val plan = leaderTerm.lock.withLock { planner.plan(now) }
         for ((offer, wanted) in plan) rent(offer, wanted, now)
     }
 
-    private fun rent(offer: Offer, wanted: Int, now: Moment) {
+    private fun rent(offer: Offer, wanted: Int, now: MonotonicTime) {
         var left = wanted
         while (left > 0 && !isPaused(offer, now)) {
-            val count = minOf(left, Cloud.MOST_PER_RENTAL)
+            val count = minOf(left, Cloud.MAX_PER_RENTAL)
             val id = RentalId("$requestPrefix-${++requestCount}")
             send(RentalRequest(id, offer.type, offer.zone, offer.spot, count), now)
             left -= count
         }
     }
 
-    private fun isPaused(offer: Offer, now: Moment) = pausedUntil[offer].let { it != null && now < it }
+    private fun isPaused(offer: Offer, now: MonotonicTime) = pausedUntil[offer].let { it != null && now < it }
 
-    private fun send(request: RentalRequest, now: Moment) {
+    private fun send(request: RentalRequest, now: MonotonicTime) {
         val offer = Offer(request.type, request.zone, request.spot)
         unanswered = request
         val outcome = try {
             cloud.rent(request)
-        } catch (e: CloudTrouble) {
+        } catch (e: CloudException) {
             if (!e.mayBeCarriedOut) unanswered = null
             throw e
         }
@@ -72,7 +72,7 @@
     private fun logRental(offer: Offer, rented: Int, wanted: Int) =
         log.info("rented {} of {} {} in {}{}", rented, wanted, offer.type, offer.zone, if (offer.spot) ", spot" else "")
 
-    private fun takeIn(outcome: RentalOutcome.Rented, offer: Offer, now: Moment) = reign.lock.withLock {
+    private fun takeIn(outcome: RentalOutcome.Rented, offer: Offer, now: MonotonicTime) = leaderTerm.lock.withLock {
         for (id in outcome.machines) {
             if (id in ledger.machines || id in ledger.tombstones) continue
             ledger.machines[id] = Machine(id, offer.type, offer.zone, offer.spot, MachineState.BOOTING).apply {
--- a/src/main/kotlin/mountmast/coordination/MachineReservations.kt
+++ b/src/main/kotlin/mountmast/coordination/MachineReservations.kt
@@ -8,9 +8,9 @@
     private val smallestOpenCpus = snapshot.jobs.filter { it.openCount > 0 }.minOfOrNull { it.spec.cpus } ?: 0.0
     private var reservedCount = snapshot.machines.count { it.reservedFor != null }
     private var jobCount = 0
-    private val planned = ArrayList<Hold>()
+    private val planned = ArrayList<MachineReservation>()
 
-    val holds: List<Hold> get() = planned
+    val reservations: List<MachineReservation> get() = planned
 
     /** Whether machines may be kept for one more job in this pass. */
     fun mayReserveForAnother(): Boolean = jobCount < MAX_JOBS_PER_PASS
@@ -25,7 +25,7 @@
         for (machine in soonestFor(job, mostMachines)) {
             if (left <= 0) break
             machine.reservedFor = job.spec.id
-            planned += Hold(machine.id, job.spec.id)
+            planned += MachineReservation(machine.id, job.spec.id)
             reservedCount++
             left -= job.spec.perTask.timesIn(machine.type.capacity, left)
         }
--- a/src/main/kotlin/mountmast/coordination/MachineReturns.kt
+++ b/src/main/kotlin/mountmast/coordination/MachineReturns.kt
@@ -3,7 +3,7 @@
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.transport.Cloud
 import org.slf4j.LoggerFactory
 import kotlin.concurrent.withLock
@@ -12,37 +12,37 @@
 
 /**
  * Returns machines that are idle, dead, sick or out of reach. A machine chosen once is returned for certain: its deletion is
- * asked for again until it is answered. Called by one thread; takes the [Reign]'s lock.
+ * asked for again until it is answered. Called by one thread; takes the [LeaderTerm]'s lock.
  */
 class MachineReturns(
-    private val reign: Reign,
+    private val leaderTerm: LeaderTerm,
     private val cloud: Cloud,
     private val clock: Clock,
     private val policy: FleetPolicy,
     private val timing: Timing,
     private val history: OfferHistory,
 ) {
-    private val ledger get() = reign.ledger
+    private val ledger get() = leaderTerm.ledger
 
-    /** One round of returns, decided as of [now]. Throws `CloudTrouble` where the cloud does not answer. */
-    fun step(now: Moment) {
-        val chosen = reign.lock.withLock { choose(now) }
+    /** One round of returns, decided as of [now]. Throws `CloudException` where the cloud does not answer. */
+    fun step(now: MonotonicTime) {
+        val chosen = leaderTerm.lock.withLock { choose(now) }
         if (chosen.isEmpty()) return
         cloud.delete(chosen)
-        reign.lock.withLock {
-            for (id in chosen) ledger.buryMachine(id, clock.now())
+        leaderTerm.lock.withLock {
+            for (id in chosen) ledger.markDeleted(id, clock.now())
             val forgotten = ledger.tombstones.entries.takeWhile { now - it.value > TOMBSTONE_MS }.map { it.key }
             ledger.tombstones.keys.removeAll(forgotten.toSet())
-            reign.wakeWriter()
+            leaderTerm.wakeWriter()
         }
     }
 
-    private fun choose(now: Moment): List<MachineId> {
+    private fun choose(now: MonotonicTime): List<MachineId> {
         val chosen = ledger.machines.values.filter { it.id !in ledger.tombstones && (it.deleting || shouldReturn(it, now)) }
         for (machine in chosen) {
             if (!machine.deleting) beginReturn(machine)
         }
-        return chosen.map { it.id }.take(Cloud.MOST_PER_DELETION)
+        return chosen.map { it.id }.take(Cloud.MAX_PER_DELETION)
     }
 
     private fun beginReturn(machine: Machine) {
@@ -61,31 +61,32 @@
         else -> "idle"
     }
 
-    private fun shouldReturn(machine: Machine, now: Moment): Boolean {
+    private fun shouldReturn(machine: Machine, now: MonotonicTime): Boolean {
         val type = ledger.types[machine.type] ?: return false
-        return machine.listedFailed || when (machine.state) {
-            // A machine that hung or was cut off comes back with its images, sooner than another one boots; one that is
-            // dead is listed as failed soon, and costs nothing.
-            MachineState.EXPIRED -> now - machine.expiredAt > timing.leaseOverMs
-            MachineState.SILENT -> false
-            MachineState.BOOTING -> hasFailedToBoot(machine, type, now)
-            MachineState.UP -> isUnreachedForGood(machine, now) || (machine.live.isEmpty() && isUnneeded(machine, type, now))
-        }
+        return machine.listedFailed ||
+            when (machine.state) {
+                // A machine that hung or was cut off comes back with its images, sooner than another one boots; one that is
+                // dead is listed as failed soon, and costs nothing.
+                MachineState.EXPIRED -> now - machine.expiredAt > timing.leaseOverMs
+                MachineState.SILENT -> false
+                MachineState.BOOTING -> hasFailedToBoot(machine, type, now)
+                MachineState.UP -> isUnreachedForGood(machine, now) || (machine.live.isEmpty() && isUnneeded(machine, type, now))
+            }
     }
 
-    private fun hasFailedToBoot(machine: Machine, type: MachineType, now: Moment): Boolean {
+    private fun hasFailedToBoot(machine: Machine, type: MachineType, now: MonotonicTime): Boolean {
         val bootMs = (type.bootS * MS_PER_S).toLong()
         val bootingSince = maxOf(machine.rentedAt, machine.knownAt + -bootMs)
         return now - bootingSince > BOOT_LIMIT_FACTOR * bootMs + BOOT_LIMIT_MARGIN_MS
     }
 
     /** Its tasks are free once it is deleted; but where hardly any worker hears us, it is not the machines. */
-    private fun isUnreachedForGood(machine: Machine, now: Moment): Boolean {
+    private fun isUnreachedForGood(machine: Machine, now: MonotonicTime): Boolean {
         val since = machine.unreachedSince ?: return false
-        return now - since > reign.unreachedPatienceMs && !reign.hearing.manyUnreached()
+        return now - since > leaderTerm.unreachedPatienceMs && !leaderTerm.reachability.areMostUnreached()
     }
 
-    private fun isUnneeded(machine: Machine, type: MachineType, now: Moment): Boolean {
+    private fun isUnneeded(machine: Machine, type: MachineType, now: MonotonicTime): Boolean {
         if (machine.quarantined || machine.noticed) return true
         return machine.reservedFor == null &&
             now - machine.idleSince > idleReturnMs(machine, type) &&
--- a/src/main/kotlin/mountmast/coordination/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/Node.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination
 
 import mountmast.protocol.Settings
-import mountmast.transport.Admissions
+import mountmast.transport.AdmissionLimits
 import mountmast.transport.BoundedServer
 import mountmast.transport.Sockets
 import mountmast.transport.peerRoutes
@@ -28,7 +28,7 @@
 
     private fun startServers(sockets: Sockets) {
         // What users submit is shed first: their polls have a limit of their own, and both leave threads to the workers.
-        val admission = Admissions(operators.admission.limit(), operators.admission.limit())
+        val admission = AdmissionLimits(operators.admission.limit(), operators.admission.limit())
         publicRoutes(controller.users, controller, admission)
             .asServer(BoundedServer(settings.serveOn, "serve", SERVE_THREADS, sockets.waiting)).start()
         peerRoutes(controller.users, controller)
@@ -58,8 +58,8 @@
     /** Starts what only a leader does; these threads idle on any other node. */
     private fun startLeaderWork(sockets: Sockets) {
         whileLeading("pass", ::passAndWait)
-        whileLeading("writer") { reign ->
-            if (!controller.write()) reign.awaitWritable(WRITE_IDLE_MS)
+        whileLeading("writer") { leaderTerm ->
+            if (!controller.write()) leaderTerm.awaitWritable(WRITE_IDLE_MS)
             WRITE_GAP_MS
         }
         whileLeading("follow") { if (controller.follow(FOLLOW_MS)) FOLLOW_GAP_MS else FAILED_MS }
@@ -73,17 +73,17 @@
     }
 
     /** Runs a pass and waits until the next is due or asked for; returns how long to pause at least. */
-    private fun passAndWait(reign: Reign): Long {
+    private fun passAndWait(leaderTerm: LeaderTerm): Long {
         val began = System.nanoTime()
         controller.pass()
         val tookMs = (System.nanoTime() - began) / NANOS_PER_MS
-        reign.awaitPlacement(operators.policy.passMs)
+        leaderTerm.awaitPlacement(operators.policy.passMs)
         // However large the ledger, passes leave most of the processor to the workers' reports.
         return maxOf(PASS_GAP_MS, tookMs * PASS_SHARE)
     }
 
     /** Repeats [step] while this node leads. */
-    private fun whileLeading(name: String, step: (Reign) -> Long) = loop(name) { controller.reign()?.let(step) ?: IDLE_MS }
+    private fun whileLeading(name: String, step: (LeaderTerm) -> Long) = loop(name) { controller.leaderTerm()?.let(step) ?: IDLE_MS }
 
     /** Repeats [step] on a thread of its own, pausing as long as it says. */
     private fun loop(name: String, step: () -> Long) {
--- a/src/main/kotlin/mountmast/coordination/OfferHistory.kt
+++ b/src/main/kotlin/mountmast/coordination/OfferHistory.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination
 
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 
 /**
  * What became lately of the machines rented by each [Offer]: spot machines that were lost, and machines that did not boot in
@@ -30,7 +30,7 @@
      * Whether a machine has booted for longer than machines mostly take. It may still come up, and is used then; but what waits
      * for it gets another machine meanwhile.
      */
-    fun isLate(machine: Machine, now: Moment): Boolean {
+    fun isLate(machine: Machine, now: MonotonicTime): Boolean {
         val type = ledger.types[machine.type] ?: return false
         return now - machine.rentedAt > (type.bootS * LATE_BOOT_FACTOR * MS_PER_S).toLong() + LATE_BOOT_MARGIN_MS
     }
@@ -39,7 +39,7 @@
      * Offers of which most machines rented lately are late or never came up: whatever is rented there next would be late as
      * well. They are left alone while others can be had. Among many machines a few that never boot mean nothing.
      */
-    fun lateOffers(now: Moment): Set<Offer> {
+    fun lateOffers(now: MonotonicTime): Set<Offer> {
         val late = HashMap<Offer, Double>(neverBooted)
         val booted = HashMap<Offer, Int>()
         for (machine in ledger.machines.values) {
--- a/src/main/kotlin/mountmast/coordination/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/OperatorSettings.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination
 
-import mountmast.protocol.BadSettings
+import mountmast.protocol.InvalidSettingsException
 import mountmast.protocol.TeamId
 import mountmast.protocol.Urgency
 import mountmast.transport.AdmissionLimit
@@ -29,7 +29,7 @@
         fun read(name: String, open: () -> InputStream): OperatorSettings = try {
             open().use { Reader(name, it).read() }
         } catch (e: IOException) {
-            throw BadSettings("cannot read $name: ${e.message}")
+            throw InvalidSettingsException("cannot read $name: ${e.message}")
         }
     }
 
@@ -47,11 +47,11 @@
             if (xml.localName != "mountmast") refuse("the root is not <mountmast>")
             sections()
             if (settings.admission.least > settings.admission.most) {
-                throw BadSettings("$name: <least-requests> is above <most-requests>")
+                throw InvalidSettingsException("$name: <least-requests> is above <most-requests>")
             }
             settings
         } catch (e: XMLStreamException) {
-            throw BadSettings("$name, line ${e.location?.lineNumber ?: 0}: not well-formed XML")
+            throw InvalidSettingsException("$name, line ${e.location?.lineNumber ?: 0}: not well-formed XML")
         }
 
         private fun sections() = children { section ->
@@ -165,6 +165,6 @@
 
         private fun millis(element: String, least: Double, most: Double) = (number(element, least, most) * 1000).toLong()
 
-        private fun refuse(why: String): Nothing = throw BadSettings("$name, line ${xml.location.lineNumber}: $why")
+        private fun refuse(why: String): Nothing = throw InvalidSettingsException("$name, line ${xml.location.lineNumber}: $why")
     }
 }
--- a/src/main/kotlin/mountmast/coordination/PrerequisiteEvaluator.kt
+++ b/src/main/kotlin/mountmast/coordination/PrerequisiteEvaluator.kt
@@ -54,13 +54,13 @@
     private val finalStates: Cache<JobId, OverRecord>,
     private val mostConditions: Int,
 ) {
-    private val satisfied: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MOST_REMEMBERED).build()
-    private val longLists: Cache<JobId, List<JobId>> = CacheBuilder.newBuilder().maximumSize(MOST_LONG_LISTS).build()
+    private val satisfied: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build()
+    private val longLists: Cache<JobId, List<JobId>> = CacheBuilder.newBuilder().maximumSize(MAX_LONG_LISTS).build()
 
     /** Jobs known to have been accepted, whatever became of them. */
-    private val accepted: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MOST_REMEMBERED).build()
+    private val accepted: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build()
 
-    /** What the prerequisites of the job in [record] mean for it now; throws `StoreTrouble` where they cannot be read. */
+    /** What the prerequisites of the job in [record] mean for it now; throws `StoreException` where they cannot be read. */
     fun evaluate(record: JobRecord): PrerequisiteState {
         val id = record.spec.id
         if (!record.hasPrerequisites || satisfied.getIfPresent(id) != null) return PrerequisiteState.Satisfied
@@ -118,12 +118,12 @@
         return longLists.getIfPresent(record.spec.id) ?: lists.read(record).also { longLists.put(record.spec.id, it) }
     }
 
-    /** What is wrong with [names] as prerequisites of a new job, or null; throws `StoreTrouble` where that is unknown. */
+    /** What is wrong with [names] as prerequisites of a new job, or null; throws `StoreException` where that is unknown. */
     fun faultIn(names: List<JobId>): PrerequisiteFault? {
         val unknown = names.filterTo(LinkedHashSet()) { !isKnown(it) }
         when {
             unknown.isEmpty() -> {}
-            unknown.size <= MOST_READ_SINGLY -> readSingly(unknown)
+            unknown.size <= MAX_READ_SINGLY -> readSingly(unknown)
             else -> readInBulk(unknown)
         }
         names.firstOrNull { !isKnown(it) }?.let { return PrerequisiteFault.NeverAccepted(it) }
@@ -169,10 +169,10 @@
     }
 
     private companion object {
-        const val MOST_REMEMBERED = 20_000L
-        const val MOST_LONG_LISTS = 16L
+        const val MAX_REMEMBERED = 20_000L
+        const val MAX_LONG_LISTS = 16L
 
         /** More names than this are looked for in pages of all live jobs. */
-        const val MOST_READ_SINGLY = 16
+        const val MAX_READ_SINGLY = 16
     }
 }
--- a/src/main/kotlin/mountmast/coordination/ProgressBoard.kt
+++ b/src/main/kotlin/mountmast/coordination/ProgressCache.kt
@@ -3,12 +3,12 @@
 import kotlinx.serialization.json.decodeFromJsonElement
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WireJson
 import mountmast.storage.Keys
 import mountmast.storage.ProgressRecord
 import mountmast.storage.StateStore
-import mountmast.storage.StoreTrouble
+import mountmast.storage.StoreException
 import org.slf4j.LoggerFactory
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
@@ -22,10 +22,10 @@
  * How far running jobs have come, as the leader notes it about once a second: for display alone, so one reading
  * serves all polls of a while instead of a request for each.
  */
-class ProgressBoard(private val store: StateStore, private val clock: Clock) {
+class ProgressCache(private val store: StateStore, private val clock: Clock) {
     private val lock = ReentrantLock()
     private var board: Map<JobId, Progress> = emptyMap()
-    private var readNotBefore = Moment(Long.MIN_VALUE)
+    private var readNotBefore = MonotonicTime(Long.MIN_VALUE)
 
     fun of(id: JobId): Progress {
         val now = clock.now()
@@ -39,7 +39,7 @@
     private fun refresh() {
         val entries = try {
             store.list(Keys.PROGRESS).entries
-        } catch (e: StoreTrouble) {
+        } catch (e: StoreException) {
             // What was known serves a while longer; the job's own state was read a moment ago.
             log.debug("reading progress: {}", e.message)
             return
--- a/src/main/kotlin/mountmast/coordination/ProgressWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/ProgressWriter.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WireJson
 import mountmast.storage.Keys
 import mountmast.storage.ProgressRecord
@@ -11,7 +11,7 @@
 /** Tells the nodes that users ask how far the running jobs have come: about once a second, less often while changes are short. */
 class ProgressWriter(private val ledger: Ledger, private val clock: Clock) {
     private val written = ArrayList<ProgressRecord?>()
-    private var doneAt = Moment(Long.MIN_VALUE / 2)
+    private var doneAt = MonotonicTime(Long.MIN_VALUE / 2)
 
     /** Parts of the round that is being written. */
     private var round: List<ProgressRecord>? = null
@@ -44,7 +44,7 @@
     fun forget() {
         written.replaceAll { null }
         round = null
-        doneAt = Moment(Long.MIN_VALUE / 2)
+        doneAt = MonotonicTime(Long.MIN_VALUE / 2)
     }
 
     private fun records(limits: WriteLimits, compact: Boolean): List<ProgressRecord> {
--- a/src/main/kotlin/mountmast/coordination/Hearing.kt
+++ b/src/main/kotlin/mountmast/coordination/ReachabilityMonitor.kt
@@ -1,15 +1,15 @@
 package mountmast.coordination
 
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WorkerReport
 import org.slf4j.LoggerFactory
 
-private val log = LoggerFactory.getLogger("mountmast.reign")
+private val log = LoggerFactory.getLogger("mountmast.leader")
 
 /**
  * Detects machines whose reports arrive while answers and commands do not reach them. Guarded as its [Ledger] is.
  */
-class Hearing(private val ledger: Ledger, private val mandate: Mandate, private val timing: Timing) {
+class ReachabilityMonitor(private val ledger: Ledger, private val grant: LeadershipGrant, private val timing: Timing) {
     /** What a report tells of whether earlier answers arrived; both may be false. */
     private class Evidence(val isEffectMissing: Boolean, val isEffectShown: Boolean)
 
@@ -17,23 +17,23 @@
      * Takes note of [report], which this leader is about to answer; true where the machine is reached again and may have work.
      *
      * An answer did not arrive if the worker's token lags behind ours, or a start that it told is not shown; the caller counts
-     * sessions that rise although the worker was answered. A machine with [MOST_UNHEARD] such reports in a row gets no more
+     * sessions that rise although the worker was answered. A machine with [MAX_UNACKNOWLEDGED_REPORTS] such reports in a row gets no more
      * work, and is returned if that lasts. A report that shows an answer's effect clears it.
      */
-    fun note(machine: Machine, report: WorkerReport, now: Moment, readyAt: Moment): Boolean {
+    fun note(machine: Machine, report: WorkerReport, now: MonotonicTime, readyAt: MonotonicTime): Boolean {
         val evidence = evidence(machine, report, now)
         when {
             // A node that has just begun answers so slowly that workers drop its answers: that says nothing of them.
-            now - readyAt < SETTLING_MS -> machine.unheard = 0
-            evidence.isEffectMissing -> machine.unheard++
-            evidence.isEffectShown -> machine.unheard = 0
+            now - readyAt < SETTLING_MS -> machine.unacknowledgedReports = 0
+            evidence.isEffectMissing -> machine.unacknowledgedReports++
+            evidence.isEffectShown -> machine.unacknowledgedReports = 0
         }
-        if (machine.unheard >= MOST_UNHEARD && machine.unreachedSince == null) {
+        if (machine.unacknowledgedReports >= MAX_UNACKNOWLEDGED_REPORTS && machine.unreachedSince == null) {
             machine.unreachedSince = now
             log.info("machine {} reports, but nothing seems to reach it", machine.id)
             return false
         }
-        val isReachedAgain = machine.unheard == 0 && machine.unreachedSince != null
+        val isReachedAgain = machine.unacknowledgedReports == 0 && machine.unreachedSince != null
         if (isReachedAgain) {
             machine.unreachedSince = null
             log.info("machine {} is reached again", machine.id)
@@ -41,35 +41,35 @@
         return isReachedAgain
     }
 
-    private fun evidence(machine: Machine, report: WorkerReport, now: Moment): Evidence {
-        val answered = machine.answeredTally
-        val isTokenLagging = answered != null && answered < report.tally && report.term < mandate.term
-        val outlivesLease = now - machine.sessionSince > timing.leaseOverMs && report.term.reign == mandate.term.reign
+    private fun evidence(machine: Machine, report: WorkerReport, now: MonotonicTime): Evidence {
+        val answered = machine.answeredReport
+        val isTokenLagging = answered != null && answered < report.reportNumber && report.term < grant.term
+        val outlivesLease = now - machine.sessionSince > timing.leaseOverMs && report.term.election == grant.term.election
         val toldStarts = machine.live.values.filter { isToldBefore(it, report) }
         val (missing, shown) = toldStarts.partition { it.reported == null }
-        for (assignment in shown) assignment.startedInBeat = null
+        for (assignment in shown) assignment.startedInHeartbeat = null
         return Evidence(isTokenLagging || missing.isNotEmpty(), outlivesLease || shown.isNotEmpty())
     }
 
     /** Whether the start of [assignment] was in the answer to a report of the same session before this one. */
     private fun isToldBefore(assignment: Assignment, report: WorkerReport): Boolean {
-        val answered = assignment.startedInBeat ?: return false
-        return assignment.phase == Phase.COMMITTED && assignment.session == report.session && report.tally > answered
+        val answered = assignment.startedInHeartbeat ?: return false
+        return assignment.phase == Phase.COMMITTED && assignment.session == report.session && report.reportNumber > answered
     }
 
     /** Whether so many workers hear nothing that it must be this node, which cannot send. The caller holds the lock. */
-    fun manyUnreached(): Boolean {
+    fun areMostUnreached(): Boolean {
         val up = ledger.machines.values.count { it.state == MachineState.UP && !it.deleting }
         val unreached = ledger.machines.values.count { it.unreachedSince != null && !it.deleting }
-        return unreached >= LEAST_FOR_DEAF && unreached * 2 > up
+        return unreached >= MIN_MACHINES_TO_JUDGE_NODE && unreached * 2 > up
     }
 
     companion object {
         /** Reports in a row that show nothing of the answers before them. */
-        const val MOST_UNHEARD = 2
+        const val MAX_UNACKNOWLEDGED_REPORTS = 2
 
         /** Of so few machines nothing can be told about the node itself. */
-        const val LEAST_FOR_DEAF = 3
+        const val MIN_MACHINES_TO_JUDGE_NODE = 3
         private const val SETTLING_MS = 15_000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/RentalPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/RentalPlanner.kt
@@ -1,35 +1,35 @@
 package mountmast.coordination
 
 import mountmast.protocol.MachineType
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Resources
 import mountmast.protocol.Zone
 
 /**
  * Decides what to rent: machines for the waiting tasks that those still booting will not have room for.
- * Guarded by the [Reign]'s lock.
+ * Guarded by the [LeaderTerm]'s lock.
  */
 class RentalPlanner(
-    private val reign: Reign,
+    private val leaderTerm: LeaderTerm,
     private val timing: Timing,
     private val history: OfferHistory,
     /** Whether the cloud lately had no such machine. */
-    private val isPaused: (Offer, Moment) -> Boolean,
+    private val isPaused: (Offer, MonotonicTime) -> Boolean,
 ) {
-    private val ledger get() = reign.ledger
+    private val ledger get() = leaderTerm.ledger
 
     /** How many machines to rent by each offer, in the order of the tasks that need them. */
-    fun plan(now: Moment): Map<Offer, Int> {
+    fun plan(now: MonotonicTime): Map<Offer, Int> {
         history.decay()
         val round = Round(now, history.lateOffers(now))
-        for (waiting in reign.waiting) {
+        for (waiting in leaderTerm.waiting) {
             val job = ledger.jobs[waiting.job] ?: continue
             if (!job.poisoned) round.cover(job, waiting.tasks)
         }
         return round.rentals
     }
 
-    private inner class Round(private val now: Moment, private val lateOffers: Set<Offer>) {
+    private inner class Round(private val now: MonotonicTime, private val lateOffers: Set<Offer>) {
         val rentals = LinkedHashMap<Offer, Int>()
         private var rentalCount = 0
         private val expected = expectedMachines().toMutableList()
@@ -88,12 +88,12 @@
     }
 
     /** Whether it boots, or its worker has yet to show our token: no pass has given it work so far. */
-    private fun isExpectedSoon(machine: Machine, now: Moment): Boolean = !machine.deleting &&
+    private fun isExpectedSoon(machine: Machine, now: MonotonicTime): Boolean = !machine.deleting &&
         !machine.noticed &&
         when (machine.state) {
             MachineState.BOOTING ->
                 if (machine.listedRunning) now - machine.knownAt < firstReportMs else !history.isLate(machine, now)
-            MachineState.UP -> !machine.sawTerm && machine.live.isEmpty() && now - machine.sessionSince < firstReportMs
+            MachineState.UP -> !machine.hasSeenTerm && machine.live.isEmpty() && now - machine.sessionSince < firstReportMs
             else -> false
         }
 
--- a/src/main/kotlin/mountmast/coordination/Scheduler.kt
+++ b/src/main/kotlin/mountmast/coordination/Scheduler.kt
@@ -30,7 +30,7 @@
             // Where neither a bound nor a failure holds tasks back, room has been looked for already.
             val overdue = open.filter { priorities.isOverdue(it) && priorities.isHeldBack(it) }
             for (job in overdue.sortedBy { it.submitted }) placeOverdue(job)
-            return Plan(placement.starts(), evictions.evictions, reservations.holds, waiting, assurance.degrees)
+            return Plan(placement.starts(), evictions.evictions, reservations.reservations, waiting, assurance.degrees)
         }
 
         /**
--- a/src/main/kotlin/mountmast/coordination/SchedulingSnapshots.kt
+++ b/src/main/kotlin/mountmast/coordination/SchedulingSnapshots.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination
 
 import mountmast.protocol.Clock
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.TaskId
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
@@ -19,7 +19,7 @@
     private val clock: Clock,
 ) {
     /** What a pass decides on; [assurance] holds the smoothed degrees of the pass before. */
-    fun take(now: Moment, assurance: Map<TeamId, Double>): Snapshot {
+    fun take(now: MonotonicTime, assurance: Map<TeamId, Double>): Snapshot {
         val machines = ArrayList<MachineView>(ledger.machines.size)
         for (machine in ledger.machines.values) {
             // Whoever reaches no controller loses its tasks with its lease, although direct commands may still reach it.
@@ -44,13 +44,13 @@
     }
 
     /** How long a task will still run, as far as its estimate tells, in seconds. */
-    fun remainingS(assignment: Assignment, now: Moment): Double {
+    fun remainingS(assignment: Assignment, now: MonotonicTime): Double {
         val estimate = ledger.runEstimateS(assignment.job)
         val elapsed = assignment.runningSince?.let { (now - it) / 1000.0 } ?: 0.0
-        return maxOf(estimate - elapsed, estimate * LEAST_REMAINING)
+        return maxOf(estimate - elapsed, estimate * MIN_REMAINING)
     }
 
-    private fun resident(assignment: Assignment, now: Moment): Resident {
+    private fun resident(assignment: Assignment, now: MonotonicTime): Resident {
         val job = assignment.job
         return Resident(
             TaskId(job.id, assignment.index),
@@ -61,7 +61,7 @@
         )
     }
 
-    private fun view(job: Job, now: Moment): JobView {
+    private fun view(job: Job, now: MonotonicTime): JobView {
         val runS = ledger.runEstimateS(job)
         val perZone = if (!job.spec.oneZone && !job.spec.spread) {
             emptyMap()
@@ -81,6 +81,6 @@
 
     private companion object {
         const val NO_DEADLINE_S = 1e6
-        const val LEAST_REMAINING = 0.1
+        const val MIN_REMAINING = 0.1
     }
 }
--- a/src/main/kotlin/mountmast/coordination/SchedulingView.kt
+++ b/src/main/kotlin/mountmast/coordination/SchedulingView.kt
@@ -101,7 +101,7 @@
 data class Eviction(val machine: MachineId, val forJob: JobId, val victims: List<TaskId>)
 
 /** A machine kept for a job whose tasks are too large for the room that comes free at once. */
-data class Hold(val machine: MachineId, val forJob: JobId)
+data class MachineReservation(val machine: MachineId, val forJob: JobId)
 
 /** Open tasks of a job that found no machine although team and bounds allow them. */
 data class Waiting(val job: JobId, val tasks: Int, val guaranteed: Boolean)
@@ -109,7 +109,7 @@
 class Plan(
     val starts: List<Start>,
     val evictions: List<Eviction>,
-    val holds: List<Hold>,
+    val reservations: List<MachineReservation>,
     val waiting: List<Waiting>,
     val assurance: Map<TeamId, Double>,
 )
--- a/src/main/kotlin/mountmast/coordination/SnapshotWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/SnapshotWriter.kt
@@ -12,7 +12,7 @@
  * Writes the whole ledger now and then, in parts, so that the journal's slots can be used again. While changes are short,
  * parts are spread over the slots that are left.
  */
-class SnapshotWriter(private val reign: Reign) {
+class SnapshotWriter(private val leaderTerm: LeaderTerm) {
     /** The snapshot being written. Its text is packed part by part, as packing all at once would hold the lock for long. */
     private class Draft(val text: String, val generation: Long, val upTo: Long, val beganAt: Long) {
         var position = 0
@@ -26,7 +26,7 @@
     fun addTo(batch: WriteBatch, limits: WriteLimits, compact: Boolean, isShort: Boolean) {
         val current = draft ?: begin() ?: return
         // Parts are written while the pointer still names the snapshot before: late ones then change nothing.
-        batch.requires(Keys.SNAPSHOT, reign.journal.snapshotStamp)
+        batch.requires(Keys.SNAPSHOT, leaderTerm.journal.snapshotStamp)
         batch.snapshotEnd = current.position
         val due = if (isShort) dueUpTo(current) else current.text.length
         while (batch.room > 0 && batch.snapshotParts < PARTS_PER_BATCH && batch.snapshotEnd < due) {
@@ -55,23 +55,23 @@
 
     /** The store holds [pointer]. */
     fun became(pointer: SnapshotRecord, stamp: Stamp) {
-        reign.journal.snapshotUpTo = pointer.upTo
-        reign.journal.generation = pointer.generation
-        reign.journal.snapshotStamp = stamp
+        leaderTerm.journal.snapshotUpTo = pointer.upTo
+        leaderTerm.journal.generation = pointer.generation
+        leaderTerm.journal.snapshotStamp = stamp
         draft = null
     }
 
     /** What is in the journal by now; what is written later is replayed on top of it. */
     private fun begin(): Draft? {
-        val journal = reign.journal
+        val journal = leaderTerm.journal
         val used = journal.next - journal.snapshotUpTo
         if (used <= BEGIN_AFTER) return null
-        return Draft(reign.ledger.describe(), journal.generation + 1, journal.next - 1, used).also { draft = it }
+        return Draft(leaderTerm.ledger.describe(), journal.generation + 1, journal.next - 1, used).also { draft = it }
     }
 
     /** How far the text should be written by now, for it to be whole before the slots run out. */
     private fun dueUpTo(current: Draft): Int {
-        val journal = reign.journal
+        val journal = leaderTerm.journal
         val used = journal.next - journal.snapshotUpTo - current.beganAt
         val share = (used + 1).toDouble() / (maxOf(WHOLE_AT, current.beganAt + 1) - current.beganAt)
         return minOf(current.text.length.toLong(), (current.text.length * share).toLong()).toInt()
--- a/src/main/kotlin/mountmast/coordination/TypesWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/TypesWriter.kt
@@ -5,7 +5,7 @@
 import mountmast.storage.Write
 
 /** Writes the machine types where the store does not hold them yet. */
-class TypesWriter(private val reign: Reign) {
+class TypesWriter(private val leaderTerm: LeaderTerm) {
     /** Values still to be written for [types], the one that names the others last. */
     private var writes: List<Write.Put> = emptyList()
     private var types: MachineTypes? = null
@@ -13,7 +13,7 @@
 
     /** [inParts] tells whether types that do not fit into one value may be split. */
     fun addTo(batch: WriteBatch, limits: WriteLimits, inParts: Boolean) {
-        val pending = reign.pendingTypes ?: return
+        val pending = leaderTerm.pendingTypes ?: return
         if (types !== pending || this.limits != limits) {
             types = pending
             this.limits = limits
@@ -32,7 +32,7 @@
         if (batch.types == null || batch.types !== types) return
         writes = writes.drop(batch.typesWrites)
         if (writes.isNotEmpty()) return
-        if (reign.pendingTypes === types) reign.pendingTypes = null
+        if (leaderTerm.pendingTypes === types) leaderTerm.pendingTypes = null
         types = null
     }
 }
--- a/src/main/kotlin/mountmast/coordination/WriteBatch.kt
+++ b/src/main/kotlin/mountmast/coordination/WriteBatch.kt
@@ -44,7 +44,7 @@
     var snapshot: SnapshotRecord? = null
 
     /** Changes that it still has room for. */
-    val room: Int get() = if (bytes >= MOST_BYTES) 0 else mostOps - writes.size
+    val room: Int get() = if (bytes >= MAX_BYTES) 0 else mostOps - writes.size
     val isEmpty: Boolean get() = writes.isEmpty()
 
     fun requires(key: String, stamp: Stamp) {
@@ -66,6 +66,6 @@
 
     private companion object {
         /** Below the 64 KiB that a transaction may have, with room for conditions, names and one more value. */
-        const val MOST_BYTES = 40 * 1024
+        const val MAX_BYTES = 40 * 1024
     }
 }
--- a/src/main/kotlin/mountmast/coordination/WriteLimits.kt
+++ b/src/main/kotlin/mountmast/coordination/WriteLimits.kt
@@ -10,20 +10,20 @@
  */
 data class WriteLimits(val valueBytes: Int, val transactionOps: Int) {
     /** Whether nothing smaller is tried. */
-    val isLeast: Boolean get() = valueBytes == LEAST_VALUE_BYTES && transactionOps == StateLimits.LEAST_TRANSACTION_OPS
+    val isLeast: Boolean get() = valueBytes == MIN_VALUE_BYTES && transactionOps == StateLimits.MIN_TRANSACTION_OPS
 
     /** For a state service that takes less than the settings say. */
     fun halved() = WriteLimits(
-        maxOf(valueBytes / 2, LEAST_VALUE_BYTES),
-        maxOf(transactionOps / 2, StateLimits.LEAST_TRANSACTION_OPS),
+        maxOf(valueBytes / 2, MIN_VALUE_BYTES),
+        maxOf(transactionOps / 2, StateLimits.MIN_TRANSACTION_OPS),
     )
 
     companion object {
         /** The longest entry of the journal fits, with the JSON around it. */
-        private const val LEAST_VALUE_BYTES = 512
+        private const val MIN_VALUE_BYTES = 512
 
         fun of(limits: StateLimits) = WriteLimits(
-            maxOf(limits.valueBytes, LEAST_VALUE_BYTES),
+            maxOf(limits.valueBytes, MIN_VALUE_BYTES),
             limits.transactionOps,
         )
     }
--- a/src/main/kotlin/mountmast/protocol/Ids.kt
+++ b/src/main/kotlin/mountmast/protocol/Ids.kt
@@ -11,12 +11,12 @@
 
     companion object {
         private const val PREFIX = "j-"
-        private const val MOST_DIGITS = 18
+        private const val MAX_DIGITS = 18
 
         /** The id in [text], or null where it is not of the form that users must keep to. */
         fun parse(text: String): JobId? {
             val digits = text.length - PREFIX.length
-            if (digits !in 1..MOST_DIGITS || !text.startsWith(PREFIX)) return null
+            if (digits !in 1..MAX_DIGITS || !text.startsWith(PREFIX)) return null
             for (i in PREFIX.length until text.length) if (text[i] !in '0'..'9') return null
             return JobId(text)
         }
@@ -100,7 +100,7 @@
 }
 
 /**
- * The rising fencing token that names who may give commands; on the wire `helm`. Each reign has a range of tokens: with a
+ * The rising fencing token that names who may give commands; on the wire `helm`. Each term has a range of tokens: with a
  * higher one of its own a leader makes a worker refuse the commands that it sent there before.
  */
 @Serializable
@@ -108,19 +108,19 @@
 value class Term(val number: ULong) : Comparable<Term> {
     override fun compareTo(other: Term) = number.compareTo(other.number)
 
-    /** Which reign the token belongs to. */
-    val reign: ULong get() = number / TOKENS
+    /** Which term the token belongs to. */
+    val election: ULong get() = number / TOKENS
 
-    /** The first token of its reign. */
-    fun first() = Term(reign * TOKENS)
+    /** The first token of its term. */
+    fun first() = Term(election * TOKENS)
 
-    /** The first token of the reign after this one. */
-    fun next() = Term((reign + 1u) * TOKENS)
+    /** The first token of the term after this one. */
+    fun next() = Term((election + 1u) * TOKENS)
 
-    /** The token after [fences] more, of the same reign. */
+    /** The token after [fences] more, of the same term. */
     fun fenced(fences: Int) = Term(number + fences.toUInt())
 
-    override fun toString() = if (number % TOKENS == 0uL) "$reign" else "$reign.${number % TOKENS}"
+    override fun toString() = if (number % TOKENS == 0uL) "$election" else "$election.${number % TOKENS}"
 
     private companion object {
         const val TOKENS = 1_048_576uL
@@ -138,8 +138,8 @@
 /** Counts the messages of a worker within and across its sessions. */
 @Serializable
 @JvmInline
-value class Tally(val number: ULong) : Comparable<Tally> {
-    override fun compareTo(other: Tally) = number.compareTo(other.number)
+value class ReportNumber(val number: ULong) : Comparable<ReportNumber> {
+    override fun compareTo(other: ReportNumber) = number.compareTo(other.number)
     override fun toString() = number.toString()
 }
 
@@ -179,10 +179,10 @@
 
 /** A point on this process's steady clock, in milliseconds. */
 @JvmInline
-value class Moment(val ms: Long) : Comparable<Moment> {
-    override fun compareTo(other: Moment) = ms.compareTo(other.ms)
-    operator fun plus(millis: Long) = Moment(ms + millis)
-    operator fun minus(other: Moment): Long = ms - other.ms
+value class MonotonicTime(val ms: Long) : Comparable<MonotonicTime> {
+    override fun compareTo(other: MonotonicTime) = ms.compareTo(other.ms)
+    operator fun plus(millis: Long) = MonotonicTime(ms + millis)
+    operator fun minus(other: MonotonicTime): Long = ms - other.ms
 }
 
 /** A time of day, in milliseconds since 1970; only as exact as the settings promise. */
@@ -194,13 +194,13 @@
 
 /** Where all times come from, so that tests can run in virtual time. */
 interface Clock {
-    fun now(): Moment
+    fun now(): MonotonicTime
     fun wall(): WallTime
 }
 
 /** The clocks of the machine. */
 object SystemClock : Clock {
-    override fun now() = Moment(System.nanoTime() / 1_000_000)
+    override fun now() = MonotonicTime(System.nanoTime() / 1_000_000)
     override fun wall() = WallTime(System.currentTimeMillis())
 }
 
--- a/src/main/kotlin/mountmast/protocol/JobValidation.kt
+++ b/src/main/kotlin/mountmast/protocol/JobValidation.kt
@@ -12,8 +12,8 @@
 
 /** Reads a submission and says whether it can ever run. */
 object JobValidation {
-    const val MOST_TASKS = 100_000
-    private const val MOST_AMOUNT = 1e9
+    const val MAX_TASKS = 100_000
+    private const val MAX_AMOUNT = 1e9
     private const val LONGEST_NAME = 200
     private const val PREREQUISITES = "waitsOn"
 
@@ -103,13 +103,13 @@
 
     private fun amount(element: JsonElement, name: String): Double {
         val value = number(element, name).content.toDoubleOrNull() ?: throw Malformed("$name: not a number")
-        if (!value.isFinite() || value < 0 || value > MOST_AMOUNT) throw Malformed("$name: out of range")
+        if (!value.isFinite() || value < 0 || value > MAX_AMOUNT) throw Malformed("$name: out of range")
         return value
     }
 
     private fun count(body: JsonObject, name: String): Int {
         val value = number(required(body, name), name).content.toIntOrNull() ?: throw Malformed("$name: not a count")
-        if (value !in 1..MOST_TASKS) throw Malformed("$name: out of range")
+        if (value !in 1..MAX_TASKS) throw Malformed("$name: out of range")
         return value
     }
 
--- a/src/main/kotlin/mountmast/protocol/Settings.kt
+++ b/src/main/kotlin/mountmast/protocol/Settings.kt
@@ -8,7 +8,7 @@
 import java.net.InetSocketAddress
 
 /** Settings that are missing, unreadable or contradictory; the message names the field. */
-class BadSettings(message: String) : Exception(message)
+class InvalidSettingsException(message: String) : Exception(message)
 
 /** What a team is guaranteed and what it may use at most; zero means none of either. */
 data class TeamQuota(val id: TeamId, val cpus: Double, val cpusMax: Double, val gpus: Double, val gpusMax: Double) {
@@ -52,14 +52,14 @@
     companion object {
         /** Supposed where the platform's file does not say. */
         private const val CLOCK_OFF_MS = 1000.0
-        private const val MOST_TRANSACTION_OPS = 10_000
+        private const val MAX_TRANSACTION_OPS = 10_000
 
         /** Reads and checks the settings in [file]. */
         fun read(file: File): Settings {
             val text = try {
                 file.readText()
             } catch (e: IOException) {
-                throw BadSettings("cannot read ${file.path}: ${e.message}")
+                throw InvalidSettingsException("cannot read ${file.path}: ${e.message}")
             }
             return parse(text)
         }
@@ -68,7 +68,7 @@
             val toml = try {
                 TomlParser().parse(text)
             } catch (e: ParsingException) {
-                throw BadSettings("not TOML: ${e.message}")
+                throw InvalidSettingsException("not TOML: ${e.message}")
             }
             return Reader(toml).settings()
         }
@@ -86,15 +86,15 @@
                 )
             }
             val names = members.map { it.node } + node
-            if (names.toSet().size != names.size) throw BadSettings("members: a node is named twice")
+            if (names.toSet().size != names.size) throw InvalidSettingsException("members: a node is named twice")
             val size = whole(toml, "deployment.size", 1, 1000)
-            if (size != names.size) throw BadSettings("deployment.size: $size, but members name ${names.size} nodes")
+            if (size != names.size) throw InvalidSettingsException("deployment.size: $size, but members name ${names.size} nodes")
             val teams = tables(toml, "deployment.teams").mapIndexed { i, team -> quota(team, "deployment.teams[$i].") }
-            if (teams.isEmpty()) throw BadSettings("deployment.teams: missing")
-            if (teams.distinctBy { it.id }.size != teams.size) throw BadSettings("deployment.teams: a team is named twice")
+            if (teams.isEmpty()) throw InvalidSettingsException("deployment.teams: missing")
+            if (teams.distinctBy { it.id }.size != teams.size) throw InvalidSettingsException("deployment.teams: a team is named twice")
             val report = positive(toml, "deployment.workers.report_s")
             val lease = positive(toml, "deployment.workers.lease_s")
-            if (lease <= report) throw BadSettings("deployment.workers.lease_s: not longer than report_s")
+            if (lease <= report) throw InvalidSettingsException("deployment.workers.lease_s: not longer than report_s")
             return Settings(
                 node = node,
                 zone = zone(toml),
@@ -130,7 +130,7 @@
 
         /** The limits in the table at [path]; what it leaves out is as in [otherwise], or missing. */
         private fun stateLimits(path: String, otherwise: StateLimits? = null): StateLimits {
-            if (toml.get<Any?>(path) !is UnmodifiableConfig) throw BadSettings("$path: not a table")
+            if (toml.get<Any?>(path) !is UnmodifiableConfig) throw InvalidSettingsException("$path: not a table")
             fun <T> field(name: String, known: T?, read: (String) -> T): T {
                 val isPresent = toml.get<Any?>("$path.$name") != null
                 return if (!isPresent && known != null) known else read("$path.$name")
@@ -140,7 +140,7 @@
                 writesPerSecond = field("write_rps", otherwise?.writesPerSecond) { positive(toml, it) },
                 valueKb = field("value_kb", otherwise?.valueKb) { positive(toml, it) },
                 transactionOps = field("txn_ops", otherwise?.transactionOps) {
-                    whole(toml, it, StateLimits.LEAST_TRANSACTION_OPS, MOST_TRANSACTION_OPS)
+                    whole(toml, it, StateLimits.MIN_TRANSACTION_OPS, MAX_TRANSACTION_OPS)
                 },
             )
         }
@@ -150,7 +150,7 @@
             return try {
                 Zone(name)
             } catch (e: IllegalArgumentException) {
-                throw BadSettings("${at}site: not a zone's name")
+                throw InvalidSettingsException("${at}site: not a zone's name")
             }
         }
 
@@ -162,52 +162,52 @@
                 gpus = amount(team, "gpus", at),
                 gpusMax = amount(team, "gpus_max", at),
             )
-            if (quota.cpusMax > 0 && quota.cpusMax < quota.cpus) throw BadSettings("${at}cpus_max: below cpus")
-            if (quota.gpusMax > 0 && quota.gpusMax < quota.gpus) throw BadSettings("${at}gpus_max: below gpus")
+            if (quota.cpusMax > 0 && quota.cpusMax < quota.cpus) throw InvalidSettingsException("${at}cpus_max: below cpus")
+            if (quota.gpusMax > 0 && quota.gpusMax < quota.gpus) throw InvalidSettingsException("${at}gpus_max: below gpus")
             return quota
         }
 
         private fun raw(table: UnmodifiableConfig, path: String, at: String): Any =
-            table.get<Any?>(path) ?: throw BadSettings("$at$path: missing")
+            table.get<Any?>(path) ?: throw InvalidSettingsException("$at$path: missing")
 
         private fun string(table: UnmodifiableConfig, path: String, at: String = ""): String {
-            val value = raw(table, path, at) as? String ?: throw BadSettings("$at$path: not a string")
-            if (value.isBlank()) throw BadSettings("$at$path: empty")
+            val value = raw(table, path, at) as? String ?: throw InvalidSettingsException("$at$path: not a string")
+            if (value.isBlank()) throw InvalidSettingsException("$at$path: empty")
             return value
         }
 
         private fun amount(table: UnmodifiableConfig, path: String, at: String = ""): Double {
-            val value = raw(table, path, at) as? Number ?: throw BadSettings("$at$path: not a number")
+            val value = raw(table, path, at) as? Number ?: throw InvalidSettingsException("$at$path: not a number")
             val amount = value.toDouble()
-            if (!amount.isFinite() || amount < 0) throw BadSettings("$at$path: out of range")
+            if (!amount.isFinite() || amount < 0) throw InvalidSettingsException("$at$path: out of range")
             return amount
         }
 
         private fun positive(table: UnmodifiableConfig, path: String): Double {
             val amount = amount(table, path)
-            if (amount <= 0) throw BadSettings("$path: must be above 0")
+            if (amount <= 0) throw InvalidSettingsException("$path: must be above 0")
             return amount
         }
 
         private fun whole(table: UnmodifiableConfig, path: String, least: Int, most: Int): Int {
             val value = amount(table, path)
             if (value != Math.rint(value) || value < least || value > most) {
-                throw BadSettings("$path: must be a whole number from $least to $most")
+                throw InvalidSettingsException("$path: must be a whole number from $least to $most")
             }
             return value.toInt()
         }
 
         private fun tables(table: UnmodifiableConfig, path: String): List<UnmodifiableConfig> {
             val list = table.get<Any?>(path) ?: return emptyList()
-            if (list !is List<*>) throw BadSettings("$path: not a list of tables")
-            return list.map { it as? UnmodifiableConfig ?: throw BadSettings("$path: not a list of tables") }
+            if (list !is List<*>) throw InvalidSettingsException("$path: not a list of tables")
+            return list.map { it as? UnmodifiableConfig ?: throw InvalidSettingsException("$path: not a list of tables") }
         }
 
         private fun address(table: UnmodifiableConfig, path: String, at: String = ""): InetSocketAddress {
             val text = string(table, path, at)
             val colon = text.lastIndexOf(':')
             val port = text.substring(colon + 1).toIntOrNull()
-            if (colon <= 0 || port == null || port !in 1..65535) throw BadSettings("$at$path: not host:port")
+            if (colon <= 0 || port == null || port !in 1..65535) throw InvalidSettingsException("$at$path: not host:port")
             return InetSocketAddress(text.substring(0, colon), port)
         }
     }
--- a/src/main/kotlin/mountmast/protocol/StateLimits.kt
+++ b/src/main/kotlin/mountmast/protocol/StateLimits.kt
@@ -32,6 +32,6 @@
         private const val FILLED_SHARE = 0.95
 
         /** A job that is over is moved: one put and one delete. */
-        const val LEAST_TRANSACTION_OPS = 2
+        const val MIN_TRANSACTION_OPS = 2
     }
 }
--- a/src/main/kotlin/mountmast/protocol/Wire.kt
+++ b/src/main/kotlin/mountmast/protocol/Wire.kt
@@ -174,7 +174,7 @@
     @SerialName("yard") val zone: Zone,
     @SerialName("loaners") val spot: Boolean = false,
     @SerialName("watch") val session: Session,
-    @SerialName("tally") val tally: Tally,
+    @SerialName("tally") val reportNumber: ReportNumber,
     @SerialName("helm") val term: Term = Term(0u),
     @SerialName("recallS") val noticeS: Double? = null,
     @SerialName("pieces") val tasks: List<ReportedTask> = emptyList(),
@@ -204,7 +204,7 @@
 
 /** Answer to a worker's report. */
 @Serializable
-data class BeatAnswer(@SerialName("helm") val term: Term, @SerialName("orders") val orders: List<Order>)
+data class HeartbeatResponse(@SerialName("helm") val term: Term, @SerialName("orders") val orders: List<Order>)
 
 /** Answer that sends a worker to another node. */
 @Serializable
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -13,7 +13,7 @@
 import mountmast.protocol.StateLimits
 import mountmast.protocol.WireJson
 import mountmast.transport.HttpCaller
-import mountmast.transport.NoAnswer
+import mountmast.transport.NoAnswerException
 import mountmast.transport.Reply
 import org.slf4j.LoggerFactory
 import java.net.InetSocketAddress
@@ -126,7 +126,7 @@
             lastOk = reply.status < 500
             if (lastOk) lastOkNanos = System.nanoTime()
             return reply
-        } catch (e: NoAnswer) {
+        } catch (e: NoAnswerException) {
             lastOk = false
             throw if (e.mayBeCarriedOut) StoreSilent("$path: ${e.message}") else StoreRefused("$path: ${e.message}")
         }
@@ -141,8 +141,8 @@
 
     /** Each key is told once: users may send the same request any number of times. */
     private fun rejected(transaction: Transaction, reply: Reply): StoreRejected {
-        val rejected = StoreRejected.of(transaction, reply.text.take(MOST_TOLD))
-        if (rejections.size >= MOST_REJECTIONS) rejections.clear()
+        val rejected = StoreRejected.of(transaction, reply.text.take(MAX_TOLD))
+        if (rejections.size >= MAX_REJECTIONS) rejections.clear()
         if (rejections.add(rejected.largestKey)) log.error("the state service takes no such transaction: {}", rejected.message)
         return rejected
     }
@@ -214,7 +214,7 @@
         const val WAIT_MS = 1500
         const val REACHED_NANOS = 2_500_000_000L
         const val RATE_WAIT_MS = 300L
-        const val MOST_TOLD = 200
-        const val MOST_REJECTIONS = 1000
+        const val MAX_TOLD = 200
+        const val MAX_REJECTIONS = 1000
     }
 }
--- a/src/main/kotlin/mountmast/storage/JsonSize.kt
+++ b/src/main/kotlin/mountmast/storage/JsonSize.kt
@@ -7,7 +7,7 @@
 private const val ESCAPED_BYTES = 6
 
 /** Of one of the two chars of a pair, or of a char by itself. */
-private const val MOST_UTF8_BYTES = 3
+private const val MAX_UTF8_BYTES = 3
 
 /** Bytes that [char] takes at most within a JSON string. */
 internal fun jsonBytes(char: Char): Int = when {
@@ -15,7 +15,7 @@
     char < ' ' -> ESCAPED_BYTES
     char.code < ASCII_END -> 1
     char.code < TWO_BYTES_END -> 2
-    else -> MOST_UTF8_BYTES
+    else -> MAX_UTF8_BYTES
 }
 
 /** Bytes that [value] takes at most, also where it is written with a space after each separator. */
--- a/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
+++ b/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
@@ -46,7 +46,7 @@
         }
     }
 
-    /** All prerequisites that [record] names; throws [StoreTrouble] where they cannot be read. */
+    /** All prerequisites that [record] names; throws [StoreException] where they cannot be read. */
     fun read(record: JobRecord): List<JobId> {
         val reference = record.prerequisiteList ?: return record.spec.prerequisites
         return (0 until reference.parts).flatMap { part -> readPart(record.spec.id, reference.digest, part) }
--- a/src/main/kotlin/mountmast/storage/RateShare.kt
+++ b/src/main/kotlin/mountmast/storage/RateShare.kt
@@ -43,7 +43,7 @@
     private var tokens = capacity
     private var filledAt = nowNanos()
 
-    private val capacity: Double get() = maxOf(rate, LEAST_CAPACITY)
+    private val capacity: Double get() = maxOf(rate, MIN_CAPACITY)
 
     /** Changes the rate; what is left in the bucket stays. */
     @Synchronized
@@ -85,7 +85,7 @@
         const val MS_PER_S = 1000
 
         /** Room for the end of a job, two changes, beside the reserve. */
-        const val LEAST_CAPACITY = 3.0
+        const val MIN_CAPACITY = 3.0
         const val RESERVED_SHARE = 0.25
         const val SHORT_SHARE = 0.6
     }
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -83,7 +83,7 @@
 
 /**
  * The low watermark of cancellations: nothing runs any more of the jobs whose cancellation was committed before [at]. Whoever
- * answers workers without knowing the jobs, at the beginning of a reign, may do so only for a while after it.
+ * answers workers without knowing the jobs, at the beginning of a term, may do so only for a while after it.
  */
 @Serializable
 data class WatermarkRecord(@SerialName("w") val at: WallTime)
@@ -149,7 +149,7 @@
 @Serializable
 data class FailingRecord(@SerialName("j") val jobs: Map<JobId, FailingJob>)
 
-/** A record of the journal: what changed, in the form of [JournalText]. Records of one reign and the next are numbered on. */
+/** A record of the journal: what changed, in the form of [JournalText]. Records of one term and the next are numbered on. */
 @Serializable
 data class JournalRecord(
     @SerialName("q") val number: Long,
--- a/src/main/kotlin/mountmast/storage/StateStore.kt
+++ b/src/main/kotlin/mountmast/storage/StateStore.kt
@@ -6,10 +6,10 @@
 import mountmast.protocol.Stamp
 
 /** The state service did not carry out what was asked. */
-open class StoreTrouble(message: String) : Exception(message)
+open class StoreException(message: String) : Exception(message)
 
 /** It refused: nothing was executed, nor will be. */
-class StoreRefused(message: String) : StoreTrouble(message)
+class StoreRefused(message: String) : StoreException(message)
 
 /**
  * It refused a transaction as malformed or larger than it takes. The same again would be refused again.
@@ -17,7 +17,7 @@
  * @property largestKey the key with the largest value
  */
 class StoreRejected(val largestKey: String, val largestBytes: Int, val changes: Int, val answer: String) :
-    StoreTrouble("rejected: $changes changes, the largest value $largestBytes bytes at $largestKey: $answer") {
+    StoreException("rejected: $changes changes, the largest value $largestBytes bytes at $largestKey: $answer") {
     companion object {
         fun of(transaction: Transaction, answer: String): StoreRejected {
             val largest = transaction.writes.filterIsInstance<Write.Put>().maxByOrNull { jsonSize(it.value) }
@@ -27,10 +27,10 @@
 }
 
 /** It was silent: the request may have been executed, or still be executed later. */
-class StoreSilent(message: String) : StoreTrouble(message)
+class StoreSilent(message: String) : StoreException(message)
 
 /** The hold that was named has ended. */
-class HoldEnded(hold: HoldId) : StoreTrouble("hold $hold has ended")
+class HoldEnded(hold: HoldId) : StoreException("hold $hold has ended")
 
 /** A key with its value. */
 data class Entry(val key: String, val value: JsonElement, val stamp: Stamp)
@@ -69,7 +69,7 @@
     data object TooOld : FollowOutcome
 }
 
-/** The small consistent store in which all lasting state is kept. Every call throws [StoreTrouble] where it fails. */
+/** The small consistent store in which all lasting state is kept. Every call throws [StoreException] where it fails. */
 interface StateStore {
     /** Whether this node gets answers from the state service. */
     val reachable: Boolean
@@ -82,7 +82,7 @@
 
     /** The entry, or null where the key does not exist. */
     fun get(key: String): Entry?
-    fun list(prefix: String, after: String? = null, limit: Int = MOST_PER_PAGE): EntryPage
+    fun list(prefix: String, after: String? = null, limit: Int = MAX_PER_PAGE): EntryPage
     fun commit(transaction: Transaction): CommitOutcome
     fun grantHold(ttlMs: Long): HoldId
 
@@ -105,6 +105,6 @@
     }
 
     companion object {
-        const val MOST_PER_PAGE = 500
+        const val MAX_PER_PAGE = 500
     }
 }
--- a/src/main/kotlin/mountmast/storage/TextCodec.kt
+++ b/src/main/kotlin/mountmast/storage/TextCodec.kt
@@ -29,10 +29,10 @@
     const val ENVELOPE_BYTES = 64
 
     /** A record that is corrupted must not exhaust the memory. */
-    const val MOST_READ_BYTES = 256 * 1024
+    const val MAX_READ_BYTES = 256 * 1024
 
     /** Below what is read at most, so that whatever was written can be read. */
-    private const val MOST_PACKED = 64 * 1024
+    private const val MAX_PACKED = 64 * 1024
     private const val USUAL_RATIO = 4
     private const val SHRINK = 0.95
     private const val WELL_FILLED = 0.8
@@ -66,19 +66,19 @@
 
     private fun packCompact(text: String, from: Int, room: Int): PackedText? {
         var best: PackedText? = null
-        var most = minOf(room * USUAL_RATIO, MOST_PACKED)
+        var most = minOf(room * USUAL_RATIO, MAX_PACKED)
         while (true) {
             val end = borderBefore(text, from, most)
             val compressed = deflate(text.substring(from, end))
             val fits = compressed.length <= room
             if (fits) best = piece(text, from, end, compressed)
-            val isFull = end == text.length || most == MOST_PACKED || compressed.length >= room * WELL_FILLED
+            val isFull = end == text.length || most == MAX_PACKED || compressed.length >= room * WELL_FILLED
             val isLeast = end == borderBefore(text, from, 0)
             // What fits is made larger once at most; what does not is made smaller until it does.
-            if (fits && (isFull || most != minOf(room * USUAL_RATIO, MOST_PACKED))) return best
+            if (fits && (isFull || most != minOf(room * USUAL_RATIO, MAX_PACKED))) return best
             if (!fits && (best != null || isLeast)) return best
             val scaled = ((end - from).toDouble() * room / compressed.length * SHRINK).toInt()
-            most = minOf(if (fits) scaled else minOf(scaled, end - from - 1), MOST_PACKED)
+            most = minOf(if (fits) scaled else minOf(scaled, end - from - 1), MAX_PACKED)
         }
     }
 
@@ -136,7 +136,7 @@
             while (!inflater.finished()) {
                 val length = inflater.inflate(chunk)
                 if (length == 0 && !inflater.finished()) throw UnreadableText("the compressed text is cut short")
-                if (out.size() + length > MOST_READ_BYTES) throw UnreadableText("longer than $MOST_READ_BYTES bytes")
+                if (out.size() + length > MAX_READ_BYTES) throw UnreadableText("longer than $MAX_READ_BYTES bytes")
                 out.write(chunk, 0, length)
             }
             return out.toString(Charsets.UTF_8)
--- a/src/main/kotlin/mountmast/transport/Admission.kt
+++ b/src/main/kotlin/mountmast/transport/Admission.kt
@@ -26,4 +26,4 @@
 }
 
 /** The limits on users' requests; a flood of submissions must not keep anybody from asking after a job. */
-class Admissions(val submissions: AdmissionLimit, val polls: AdmissionLimit)
+class AdmissionLimits(val submissions: AdmissionLimit, val polls: AdmissionLimit)
--- a/src/main/kotlin/mountmast/transport/Api.kt
+++ b/src/main/kotlin/mountmast/transport/Api.kt
@@ -1,6 +1,6 @@
 package mountmast.transport
 
-import mountmast.protocol.BeatAnswer
+import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.NodeId
 import mountmast.protocol.PeerHello
 import mountmast.protocol.WorkerReport
@@ -19,17 +19,17 @@
 }
 
 /** What a worker's report gets. */
-sealed interface BeatOutcome {
+sealed interface HeartbeatOutcome {
     /** This node acts for the controllers. */
-    data class Accepted(val answer: BeatAnswer) : BeatOutcome
+    data class Accepted(val answer: HeartbeatResponse) : HeartbeatOutcome
 
     /** Another node does; null where none is known. */
-    data class Elsewhere(val node: NodeId?) : BeatOutcome
+    data class Elsewhere(val node: NodeId?) : HeartbeatOutcome
 }
 
 /** Takes workers' reports. */
-fun interface BeatService {
-    fun beat(report: WorkerReport): BeatOutcome
+fun interface HeartbeatService {
+    fun heartbeat(report: WorkerReport): HeartbeatOutcome
 }
 
 /** Takes the greetings of other nodes and answers with this node's own. */
--- a/src/main/kotlin/mountmast/transport/Cloud.kt
+++ b/src/main/kotlin/mountmast/transport/Cloud.kt
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit
 
 /** The cloud did not do what was asked, as far as this node can tell. */
-class CloudTrouble(message: String, val mayBeCarriedOut: Boolean) : Exception(message)
+class CloudException(message: String, val mayBeCarriedOut: Boolean) : Exception(message)
 
 /** What a rental request got. */
 sealed interface RentalOutcome {
@@ -23,7 +23,7 @@
     data object NoCapacity : RentalOutcome
 }
 
-/** The cloud that rents machines. Every call throws [CloudTrouble] where it fails. */
+/** The cloud that rents machines. Every call throws [CloudException] where it fails. */
 interface Cloud {
     fun machineTypes(): List<MachineType>
     fun rent(request: RentalRequest): RentalOutcome
@@ -31,9 +31,9 @@
     fun list(after: MachineId?): MachinePage
 
     companion object {
-        const val MOST_PER_RENTAL = 50
-        const val MOST_PER_DELETION = 100
-        const val MOST_PER_PAGE = 500
+        const val MAX_PER_RENTAL = 50
+        const val MAX_PER_DELETION = 100
+        const val MAX_PER_PAGE = 500
     }
 }
 
@@ -48,7 +48,7 @@
         return when {
             reply.ok -> RentalOutcome.Rented(decode<MachineNames>(reply).machines)
             reply.status == 503 && "no capacity" in reply.text -> RentalOutcome.NoCapacity
-            else -> throw CloudTrouble("rental: status ${reply.status}", mayBeCarriedOut = false)
+            else -> throw CloudException("rental: status ${reply.status}", mayBeCarriedOut = false)
         }
     }
 
@@ -58,28 +58,28 @@
 
     override fun list(after: MachineId?): MachinePage {
         val from = after?.let { "&from=" + URLEncoder.encode(it.text, Charsets.UTF_8) } ?: ""
-        return decode(ask("GET", "/machines?page=${Cloud.MOST_PER_PAGE}$from", null))
+        return decode(ask("GET", "/machines?page=${Cloud.MAX_PER_PAGE}$from", null))
     }
 
     private fun ask(method: String, path: String, body: String?): Reply {
         val reply = call(method, path, body)
-        if (!reply.ok) throw CloudTrouble("$path: status ${reply.status}", mayBeCarriedOut = false)
+        if (!reply.ok) throw CloudException("$path: status ${reply.status}", mayBeCarriedOut = false)
         return reply
     }
 
     private fun call(method: String, path: String, body: String?): Reply {
-        if (!rate.tryAcquire(RATE_WAIT_S, TimeUnit.SECONDS)) throw CloudTrouble("$path: over the rate", mayBeCarriedOut = false)
+        if (!rate.tryAcquire(RATE_WAIT_S, TimeUnit.SECONDS)) throw CloudException("$path: over the rate", mayBeCarriedOut = false)
         try {
             return caller.call(at, method, path, body?.encodeToByteArray(), WAIT_MS)
-        } catch (e: NoAnswer) {
-            throw CloudTrouble("$path: ${e.message}", e.mayBeCarriedOut)
+        } catch (e: NoAnswerException) {
+            throw CloudException("$path: ${e.message}", e.mayBeCarriedOut)
         }
     }
 
     private inline fun <reified T> decode(reply: Reply): T = try {
         WireJson.decodeFromString<T>(reply.text)
     } catch (e: IllegalArgumentException) {
-        throw CloudTrouble("malformed answer: ${e.message}", mayBeCarriedOut = true)
+        throw CloudException("malformed answer: ${e.message}", mayBeCarriedOut = true)
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/transport/HttpCaller.kt
+++ b/src/main/kotlin/mountmast/transport/HttpCaller.kt
@@ -8,7 +8,7 @@
 import java.net.URI
 
 /** No answer came. [mayBeCarriedOut] is false only where the request certainly never left this node. */
-class NoAnswer(message: String, val mayBeCarriedOut: Boolean) : IOException(message)
+class NoAnswerException(message: String, val mayBeCarriedOut: Boolean) : IOException(message)
 
 /** Status and body of an answer. */
 class Reply(val status: Int, val bytes: ByteArray) {
@@ -23,7 +23,7 @@
  * carried out has to be told apart from what was not, so this uses the JDK's client directly.
  */
 class HttpCaller(private val connectMs: Int = 1000) {
-    /** Calls [to] and waits up to [waitMs] for each part of the answer. Throws [NoAnswer] where none came. */
+    /** Calls [to] and waits up to [waitMs] for each part of the answer. Throws [NoAnswerException] where none came. */
     fun call(
         to: InetSocketAddress,
         method: String,
@@ -67,7 +67,7 @@
         try {
             connection.connect()
         } catch (e: IOException) {
-            throw NoAnswer("$to: ${e.message}", mayBeCarriedOut = false)
+            throw NoAnswerException("$to: ${e.message}", mayBeCarriedOut = false)
         }
     }
 
@@ -77,8 +77,8 @@
         return Reply(status, stream?.use { it.readBytes() } ?: ByteArray(0))
     }
 
-    private fun HttpURLConnection.noAnswer(to: InetSocketAddress, cause: IOException, mayBeCarriedOut: Boolean): NoAnswer {
+    private fun HttpURLConnection.noAnswer(to: InetSocketAddress, cause: IOException, mayBeCarriedOut: Boolean): NoAnswerException {
         disconnect()
-        return NoAnswer("$to: ${cause.message}", mayBeCarriedOut)
+        return NoAnswerException("$to: ${cause.message}", mayBeCarriedOut)
     }
 }
--- a/src/main/kotlin/mountmast/transport/HttpMessages.kt
+++ b/src/main/kotlin/mountmast/transport/HttpMessages.kt
@@ -16,10 +16,10 @@
 private val log = LoggerFactory.getLogger("mountmast.transport")
 
 /** Largest request body. */
-const val MOST_BODY_BYTES = 64 * 1024
+const val MAX_BODY_BYTES = 64 * 1024
 
 /** Largest body between nodes: a relayed request and all that is around it. */
-private const val MOST_PEER_BODY_BYTES = 4 * MOST_BODY_BYTES
+private const val MAX_PEER_BODY_BYTES = 4 * MAX_BODY_BYTES
 
 /** The JSON body of a refusal. */
 fun refusal(why: String): String = WireJson.encodeToString(Refusal(why))
@@ -44,12 +44,12 @@
     if (method == allowed) answer() else json(405, refusal("method not allowed")).header("Allow", allowed.name)
 
 /** The body of a request between nodes, cut off at its bound. */
-internal fun Request.bytes(): ByteArray = body.stream.readNBytes(MOST_PEER_BODY_BYTES)
+internal fun Request.bytes(): ByteArray = body.stream.readNBytes(MAX_PEER_BODY_BYTES)
 
-/** The body, or null where it is larger than [MOST_BODY_BYTES]. */
+/** The body, or null where it is larger than [MAX_BODY_BYTES]. */
 internal fun Request.boundedBody(): String? {
-    val bytes = body.stream.readNBytes(MOST_BODY_BYTES + 1)
-    return if (bytes.size > MOST_BODY_BYTES) null else bytes.decodeToString()
+    val bytes = body.stream.readNBytes(MAX_BODY_BYTES + 1)
+    return if (bytes.size > MAX_BODY_BYTES) null else bytes.decodeToString()
 }
 
 /** This answer as HTTP. */
--- a/src/main/kotlin/mountmast/transport/Peers.kt
+++ b/src/main/kotlin/mountmast/transport/Peers.kt
@@ -29,7 +29,7 @@
 
     private fun <T> call(to: Member, path: String, body: ByteArray, waitMs: Int, decode: (ByteArray) -> T): T? = try {
         caller.call(to.endpoint, "POST", path, body, waitMs, "application/x-protobuf").takeIf { it.ok }?.let { decode(it.bytes) }
-    } catch (e: NoAnswer) {
+    } catch (e: NoAnswerException) {
         null
     } catch (e: SerializationException) {
         log.warn("malformed answer of {}: {}", to.node, e.message)
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -20,13 +20,13 @@
 internal const val CANCEL_SUFFIX = "/cancel"
 
 /** Everything served to users, workers and health checks. */
-fun publicRoutes(users: UserService, beats: BeatService, admission: Admissions): HttpHandler = guarded { request ->
+fun publicRoutes(users: UserService, beats: HeartbeatService, admission: AdmissionLimits): HttpHandler = guarded { request ->
     val path = request.uri.path
     when {
         path == "/ready" -> request.only(Method.GET) {
             if (users.ready()) json(200, "ready") else json(503, "not ready", retryAfterS = 1)
         }
-        path == "/agent/beat" -> request.only(Method.POST) { beat(request, beats) }
+        path == "/agent/beat" -> request.only(Method.POST) { heartbeat(request, beats) }
         path == JOBS_PATH -> request.only(Method.POST) {
             val body = request.boundedBody() ?: return@only json(400, refusal("body: over 64 KiB"))
             admission.submissions.admit { users.submit(body, relayed = false) }.toResponse()
@@ -41,7 +41,7 @@
     }
 }
 
-private fun beat(request: Request, beats: BeatService): Response {
+private fun heartbeat(request: Request, beats: HeartbeatService): Response {
     val body = request.boundedBody() ?: return json(400, refusal("body: over 64 KiB"))
     val report = try {
         WireJson.decodeFromString<WorkerReport>(body)
@@ -49,8 +49,8 @@
         log.warn("malformed report: {}", e.message?.lineSequence()?.firstOrNull())
         return json(400, refusal("malformed report"))
     }
-    return when (val outcome = beats.beat(report)) {
-        is BeatOutcome.Accepted -> json(200, WireJson.encodeToString(outcome.answer))
-        is BeatOutcome.Elsewhere -> json(421, WireJson.encodeToString(Redirect(outcome.node)))
+    return when (val outcome = beats.heartbeat(report)) {
+        is HeartbeatOutcome.Accepted -> json(200, WireJson.encodeToString(outcome.answer))
+        is HeartbeatOutcome.Elsewhere -> json(421, WireJson.encodeToString(Redirect(outcome.node)))
     }
 }
--- a/src/main/kotlin/mountmast/transport/Workers.kt
+++ b/src/main/kotlin/mountmast/transport/Workers.kt
@@ -37,7 +37,7 @@
                 409 -> OrdersOutcome.Rejected(WireJson.decodeFromString<WorkerReport>(reply.text))
                 else -> OrdersOutcome.Unknown
             }
-        } catch (e: NoAnswer) {
+        } catch (e: NoAnswerException) {
             return if (e.mayBeCarriedOut) OrdersOutcome.Unknown else OrdersOutcome.NotSent
         } catch (e: IllegalArgumentException) {
             return OrdersOutcome.Unknown
--- a/src/test/kotlin/mountmast/coordination/MeetingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/CombinedFailuresTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test
 
 /** Two troubles at a time, each pair as users met it. The rules are checked after each step. */
-class MeetingsTest {
+class CombinedFailuresTest {
     private val seeds = 1L..6L
 
     /** A world in which the tasks of [jobs] jobs run and will for long; a failing seed is named. */
@@ -26,7 +26,7 @@
     }
 
     private class Scene(val world: World, val jobs: List<JobId>) {
-        val leading = world.seats.first { it.controller?.reign() != null }
+        val leading = world.seats.first { it.controller?.leaderTerm() != null }
         val others = world.seats.filter { it !== leading }
 
         fun runningOf(id: JobId) = world.rules.runningOf(id)
@@ -90,7 +90,7 @@
         val began = world.rules.startsOf(late)
         world.run(World.CANCEL_MS, busy = false)
         assertEquals(began, world.rules.startsOf(late), "it began although it was cancelled")
-        assertTrue(world.seats.mapNotNull { it.controller?.reign() }.none { late in it.ledger.jobs }, "the job is never over")
+        assertTrue(world.seats.mapNotNull { it.controller?.leaderTerm() }.none { late in it.ledger.jobs }, "the job is never over")
     }
 
     @Test
@@ -120,9 +120,9 @@
         leading.crash(20_000)
         world.cloud.workers.filter { it.busy }.take(1).forEach { it.reboot() }
         world.run(9000, busy = false)
-        val successor = world.seats.first { it.controller?.reign() != null }
+        val successor = world.seats.first { it.controller?.leaderTerm() != null }
         val started = world.rules.started
-        held.forEach { successor.controller!!.beat(it) }
+        held.forEach { successor.controller!!.heartbeat(it) }
         world.run(10_000, busy = false)
         assertTrue(world.rules.started - started <= 4, "${world.rules.started - started} tasks were started again")
         jobs.forEach { assertEquals(4, runningOf(it)) }
@@ -135,7 +135,7 @@
             val ended = world.cloud.workers.filter { it.alive }.onEachIndexed { i, worker -> worker.slowTimes = 1L + i }
             assertTrue(ended.isNotEmpty())
             repeat(3) {
-                world.seats.firstOrNull { it.controller?.reign() != null }?.crash(3000)
+                world.seats.firstOrNull { it.controller?.leaderTerm() != null }?.crash(3000)
                 world.run(9000, busy = false)
             }
             world.expectDone(jobs + apart, 240_000)
@@ -147,7 +147,7 @@
         val more = (40..46).map { world.accept(world.longJob(it) { spec -> spec.copy(estimateS = 4.0) }) }
         more.take(2).forEach { id -> repeat(60) { if (world.cancel(id) != 200) world.run(1000, busy = false) } }
         world.run(30_000, busy = false)
-        world.seats.first { it.controller?.reign() != null }.crash(300)
+        world.seats.first { it.controller?.leaderTerm() != null }.crash(300)
         world.run(30_000, busy = false)
         world.expectDone(jobs + more.drop(2), 120_000)
     }
@@ -187,7 +187,7 @@
         assertTrue(world.rules.startsOf(doomed.id) >= 3, "it was not tried on three machines")
         val starts = world.rules.startsOf(doomed.id)
         repeat(3) {
-            world.seats.first { it.controller?.reign() != null }.crash(15_000)
+            world.seats.first { it.controller?.leaderTerm() != null }.crash(15_000)
             world.run(20_000, busy = false)
         }
         val again = world.rules.startsOf(doomed.id) - starts
@@ -199,7 +199,7 @@
     fun `ten leaders in two minutes, inside an outage too`() = meeting(jobs = 3, { it.copy(estimateS = 30.0) }) {
         repeat(10) { number ->
             if (number == 4) world.store.outage(25_000)
-            (world.seats.firstOrNull { it.controller?.reign() != null } ?: world.seats.random(world.random)).crash(
+            (world.seats.firstOrNull { it.controller?.leaderTerm() != null } ?: world.seats.random(world.random)).crash(
                 if (number % 2 ==
                     0
                 ) {
@@ -281,7 +281,7 @@
     @Test
     fun `controllers hand over and back, all end, and one returns within a second`() = meeting(jobs = 3, { it.copy(estimateS = 25.0) }) {
         repeat(3) {
-            world.seats.firstOrNull { it.controller?.reign() != null }?.crash(world.random.nextLong(50, 900))
+            world.seats.firstOrNull { it.controller?.leaderTerm() != null }?.crash(world.random.nextLong(50, 900))
             world.run(world.random.nextLong(500, 3000), busy = false)
         }
         world.seats.forEachIndexed { i, seat -> seat.crash(if (i == 0) 500 else 25_000) }
--- a/src/test/kotlin/mountmast/coordination/FallingLimitsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/FallingLimitsTest.kt
@@ -34,7 +34,7 @@
         assertEquals(emptyList<Any>(), world.unfinished().filter { world.poll(it)?.isFinal != true }, "jobs that never got done")
     }
 
-    private fun leader(world: World) = world.seats.filter { it.controller?.reign() != null }
+    private fun leader(world: World) = world.seats.filter { it.controller?.leaderTerm() != null }
 
     @Test
     fun `nothing is refused where the lower limits are announced`() {
--- a/src/test/kotlin/mountmast/coordination/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/JobDependenciesTest.kt
@@ -3,7 +3,7 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
 import mountmast.protocol.JobStatus
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Shape
 import mountmast.protocol.Stamp
 import mountmast.protocol.Urgency
@@ -21,7 +21,7 @@
     private val ledger = Ledger(0.7)
     private val dependencies = JobDependencies(ledger)
     private val world = World(1)
-    private val now = Moment(5000)
+    private val now = MonotonicTime(5000)
 
     private fun id(number: Int) = JobId("j-$number")
 
--- a/src/test/kotlin/mountmast/coordination/JobReaderTest.kt
+++ b/src/test/kotlin/mountmast/coordination/JobReaderTest.kt
@@ -15,7 +15,7 @@
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
 import mountmast.storage.StateStore
-import mountmast.storage.StoreTrouble
+import mountmast.storage.StoreException
 import mountmast.storage.Transaction
 import mountmast.storage.Write
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -91,7 +91,7 @@
         put(0, false, Stamp.ABSENT)
         val trouble = Trouble(time).apply { storeRefusedUntil = 100 }
         val failing = JobReader(StandInStore(time).View(Random(1), trouble), 8)
-        repeat(3) { assertThrows(StoreTrouble::class.java) { failing.read(jobs[0].id) } }
+        repeat(3) { assertThrows(StoreException::class.java) { failing.read(jobs[0].id) } }
         time.advance(200)
         assertEquals(JobState.Unknown, failing.read(jobs[0].id))
         assertEquals(false, cancelled(jobs[0].id))
--- a/src/test/kotlin/mountmast/coordination/LedgerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/LedgerTest.kt
@@ -3,12 +3,12 @@
 import mountmast.protocol.Attempt
 import mountmast.protocol.ExitCause
 import mountmast.protocol.MachineId
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
+import mountmast.protocol.ReportNumber
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Session
 import mountmast.protocol.Shape
 import mountmast.protocol.Stamp
-import mountmast.protocol.Tally
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
 import mountmast.protocol.Term
@@ -26,21 +26,21 @@
 class LedgerTest {
     private val ledger = Ledger(0.7)
     private val spec = World(1).job(1) { it.copy(shape = Shape.ARRAY, tasks = 20, estimateS = 1.0) }
-    private val job = ledger.putJob(JobRecord(spec, WallTime(0)), Stamp(1u), Moment(0))
-    private var tally = 0uL
+    private val job = ledger.putJob(JobRecord(spec, WallTime(0)), Stamp(1u), MonotonicTime(0))
+    private var reportNumber = 0uL
 
     private fun report(machine: String, at: Long, vararg tasks: ReportedTask, session: ULong = 1u): Boolean = ledger.report(
         WorkerReport(
             MachineId(
                 machine,
             ),
-            "127.0.0.1:1", TypeId("s"), Zone("a"), false, Session(session), Tally(++tally), Term(0u), null, tasks.toList(),
+            "127.0.0.1:1", TypeId("s"), Zone("a"), false, Session(session), ReportNumber(++reportNumber), Term(0u), null, tasks.toList(),
         ),
-        Moment(at),
+        MonotonicTime(at),
     )
 
     private fun place(index: Int, machine: String, at: Long): Assignment =
-        ledger.assign(job, index, ledger.machines.getValue(MachineId(machine)), Moment(at)).apply {
+        ledger.assign(job, index, ledger.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
             phase = Phase.COMMITTED
             written = true
         }
@@ -53,7 +53,7 @@
         val assignment = place(0, "vm-1", 0)
         assertTrue(report("vm-1", 100))
         assertEquals(Phase.COMMITTED, assignment.phase)
-        tally = 0u
+        reportNumber = 0u
         assertFalse(report("vm-1", 200, assignment.shown(TaskState.EXITED, ExitCause.DONE)))
         assertEquals(Phase.COMMITTED, assignment.phase)
     }
@@ -66,7 +66,7 @@
         assertEquals(Phase.ENDED, assignment.phase)
         assertEquals(spec.cpus, ledger.use(spec.team).cpus)
         assertFalse(job.open.get(0))
-        ledger.release(assignment, Moment(200))
+        ledger.release(assignment, MonotonicTime(200))
         assertEquals(0.0, ledger.use(spec.team).cpus)
         assertTrue(job.open.get(0))
         assertTrue(place(0, "vm-1", 300).attempt > assignment.attempt, "attempts are never reused")
@@ -79,13 +79,13 @@
         val assignment = place(0, "vm-1", 0)
         report("vm-1", 50_000, session = 2u)
         assertEquals(Phase.ENDED, assignment.phase)
-        assertEquals(Moment(50_000), ledger.machines.getValue(MachineId("vm-1")).answeredAt)
+        assertEquals(MonotonicTime(50_000), ledger.machines.getValue(MachineId("vm-1")).answeredAt)
     }
 
     @Test
     fun `a deleted machine is not brought back by a late report`() {
         report("vm-1", 0)
-        ledger.buryMachine(MachineId("vm-1"), Moment(100))
+        ledger.markDeleted(MachineId("vm-1"), MonotonicTime(100))
         assertFalse(report("vm-1", 200))
         assertTrue(ledger.machines.isEmpty())
     }
@@ -98,7 +98,7 @@
             val assignment = place(index, machine, from)
             report(machine, from, assignment.shown(TaskState.RUNNING))
             report(machine, from + ms, assignment.shown(TaskState.EXITED, ExitCause.DONE))
-            ledger.release(assignment, Moment(from + ms))
+            ledger.release(assignment, MonotonicTime(from + ms))
         }
         repeat(2) { runOn("vm-0", it, 1000) }
         for (number in 1..4) repeat(2) { runOn("vm-$number", number * 2 + it, 60_000) }
@@ -113,7 +113,7 @@
             report("vm-$number", number * 1000L + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
         }
         assertTrue(job.poisoned)
-        assertTrue(job.notBefore > Moment(4000))
+        assertTrue(job.notBefore > MonotonicTime(4000))
         assertTrue(ledger.machines.values.none { it.quarantined })
         assertTrue(ledger.machines.getValue(MachineId("vm-4")).strikes.isEmpty())
     }
@@ -121,13 +121,13 @@
     @Test
     fun `to a leader just elected a late copy of a report proves nothing`() {
         // It has heard nobody yet, so it cannot tell a copy from news: nothing may hang on which one it is.
-        val replay = ledger.replay(Moment(0))
+        val replay = ledger.replay(MonotonicTime(0))
         replay.started(TaskId(spec.id, 3), MachineId("vm-7"), Session(3u), Attempt(9u), Zone("a"))
         assertTrue(report("vm-7", 100, session = 2u))
         val assignment = job.live.get(3)
         assertEquals(Phase.COMMITTED, assignment.phase, "a copy from an older session ended a newer one's task")
         val machine = ledger.machines.getValue(MachineId("vm-7"))
-        assertFalse(machine.usable(Moment(200)), "a machine that may be long gone would get work")
+        assertFalse(machine.usable(MonotonicTime(200)), "a machine that may be long gone would get work")
         assertTrue(report("vm-7", 300, assignment.shown(TaskState.RUNNING), session = 3u))
         assertEquals(Phase.COMMITTED, assignment.phase)
         assertFalse(report("vm-7", 400, session = 2u), "a copy is no news once the machine was heard")
@@ -137,17 +137,26 @@
     @Test
     fun `failures on a machine that proves sick are not held against its jobs`() {
         val others = (2..4).map {
-            ledger.putJob(JobRecord(World(1).job(it) { s -> s.copy(shape = Shape.ARRAY, tasks = 9) }, WallTime(0)), Stamp(1u), Moment(0))
+            ledger.putJob(
+                JobRecord(
+                    World(1).job(it) { s ->
+                        s.copy(shape = Shape.ARRAY, tasks = 9)
+                    },
+                    WallTime(0),
+                ),
+                Stamp(1u),
+                MonotonicTime(0),
+            )
         }
         fun fails(of: Job, index: Int, machine: String, at: Long) {
             report(machine, at)
-            val assignment = ledger.assign(of, index, ledger.machines.getValue(MachineId(machine)), Moment(at)).apply {
+            val assignment = ledger.assign(of, index, ledger.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
                 phase =
                     Phase.COMMITTED
                 written = true
             }
             report(machine, at + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
-            ledger.release(assignment, Moment(at + 20))
+            ledger.release(assignment, MonotonicTime(at + 20))
         }
         for ((i, machine) in listOf("vm-1", "vm-2", "vm-3").withIndex()) fails(job, i, machine, i * 5000L)
         assertTrue(job.poisoned)
@@ -157,6 +166,6 @@
         }
         assertEquals(3, ledger.machines.values.count { it.quarantined })
         assertFalse(job.poisoned)
-        assertTrue(job.notBefore <= Moment(0), "still backed off for its bad company")
+        assertTrue(job.notBefore <= MonotonicTime(0), "still backed off for its bad company")
     }
 }
--- a/src/test/kotlin/mountmast/coordination/OperatorSettingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/OperatorSettingsTest.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination
 
-import mountmast.protocol.BadSettings
+import mountmast.protocol.InvalidSettingsException
 import mountmast.protocol.TeamId
 import mountmast.protocol.Urgency
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -43,7 +43,7 @@
                 listOf("least-requests"),
         )
         for ((xml, words) in cases) {
-            val refused = assertThrows(BadSettings::class.java, { read(xml) }, xml)
+            val refused = assertThrows(InvalidSettingsException::class.java, { read(xml) }, xml)
             for (word in words) assertTrue(word in refused.message!!, refused.message)
         }
     }
--- a/src/test/kotlin/mountmast/coordination/PipelinesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/PipelinesTest.kt
@@ -26,7 +26,7 @@
     private fun World.stage(number: Int, needs: List<JobId> = emptyList(), change: (JobSpec) -> JobSpec = { it }): JobId =
         accept(plainJob(number) { change(it.copy(estimateS = 2.0, tasks = 2, prerequisites = needs)) })
 
-    private fun World.leader() = seats.first { it.controller?.reign() != null }
+    private fun World.leader() = seats.first { it.controller?.leaderTerm() != null }
 
     private fun World.runUntil(mostMs: Long, reached: () -> Boolean) {
         val until = time.now + mostMs
@@ -110,7 +110,7 @@
         repeat(4) {
             run(random.nextLong(1000, 6000), busy = false)
             leader().crash(random.nextLong(50, 3000))
-            runUntil(30_000) { seats.any { it.controller?.reign() != null } }
+            runUntil(30_000) { seats.any { it.controller?.leaderTerm() != null } }
         }
         finish(listOf(running, second, third), mostMs = 240_000)
         assertEquals(JobStatus.DONE, poll(third))
--- a/src/test/kotlin/mountmast/coordination/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/ProductionFormsTest.kt
@@ -18,7 +18,7 @@
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
 import mountmast.protocol.MachineTypes
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
 import mountmast.protocol.OrdersMessage
 import mountmast.protocol.PeerHello
@@ -234,15 +234,15 @@
             val read = ProductionForms.pass(entry.key, entry.value)
             assertTrue(isPartOf(read, entry.value), "${entry.key}: $read of ${entry.value}")
         }
-        val reign = loaded(world.store.View(Random(1), Trouble(world.time)))
+        val leaderTerm = loaded(world.store.View(Random(1), Trouble(world.time)))
         val byProduction = replayedByProduction(written)
-        val ours = reign.ledger.jobs.values.flatMap { job ->
+        val ours = leaderTerm.ledger.jobs.values.flatMap { job ->
             job.live.values.map { "${it.taskName} ${it.machine} ${it.session} ${it.attempt} ${it.zone}" }
         }
-        val theirs = byProduction.placed.filterKeys { JobId(it.job.text) in reign.ledger.jobs }
+        val theirs = byProduction.placed.filterKeys { JobId(it.job.text) in leaderTerm.ledger.jobs }
             .map { (task, at) -> "$task ${at.machine} ${at.session} ${at.attempt} ${at.zone}" }
         assertEquals(theirs.sorted(), ours.sorted())
-        for (job in reign.ledger.jobs.values) {
+        for (job in leaderTerm.ledger.jobs.values) {
             assertEquals(byProduction.done[mountmast.standin.production.JobId(job.id.text)] ?: java.util.BitSet(), job.done)
         }
     }
@@ -300,8 +300,8 @@
 
     private fun unreadable(entries: Map<String, JsonElement>): Int = entries.keys.sumOf { key ->
         when {
-            key.startsWith(Keys.JOURNAL) -> JournalText.read(stored<JournalRecord>(key).text(), Ledger(0.5).replay(Moment(0)))
-            key.startsWith(Keys.SNAPSHOT_PARTS) -> JournalText.read(stored<SnapshotPart>(key).text(), Ledger(0.5).replay(Moment(0)))
+            key.startsWith(Keys.JOURNAL) -> JournalText.read(stored<JournalRecord>(key).text(), Ledger(0.5).replay(MonotonicTime(0)))
+            key.startsWith(Keys.SNAPSHOT_PARTS) -> JournalText.read(stored<SnapshotPart>(key).text(), Ledger(0.5).replay(MonotonicTime(0)))
             else -> 0
         }
     }
@@ -311,19 +311,19 @@
     }
 
     /** What a leader reads from [store]. */
-    private fun loaded(store: StateStore): Reign {
+    private fun loaded(store: StateStore): LeaderTerm {
         val clock = time.clock(0.0, 0)
-        val mandate = Mandate(Term(1u shl 30), Stamp(1u), HoldId(1u), clock.now(), WallTime(0))
+        val grant = LeadershipGrant(Term(1u shl 30), Stamp(1u), HoldId(1u), clock.now(), WallTime(0))
         val timing = Timing.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, reportS = 1.0)
         val lists = PrerequisiteLists(store, StateLimits(80.0, 30.0, 8.0, 16))
-        return Reign(mandate, store, NoWorkers, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
+        return LeaderTerm(grant, store, NoWorkers, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
     }
 
     /** In the form in which production's code described its own. */
-    private fun describe(reign: Reign): List<String> {
-        val journal = reign.journal
+    private fun describe(leaderTerm: LeaderTerm): List<String> {
+        val journal = leaderTerm.journal
         val lines = arrayListOf("journal next ${journal.next} snapshotUpTo ${journal.snapshotUpTo} generation ${journal.generation}")
-        for (job in reign.ledger.jobs.values.sortedBy { it.id }) {
+        for (job in leaderTerm.ledger.jobs.values.sortedBy { it.id }) {
             lines += "job ${job.id} cancelled ${job.cancelled} done ${job.done}"
             for (it in job.evictions.int2IntEntrySet().sortedBy { it.intKey }) lines += "evicted ${job.id}/${it.intKey} ${it.intValue}"
             for (it in job.live.values.sortedBy { it.index }) {
