--- a/src/test/kotlin/mountmast/coordination/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/RecoveryTest.kt
@@ -20,7 +20,7 @@
         assertEquals(emptyList<JobId>(), ids.filter { poll(it) != JobStatus.DONE })
     }
 
-    private fun World.leader() = seats.mapNotNull { it.controller?.reign() }.maxBy { it.mandate.term }
+    private fun World.leader() = seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.term }
 
     @Test
     fun `a poisoned job is backed off and evicts nobody, while others get done`() {
@@ -111,7 +111,7 @@
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(20_000, busy = false)
         val busy = world.cloud.workers.count { it.busy }
-        val leading = world.seats.first { it.controller?.reign() != null }
+        val leading = world.seats.first { it.controller?.leaderTerm() != null }
         leading.trouble.storeCutUntil = world.time.now + 30_000
         leading.trouble.workersCutUntil = world.time.now + 30_000
         world.run(45_000, busy = false)
@@ -125,11 +125,11 @@
         val world = World(28, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 90.0, tasks = 4, cpus = 4.0, types = listOf(TypeId("s"))) })
         world.run(20_000, busy = false)
-        val leading = world.seats.first { it.controller?.reign() != null }
+        val leading = world.seats.first { it.controller?.leaderTerm() != null }
         leading.trouble.workersCutUntil = world.time.now + 60_000
         world.run(25_000, busy = false)
-        assertEquals(null, leading.controller?.reign())
-        assertNotNull(world.seats.firstNotNullOfOrNull { it.controller?.reign() })
+        assertEquals(null, leading.controller?.leaderTerm())
+        assertNotNull(world.seats.firstNotNullOfOrNull { it.controller?.leaderTerm() })
     }
 
     @Test
@@ -138,7 +138,7 @@
         val world = World(29, quietNetwork = true)
         world.expectDone(listOf(world.accept(world.plainJob(1))), 30_000)
         val id = world.accept(world.plainJob(2))
-        val leading = world.seats.first { it.controller?.reign() != null }.controller!!
+        val leading = world.seats.first { it.controller?.leaderTerm() != null }.controller!!
         leading.follow(0)
         leading.pass()
         assertTrue(world.leader().ledger.jobs.getValue(id).live.values.all { it.phase == Phase.INTENDED })
@@ -181,7 +181,7 @@
         // At the grown size it answered submissions too late, while the others were idle.
         val world = World(33, quietNetwork = true)
         world.run(15_000, busy = false)
-        val leading = world.seats.first { it.controller?.reign() != null }
+        val leading = world.seats.first { it.controller?.leaderTerm() != null }
         fun ready() = world.seats.map { it.controller?.users?.ready() ?: false }
         assertEquals(listOf(true, true, true), ready())
         repeat(200) { leading.controller!!.noteLag(200) }
@@ -250,12 +250,12 @@
         val world = World(37, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
-        val leading = world.seats.first { it.controller?.reign() != null }
+        val leading = world.seats.first { it.controller?.leaderTerm() != null }
         val machines = world.cloud.workers.filter { it.alive }
         assertTrue(machines.size >= 3)
         leading.trouble.sendsNothingUntil = world.time.now + 40_000
         world.run(14_000, busy = false)
-        assertEquals(null, leading.controller?.reign(), "still leads")
+        assertEquals(null, leading.controller?.leaderTerm(), "still leads")
         assertTrue(machines.all { it.alive }, "machines were returned for the node's fault")
     }
 
@@ -265,17 +265,17 @@
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(20_000, busy = false)
         val started = world.rules.started
-        val leading = world.seats.first { it.controller?.reign() != null }
+        val leading = world.seats.first { it.controller?.leaderTerm() != null }
         leading.trouble.storeCutUntil = world.time.now + 40_000
         leading.trouble.peersCutUntil = world.time.now + 40_000
         // The hold runs out, the successor waits a moment and calls the workers: well before the grace of 13 s.
         world.run(9000, busy = false)
-        val successor = world.seats.mapNotNull { it.controller?.reign() }.maxBy { it.mandate.term }
-        assertTrue(successor !== leading.controller?.reign())
+        val successor = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.term }
+        assertTrue(successor !== leading.controller?.leaderTerm())
         assertTrue(
             successor.ledger.machines.values.filter {
                 it.live.isNotEmpty()
-            }.all { it.sawTerm },
+            }.all { it.hasSeenTerm },
             "workers are still with the old leader",
         )
         world.expectDone(listOf(job), 80_000)
@@ -302,7 +302,7 @@
         val world = World(39, quietNetwork = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(10_000, busy = false)
-        val follower = world.seats.first { it.controller?.reign() == null }
+        val follower = world.seats.first { it.controller?.leaderTerm() == null }
         follower.trouble.storeCutUntil = world.time.now + 60_000
         follower.trouble.peersCutUntil = world.time.now + 60_000
         world.run(8000, busy = false)
@@ -319,14 +319,14 @@
         val world = World(45, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
-        val former = world.seats.first { it.controller?.reign() != null }
+        val former = world.seats.first { it.controller?.leaderTerm() != null }
         former.crash(60_000)
-        while (world.seats.none { it.controller?.reign() != null }) world.run(200, busy = false)
-        val leading = world.seats.first { it.controller?.reign() != null }
-        val reign = leading.controller!!.reign()
+        while (world.seats.none { it.controller?.leaderTerm() != null }) world.run(200, busy = false)
+        val leading = world.seats.first { it.controller?.leaderTerm() != null }
+        val leaderTerm = leading.controller!!.leaderTerm()
         leading.trouble.sendsNothingUntil = world.time.now + 8000
         world.run(13_000, busy = false)
-        assertTrue(reign === leading.controller!!.reign(), "resigned")
+        assertTrue(leaderTerm === leading.controller!!.leaderTerm(), "resigned")
     }
 
     @Test
@@ -370,7 +370,7 @@
             val world = World(seed)
             val jobs = (1..4).map { world.accept(world.plainJob(it) { spec -> spec.copy(estimateS = 12.0) }) }
             repeat(5) {
-                val leading = world.seats.firstOrNull { it.controller?.reign() != null }
+                val leading = world.seats.firstOrNull { it.controller?.leaderTerm() != null }
                 (leading ?: world.seats.first()).trouble.pauseAtNextCallMs = world.random.nextLong(200, 4 * World.LEASE_MS)
                 world.run(world.random.nextLong(1000, 12_000), busy = false)
             }
--- a/src/test/kotlin/mountmast/coordination/SchedulerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/SchedulerTest.kt
@@ -159,7 +159,7 @@
         val bound = job(3, red, tasks = 1, cpus = 4.0, live = 0, waitedS = 100.0)
         val full = job(4, red, tasks = 0, cpus = 16.0, live = 1)
         val bounded = plan(listOf(machine("m", 0.0, listOf(resident(full, 0))), machine("n", 1.0)), listOf(bound, full))
-        assertTrue(bounded.holds.isEmpty() && bounded.starts.isEmpty(), "the bound on borrowing holds it back, not a lack of room")
+        assertTrue(bounded.reservations.isEmpty() && bounded.starts.isEmpty(), "the bound on borrowing holds it back, not a lack of room")
     }
 
     @Test
@@ -170,7 +170,7 @@
         val machines = listOf(full("late", 40.0, 0), full("soon", 2.0, 4), full("later", 60.0, 8), machine("tight", 3.0))
         val plan =
             plan(machines, listOf(running, job(2, free, tasks = 2, cpus = 4.0), job(3, free, tasks = 20, cpus = 1.0, slackS = 500.0)))
-        assertEquals(listOf(Hold(MachineId("soon"), JobId("j-2"))), plan.holds)
+        assertEquals(listOf(MachineReservation(MachineId("soon"), JobId("j-2"))), plan.reservations)
         assertTrue(plan.evictions.isEmpty())
         assertTrue(plan.starts.none { it.machine.text == "soon" }, "kept for the large tasks")
     }
--- a/src/test/kotlin/mountmast/protocol/SettingsTest.kt
+++ b/src/test/kotlin/mountmast/protocol/SettingsTest.kt
@@ -64,10 +64,10 @@
             "node = \"n-1\"" to "node = \"n-0\"" to "members",
         )
         for ((change, field) in cases) {
-            val refused = assertThrows(BadSettings::class.java) { Settings.parse(good.replace(change.first, change.second)) }
+            val refused = assertThrows(InvalidSettingsException::class.java) { Settings.parse(good.replace(change.first, change.second)) }
             assertTrue(refused.message!!.startsWith(field), refused.message)
         }
-        assertThrows(BadSettings::class.java) { Settings.parse("node = ") }
+        assertThrows(InvalidSettingsException::class.java) { Settings.parse("node = ") }
     }
 
     private fun withNext(fields: String) = good.replace("[deployment.cloud]", "[deployment.state.next]\n$fields\n[deployment.cloud]")
@@ -92,10 +92,10 @@
             "txn_ops = 1.5" to "txn_ops",
             "txn_ops = 1" to "txn_ops",
         )) {
-            val refused = assertThrows(BadSettings::class.java) { Settings.parse(withNext(line)) }
+            val refused = assertThrows(InvalidSettingsException::class.java) { Settings.parse(withNext(line)) }
             assertTrue(refused.message!!.startsWith("deployment.state.next.$field"), refused.message)
         }
         val notTable = good.replace("txn_ops = 16", "txn_ops = 16\nnext = 3")
-        assertThrows(BadSettings::class.java) { Settings.parse(notTable) }
+        assertThrows(InvalidSettingsException::class.java) { Settings.parse(notTable) }
     }
 }
--- a/src/test/kotlin/mountmast/standin/StandInCloud.kt
+++ b/src/test/kotlin/mountmast/standin/StandInCloud.kt
@@ -8,7 +8,7 @@
 import mountmast.protocol.RentalId
 import mountmast.protocol.RentalRequest
 import mountmast.transport.Cloud
-import mountmast.transport.CloudTrouble
+import mountmast.transport.CloudException
 import mountmast.transport.RentalOutcome
 import kotlin.random.Random
 
@@ -80,10 +80,10 @@
     inner class View(private val trouble: Trouble) : Cloud {
         private fun <T> ask(act: () -> T): T {
             trouble.mayStrike(random)
-            if (time.now < outageUntil) throw CloudTrouble("outage", mayBeCarriedOut = false)
+            if (time.now < outageUntil) throw CloudException("outage", mayBeCarriedOut = false)
             if (random.nextDouble() < trouble.lossRate) {
                 if (random.nextBoolean()) act() else time.later(random.nextLong(100, 15_000)) { act() }
-                throw CloudTrouble("lost", mayBeCarriedOut = true)
+                throw CloudException("lost", mayBeCarriedOut = true)
             }
             trouble.mayRepeat(random) { act() }
             return act().also { trouble.mayStrike(random) }
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -78,7 +78,7 @@
         val fits = transaction.writes.size <= now.transactionOps &&
             transaction.conditions.size <= now.transactionConditions &&
             sizes.all { it <= now.valueKb * BYTES_PER_KB } &&
-            sizes.sum() <= MOST_TRANSACTION_BYTES
+            sizes.sum() <= MAX_TRANSACTION_BYTES
         if (fits) return
         tooLarge++
         throw StoreRejected.of(transaction, "too large")
@@ -241,7 +241,7 @@
     private companion object {
         const val NODES = 3
         const val BYTES_PER_KB = 1024
-        const val MOST_TRANSACTION_BYTES = 64 * 1024
+        const val MAX_TRANSACTION_BYTES = 64 * 1024
         const val NANOS_PER_MS = 1_000_000L
     }
 }
--- a/src/test/kotlin/mountmast/standin/StandInWorker.kt
+++ b/src/test/kotlin/mountmast/standin/StandInWorker.kt
@@ -8,10 +8,10 @@
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
 import mountmast.protocol.Order
+import mountmast.protocol.ReportNumber
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Resources
 import mountmast.protocol.Session
-import mountmast.protocol.Tally
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
 import mountmast.protocol.Term
@@ -45,7 +45,7 @@
     /** Tasks that completed here: started again, they exit as soon as they have their image. */
     private val results = HashSet<TaskId>()
     private var session = 1uL
-    private var tally = 0uL
+    private var reportNumber = 0uL
     private var helm = Term(0u)
     private var answeredSentAt = time.now
     private var steppedAt = time.now
@@ -84,9 +84,9 @@
     val wellFor get() = time.now - maxOf(cutUntil, hangUntil, deafUntil, muteUntil)
 
     fun report(): WorkerReport {
-        tally++
+        reportNumber++
         return WorkerReport(
-            id, address, type.id, zone, spot, Session(session), Tally(tally), helm,
+            id, address, type.id, zone, spot, Session(session), ReportNumber(reportNumber), helm,
             noticeEndsAt?.let { (it - time.now) / 1000.0 },
             tasks.map { (task, it) -> ReportedTask(task.toString(), it.attempt, it.state, it.cause, it.stored) },
         )
--- a/src/test/kotlin/mountmast/standin/VirtualTime.kt
+++ b/src/test/kotlin/mountmast/standin/VirtualTime.kt
@@ -1,7 +1,7 @@
 package mountmast.standin
 
 import mountmast.protocol.Clock
-import mountmast.protocol.Moment
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WallTime
 import java.util.PriorityQueue
 import kotlin.random.Random
@@ -29,7 +29,7 @@
 
     /** A host's clocks: the steady one drifts, the time of day is off. */
     fun clock(drift: Double, offMs: Long) = object : Clock {
-        override fun now() = Moment(1_000_000 + (now * (1 + drift)).toLong())
+        override fun now() = MonotonicTime(1_000_000 + (now * (1 + drift)).toLong())
         override fun wall() = WallTime(1_700_000_000_000 + now + offMs)
     }
 }
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/World.kt
@@ -33,7 +33,7 @@
 import mountmast.protocol.Verb
 import mountmast.protocol.WireJson
 import mountmast.protocol.Zone
-import mountmast.transport.BeatOutcome
+import mountmast.transport.HeartbeatOutcome
 import mountmast.transport.OrdersOutcome
 import mountmast.transport.Peers
 import mountmast.transport.UserAnswer
@@ -254,7 +254,7 @@
             cloud.step()
             for (worker in cloud.workers) {
                 worker.step()
-                beat(worker)
+                heartbeat(worker)
             }
             seats.shuffled(random).forEach { it.step() }
             if (busy && random.nextInt(25) == 0) submitSomething()
@@ -319,7 +319,7 @@
 
     private var oddNumber = 900_000
 
-    private fun beat(worker: StandInWorker) {
+    private fun heartbeat(worker: StandInWorker) {
         if (!worker.alive || worker.hanging || time.now < worker.nextReportAt) return
         worker.nextReportAt = time.now + REPORT_MS * random.nextLong(75, 125) / 100
         val report = worker.report()
@@ -327,7 +327,7 @@
         if (!quietNetwork && random.nextInt(15) == 0) {
             // A copy comes late, from seconds to well over a lease, at any node, whatever became of the machine.
             val seat = seats.random(random)
-            time.later(random.nextLong(1000, 40_000)) { seat.controller?.let { late -> seat.guarded { late.beat(report) } } }
+            time.later(random.nextLong(1000, 40_000)) { seat.controller?.let { late -> seat.guarded { late.heartbeat(report) } } }
         }
         val seat = seats[worker.target]
         val controller = seat.controller
@@ -340,15 +340,15 @@
             // A cut may hold a report and deliver it long after its worker has given up on it.
             if (random.nextInt(3) == 0 && holdsReports) {
                 time.later(random.nextLong(500, 40_000)) {
-                    seats[worker.target].controller?.let { late -> seat.guarded { late.beat(report) } }
+                    seats[worker.target].controller?.let { late -> seat.guarded { late.heartbeat(report) } }
                 }
             }
             worker.target = (worker.target + 1) % seats.size
             return
         }
         seat.guarded {
-            when (val outcome = controller.beat(report)) {
-                is BeatOutcome.Accepted -> {
+            when (val outcome = controller.heartbeat(report)) {
+                is HeartbeatOutcome.Accepted -> {
                     noteStarts(outcome.answer.orders)
                     val delay = if (quietNetwork) 0L else random.nextLong(0, 60)
                     if (worker.deaf || seat.trouble.sendsNothing()) {
@@ -357,7 +357,7 @@
                         time.later(delay) { worker.answered(outcome.answer.term, outcome.answer.orders, sentAt, report.session) }
                     }
                 }
-                is BeatOutcome.Elsewhere -> {
+                is HeartbeatOutcome.Elsewhere -> {
                     val next = if (worker.deaf || seat.trouble.sendsNothing()) -1 else seats.indexOfFirst { it.name == outcome.node }
                     worker.target = if (next < 0 || next == worker.target) (worker.target + 1) % seats.size else next
                 }
@@ -538,7 +538,10 @@
         }
     }
 
-    private fun leader() = seats.filter { it.controller?.reign() != null }.maxByOrNull { it.controller?.reign()?.mandate?.term ?: Term(0u) }
+    private fun leader() = seats.filter { it.controller?.leaderTerm() != null }.maxByOrNull {
+        it.controller?.leaderTerm()?.grant?.term
+            ?: Term(0u)
+    }
 
     var heldCommands = 0
         private set
--- a/src/test/kotlin/mountmast/storage/TextCodecTest.kt
+++ b/src/test/kotlin/mountmast/storage/TextCodecTest.kt
@@ -88,7 +88,7 @@
         repeat(500) {
             val broken = packed.toCharArray().also { it[random.nextInt(it.size)] = 'A' }.concatToString()
             try {
-                assertTrue(TextCodec.read("", broken).length <= TextCodec.MOST_READ_BYTES)
+                assertTrue(TextCodec.read("", broken).length <= TextCodec.MAX_READ_BYTES)
             } catch (e: UnreadableText) {
                 assertTrue(e.message!!.isNotEmpty())
             }
--- a/src/test/kotlin/mountmast/transport/BoundedServerTest.kt
+++ b/src/test/kotlin/mountmast/transport/BoundedServerTest.kt
@@ -33,7 +33,7 @@
         fun ask() = thread {
             outcomes += try {
                 HttpCaller().call(at, "GET", "/", null, 15_000).text
-            } catch (e: NoAnswer) {
+            } catch (e: NoAnswerException) {
                 "refused"
             }
         }
--- a/src/test/kotlin/mountmast/transport/RoutesTest.kt
+++ b/src/test/kotlin/mountmast/transport/RoutesTest.kt
@@ -1,6 +1,6 @@
 package mountmast.transport
 
-import mountmast.protocol.BeatAnswer
+import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.NodeId
 import mountmast.protocol.Term
 import mountmast.protocol.WorkerReport
@@ -32,10 +32,16 @@
         override fun ready() = true
     }
 
-    private val beats = BeatService { report: WorkerReport ->
-        if (report.machine.text == "vm-1") BeatOutcome.Accepted(BeatAnswer(Term(7u), emptyList())) else BeatOutcome.Elsewhere(NodeId("n-2"))
+    private val beats = HeartbeatService { report: WorkerReport ->
+        if (report.machine.text ==
+            "vm-1"
+        ) {
+            HeartbeatOutcome.Accepted(HeartbeatResponse(Term(7u), emptyList()))
+        } else {
+            HeartbeatOutcome.Elsewhere(NodeId("n-2"))
+        }
     }
-    private val routes = publicRoutes(Users(), beats, Admissions(AdmissionLimit(MOST, MOST), AdmissionLimit(MOST, MOST)))
+    private val routes = publicRoutes(Users(), beats, AdmissionLimits(AdmissionLimit(MOST, MOST), AdmissionLimit(MOST, MOST)))
 
     private fun call(method: Method, path: String, body: String = "") = routes(Request(method, path).body(body))
 
@@ -49,8 +55,8 @@
         assertEquals(405, call(Method.POST, "/v1/jobs/j-1").status.code)
         assertEquals(404, call(Method.GET, "/v1/jobs/j-1").status.code)
         assertEquals("j-1", call(Method.POST, "/v1/jobs/j-1/cancel").bodyString())
-        assertEquals(400, call(Method.POST, "/v1/jobs", "x".repeat(MOST_BODY_BYTES + 1)).status.code)
-        assertEquals(201, call(Method.POST, "/v1/jobs", "x".repeat(MOST_BODY_BYTES)).status.code)
+        assertEquals(400, call(Method.POST, "/v1/jobs", "x".repeat(MAX_BODY_BYTES + 1)).status.code)
+        assertEquals(201, call(Method.POST, "/v1/jobs", "x".repeat(MAX_BODY_BYTES)).status.code)
         assertEquals(500, call(Method.POST, "/v1/jobs", "burst").status.code)
     }
 
