--- /dev/null
+++ b/src/test/kotlin/mountmast/coordination/DayDigestTest.kt
@@ -0,0 +1,69 @@
+package mountmast.coordination
+
+import mountmast.standin.DayDigest
+import mountmast.standin.World
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNotEquals
+import org.junit.jupiter.api.Test
+import java.io.File
+import java.io.Writer
+
+/** Days in virtual time repeat, so that their digests tell whether a change of the sources changed any behaviour. */
+class DayDigestTest {
+    private class Played(val digest: String, val events: Int)
+
+    /** Plays the day of [seed] for at least [ms] after its calm start: quiet for odd seeds, with failures for even ones. */
+    private fun play(seed: Long, ms: Long, trace: Appendable? = null): Played {
+        val isQuiet = seed % 2 == 1L
+        val world = World(seed, isQuiet)
+        val digest = DayDigest(trace)
+        world.time.digest = digest
+        world.run(CALM_START_MS, busy = true)
+        val until = world.time.now + ms
+        while (world.time.now < until) {
+            if (!isQuiet) world.fail()
+            world.run(world.random.nextLong(50, 3000), busy = true)
+            if (!isQuiet) world.fail()
+            world.run(world.random.nextLong(2000, 15_000), busy = true)
+        }
+        world.run(CALM_END_MS, busy = false)
+        return Played(digest.finish(), digest.events)
+    }
+
+    @Test
+    fun `a seed gives the same day each time`() = listOf(1L, 2L).forEach { seed ->
+        val first = play(seed, SHORT_DAY_MS)
+
+        val second = play(seed, SHORT_DAY_MS)
+
+        assertEquals(first.digest, second.digest, "seed $seed")
+        assertEquals(first.events, second.events, "seed $seed")
+    }
+
+    @Test
+    fun `two seeds give different days`() {
+        assertNotEquals(play(1, SHORT_DAY_MS).digest, play(3, SHORT_DAY_MS).digest)
+        assertNotEquals(play(2, SHORT_DAY_MS).digest, play(4, SHORT_DAY_MS).digest)
+    }
+
+    /** With `-Dmountmast.digests=FIRST-LAST`; `-Dmountmast.digestTrace=FILE` also writes every event to that file. */
+    @Test
+    fun `digests of the seeds asked for are printed`() {
+        val (first, last) = System.getProperty("mountmast.digests")?.split('-')?.map(String::toLong) ?: return
+        val trace = System.getProperty("mountmast.digestTrace")?.let { File(it).bufferedWriter() } ?: Writer.nullWriter()
+        trace.use {
+            for (seed in first..last) {
+                trace.append("seed $seed\n")
+                val played = play(seed, DAY_MS, trace)
+                println("digest $seed ${played.digest} events=${played.events}")
+            }
+        }
+    }
+
+    private companion object {
+        const val CALM_START_MS = 15_000L
+        const val SHORT_DAY_MS = 20_000L
+        const val DAY_MS = 50_000L
+        const val CALM_END_MS = 10_000L
+    }
+}
--- a/src/test/kotlin/mountmast/standin/ControllerSeat.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerSeat.kt
@@ -15,7 +15,7 @@
 class ControllerSeat(private val world: World, val number: Int, var version: NodeVersion) {
     val name = NodeId("node-$number")
     val zone = world.zones[number % world.zones.size]
-    var trouble = Trouble(world.time)
+    var trouble = Trouble(world.time, number)
     var controller: Controller? = null
     private var metrics = Metrics()
 
@@ -110,7 +110,7 @@
     fun crash(downMs: Long) {
         controller = null
         downUntil = world.time.now + downMs
-        trouble = Trouble(world.time)
+        trouble = Trouble(world.time, number)
     }
 
     private companion object {
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/Network.kt
@@ -1,5 +1,10 @@
 package mountmast.standin
 
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.encodeToHexString
+import kotlinx.serialization.encodeToString
+import kotlinx.serialization.protobuf.ProtoBuf
+import mountmast.coordination.Controller
 import mountmast.protocol.Member
 import mountmast.protocol.Order
 import mountmast.protocol.OrdersMessage
@@ -8,6 +13,7 @@
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.TaskId
 import mountmast.protocol.Verb
+import mountmast.protocol.WireJson
 import mountmast.protocol.WorkerReport
 import mountmast.protocol.Zone
 import mountmast.transport.HeartbeatOutcome
@@ -16,6 +22,7 @@
 import mountmast.transport.Workers
 
 /** What connects the controllers of a [World] with its workers and with one another. */
+@OptIn(ExperimentalSerializationApi::class)
 class Network(private val world: World) {
     private val time get() = world.time
     private val random get() = world.random
@@ -53,6 +60,20 @@
     fun workersOf(trouble: Trouble) = Workers { address, message -> order(trouble, address, message) }
 
     private fun order(trouble: Trouble, address: String, message: OrdersMessage): OrdersOutcome {
+        time.record { "command ${trouble.number} $address ${WireJson.encodeToString(message)}" }
+        return send(trouble, address, message).also { outcome ->
+            time.record { "command ${trouble.number} $address answered ${text(outcome)}" }
+        }
+    }
+
+    private fun text(outcome: OrdersOutcome) = when (outcome) {
+        is OrdersOutcome.Executed -> "executed ${WireJson.encodeToString(outcome.report)}"
+        is OrdersOutcome.Rejected -> "rejected ${WireJson.encodeToString(outcome.report)}"
+        OrdersOutcome.NotSent -> "not sent"
+        OrdersOutcome.Unknown -> "unknown"
+    }
+
+    private fun send(trouble: Trouble, address: String, message: OrdersMessage): OrdersOutcome {
         noteStarts(message.orders)
         trouble.mayStrike(random)
         ordersSent++
@@ -73,12 +94,14 @@
         return execute(worker, message).also { trouble.mayStrike(random) }
     }
 
-    private fun execute(worker: StandInWorker, message: OrdersMessage): OrdersOutcome =
-        if (worker.ordered(message.term, message.session, message.orders)) {
+    private fun execute(worker: StandInWorker, message: OrdersMessage): OrdersOutcome {
+        time.record { "worker ${worker.id.text} gets ${WireJson.encodeToString(message)}" }
+        return if (worker.ordered(message.term, message.session, message.orders)) {
             OrdersOutcome.Executed(worker.report())
         } else {
             OrdersOutcome.Rejected(worker.report())
         }
+    }
 
     private fun lose(worker: StandInWorker, message: OrdersMessage): OrdersOutcome {
         ordersInVain++
@@ -103,7 +126,9 @@
 
         override fun hello(to: Member, hello: PeerHello): PeerHello? {
             val peer = reach(to) ?: return null
+            time.record { "greeting ${seat.number} ${peer.number} ${ProtoBuf.encodeToHexString(hello)}" }
             val answer = peer.controller?.hello(asTold(hello, seat, peer)) ?: return null
+            time.record { "greeting ${seat.number} ${peer.number} answered ${ProtoBuf.encodeToHexString(answer)}" }
             return asTold(answer, peer, seat)
         }
 
@@ -116,12 +141,14 @@
             val peer = reach(to) ?: return null
             val users = peer.controller?.users ?: return null
             val read = peer.version.relayRequest(seat.version.relayRequest(request))
+            time.record { "relay ${seat.number} ${peer.number} ${read.method} ${read.path} ${read.body}" }
             val id = read.path.removePrefix("/v1/jobs/").removeSuffix("/cancel")
             val answer = when {
                 read.path == "/v1/jobs" -> users.submit(read.body, relayed = true)
                 read.method == "POST" -> users.cancel(id, relayed = true)
                 else -> users.status(id, relayed = true)
             }
+            time.record { "relay ${seat.number} ${peer.number} answered ${answer.status} ${answer.retryAfterS} ${answer.body}" }
             return seat.version.relayAnswer(peer.version.relayAnswer(RelayAnswer(answer.status, answer.body, answer.retryAfterS)))
         }
     }
@@ -144,7 +171,7 @@
         }
         val sentAt = time.now
         if (reportsWaitMs == 0L) {
-            seat.guarded { answered(worker, seat, report, sentAt, controller.heartbeat(report)) }
+            seat.guarded { answered(worker, seat, report, sentAt, deliver(seat, controller, report)) }
         } else {
             answerLater(worker, seat, report, sentAt)
         }
@@ -156,21 +183,36 @@
         worker.nextReportAt += reportsWaitMs
         time.later(reportsWaitMs) {
             val controller = seat.controller?.takeIf { seat.trouble === process }
-            if (controller != null) seat.guarded { answered(worker, seat, report, sentAt, controller.heartbeat(report)) }
+            if (controller != null) seat.guarded { answered(worker, seat, report, sentAt, deliver(seat, controller, report)) }
+        }
+    }
+
+    /** Has [controller], which runs at [seat], take [report]. */
+    private fun deliver(seat: ControllerSeat, controller: Controller, report: WorkerReport): HeartbeatOutcome {
+        time.record { "heartbeat ${seat.number} ${WireJson.encodeToString(report)}" }
+        return controller.heartbeat(report).also { outcome ->
+            time.record {
+                val answer = when (outcome) {
+                    is HeartbeatOutcome.Accepted -> WireJson.encodeToString(outcome.answer)
+                    is HeartbeatOutcome.Elsewhere -> "elsewhere ${outcome.node?.text}"
+                }
+                "heartbeat ${seat.number} ${report.machine.text} answered $answer"
+            }
         }
     }
 
     /** A copy comes late, from seconds to well over a lease, at any node, whatever became of the machine. */
     private fun copyLate(report: WorkerReport) {
         val seat = world.seats.random(random)
-        time.later(random.nextLong(1000, 40_000)) { seat.controller?.let { late -> seat.guarded { late.heartbeat(report) } } }
+        time.later(random.nextLong(1000, 40_000)) { seat.controller?.let { late -> seat.guarded { deliver(seat, late, report) } } }
     }
 
     private fun tryNext(worker: StandInWorker, report: WorkerReport) {
         // A cut may hold a report and deliver it long after its worker has given up on it.
         if (random.nextInt(3) == 0 && holdsReports) {
             time.later(random.nextLong(500, 40_000)) {
-                world.seats[worker.target].controller?.let { late -> world.seats[worker.target].guarded { late.heartbeat(report) } }
+                val seat = world.seats[worker.target]
+                seat.controller?.let { late -> seat.guarded { deliver(seat, late, report) } }
             }
         }
         worker.target = (worker.target + 1) % world.seats.size
--- a/src/test/kotlin/mountmast/standin/StandInCloud.kt
+++ b/src/test/kotlin/mountmast/standin/StandInCloud.kt
@@ -1,5 +1,6 @@
 package mountmast.standin
 
+import kotlinx.serialization.encodeToString
 import mountmast.protocol.ListedMachine
 import mountmast.protocol.ListedState
 import mountmast.protocol.MachineId
@@ -7,6 +8,7 @@
 import mountmast.protocol.MachineType
 import mountmast.protocol.RentalId
 import mountmast.protocol.RentalRequest
+import mountmast.protocol.WireJson
 import mountmast.transport.Cloud
 import mountmast.transport.CloudException
 import mountmast.transport.RentalOutcome
@@ -57,6 +59,7 @@
 
     /** The cloud takes a machine back. */
     fun take(id: MachineId) {
+        time.record { "cloud takes ${id.text}" }
         machines.remove(id)?.worker?.die()
     }
 
@@ -85,7 +88,17 @@
 
     /** The cloud as one node reaches it. */
     inner class View(private val trouble: Trouble) : Cloud {
-        private fun <T> ask(act: () -> T): T {
+        private fun <T> ask(what: () -> String, told: (T) -> String, act: () -> T): T {
+            time.record { "cloud ${trouble.number} ${what()}" }
+            try {
+                return reach(act).also { answer -> time.record { "cloud ${trouble.number} answers ${told(answer)}" } }
+            } catch (e: CloudException) {
+                time.record { "cloud ${trouble.number} fails ${e.mayBeCarriedOut}" }
+                throw e
+            }
+        }
+
+        private fun <T> reach(act: () -> T): T {
             trouble.mayStrike(random)
             if (time.now < outageUntil) throw CloudException("outage", mayBeCarriedOut = false)
             if (random.nextDouble() < trouble.lossRate) {
@@ -96,13 +109,19 @@
             return act().also { trouble.mayStrike(random) }
         }
 
-        override fun machineTypes() = ask { types }
-        override fun rent(request: RentalRequest) = ask { rentNow(request) }
-        override fun delete(machines: List<MachineId>) = ask { machines.forEach(::take) }
-        override fun list(after: MachineId?): MachinePage = ask {
+        override fun machineTypes() = ask({ "types" }, { WireJson.encodeToString(it) }) { types }
+        override fun rent(request: RentalRequest) = ask({ "rent ${WireJson.encodeToString(request)}" }, ::text) { rentNow(request) }
+        override fun delete(machines: List<MachineId>) =
+            ask({ "delete ${machines.joinToString { it.text }}" }, { "" }) { machines.forEach(::take) }
+        override fun list(after: MachineId?): MachinePage = ask({ "list ${after?.text}" }, { WireJson.encodeToString(it) }) {
             val old = lists.lastOrNull { it.first <= time.now - random.nextLong(1000, 6000) }?.second.orEmpty()
             val rest = old.filter { after == null || it.id > after }
             MachinePage(rest.take(5), rest.size > 5)
         }
+
+        private fun text(outcome: RentalOutcome) = when (outcome) {
+            is RentalOutcome.Rented -> outcome.machines.joinToString { it.text }
+            RentalOutcome.NoCapacity -> "none"
+        }
     }
 }
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -14,6 +14,7 @@
 import mountmast.storage.RateShare
 import mountmast.storage.RateShares
 import mountmast.storage.StateStore
+import mountmast.storage.StoreException
 import mountmast.storage.StoreRefused
 import mountmast.storage.StoreRejected
 import mountmast.storage.StoreSilent
@@ -114,6 +115,40 @@
     }
 
     private fun commit(transaction: Transaction): CommitOutcome {
+        world.record { "store commits ${text(transaction)}" }
+        try {
+            return carryOut(transaction).also { world.record { "store answers ${text(it)}" } }
+        } catch (e: StoreException) {
+            world.record { "store answers ${reason(e)}" }
+            throw e
+        }
+    }
+
+    private fun text(transaction: Transaction): String {
+        val conditions = transaction.conditions.map { "${it.key}@${it.stamp.number}" }
+        val writes = transaction.writes.map {
+            when (it) {
+                is Write.Put -> "${it.key}=${it.value} ${it.hold?.number}"
+                is Write.Delete -> "-${it.key}"
+            }
+        }
+        return "$conditions $writes"
+    }
+
+    private fun text(outcome: CommitOutcome) = when (outcome) {
+        is CommitOutcome.Committed -> "committed ${outcome.revision.number}"
+        is CommitOutcome.Conflict -> "conflict ${outcome.failed}"
+    }
+
+    private fun reason(failure: StoreException) = when (failure) {
+        is StoreRefused -> "refused"
+        is StoreRejected -> "rejected"
+        is StoreSilent -> "silent"
+        is HoldEnded -> "lease ended"
+        else -> "failed"
+    }
+
+    private fun carryOut(transaction: Transaction): CommitOutcome {
         expire()
         checkSizes(transaction)
         checkWriteRate(transaction.writes.size)
@@ -153,7 +188,26 @@
 
         override fun writeRoom(): WriteRoom = if (limits.enforcesRates) share.room() else WriteRoom.AMPLE
 
-        private fun <T> ask(silentAllowed: Boolean = true, random: Random = this.random, act: () -> T): T {
+        /** Asks for what [what] describes; [told] describes the answer. */
+        private fun <T> ask(
+            what: () -> String,
+            told: (T) -> String,
+            silentAllowed: Boolean = true,
+            random: Random = this.random,
+            act: () -> T,
+        ): T {
+            world.record { "store ${trouble.number} ${what()}" }
+            try {
+                return reach(silentAllowed, random, act).also { answer ->
+                    world.record { "store ${trouble.number} answered ${told(answer)}" }
+                }
+            } catch (e: StoreException) {
+                world.record { "store ${trouble.number} ${reason(e)}" }
+                throw e
+            }
+        }
+
+        private fun <T> reach(silentAllowed: Boolean, random: Random, act: () -> T): T {
             trouble.mayStrike(random)
             requests++
             checkRequestRate()
@@ -179,12 +233,12 @@
             return act().also { trouble.mayStrike(random) }
         }
 
-        override fun get(key: String): Entry? = ask(false) {
+        override fun get(key: String): Entry? = ask({ "get $key" }, { "${it?.stamp?.number}" }, false) {
             expire()
             values[key]?.let { Entry(key, it.data, Stamp(it.stamp.toULong())) }
         }
 
-        override fun list(prefix: String, after: String?, limit: Int): EntryPage = ask(false) {
+        override fun list(prefix: String, after: String?, limit: Int): EntryPage = ask({ "list $prefix $after $limit" }, ::text, false) {
             expire()
             val all = values.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.filter { after == null || it.key > after }
             val page = all.take(minOf(limit, pageSize))
@@ -200,7 +254,7 @@
         override fun commit(transaction: Transaction): CommitOutcome {
             if (limits.enforcesRates && share.take(transaction.writes.size, 0) == null) throw StoreRefused("over the share")
             val random = if (transaction.writes.any { it.key == Keys.FORMAT }) formatRandom else random
-            return ask(random = random) {
+            return ask({ "commit ${text(transaction)}" }, ::text, random = random) {
                 if (trouble.writesLate(random)) {
                     world.later(random.nextLong(2000, 12_000)) { if (!out) runCatching { this@StandInStore.commit(transaction) } }
                     throw StoreSilent("carried out later")
@@ -209,25 +263,27 @@
             }
         }
 
-        override fun grantHold(ttlMs: Long): HoldId = ask {
+        override fun grantHold(ttlMs: Long): HoldId = ask({ "grant $ttlMs" }, { "${it.number}" }) {
             val id = nextHold++
             holds[id] = longArrayOf(ttlMs, world.now + ttlMs)
             HoldId(id.toULong())
         }
 
-        override fun renewHold(hold: HoldId): Boolean = ask {
+        override fun renewHold(hold: HoldId): Boolean = ask({ "renew ${hold.number}" }, { "$it" }) {
             expire()
             val known = holds[hold.number.toLong()] ?: return@ask false
             known[1] = world.now + known[0]
             true
         }
 
-        override fun dropHold(hold: HoldId) = ask {
+        override fun dropHold(hold: HoldId) = ask({ "drop ${hold.number}" }, { "" }) {
             holds[hold.number.toLong()]?.let { it[1] = world.now - 1 }
             expire()
         }
 
-        override fun follow(prefix: String, from: Revision, waitMs: Long): FollowOutcome = ask(false) {
+        override fun follow(prefix: String, from: Revision, waitMs: Long): FollowOutcome = ask({
+            "follow $prefix ${from.number} $waitMs"
+        }, ::text, false) {
             if (trouble.followsNothing()) throw StoreSilent("a watch that stays open")
             expire()
             val oldest = changes.firstOrNull()?.stamp?.number ?: 0u
@@ -237,6 +293,17 @@
                 Revision(revision.toULong()),
             )
         }
+
+        private fun text(page: EntryPage) = "${page.entries.map { "${it.key}@${it.stamp.number}" }} ${page.more} ${page.revision.number}"
+
+        private fun text(outcome: FollowOutcome) = when (outcome) {
+            is FollowOutcome.Changes -> "${outcome.changes.map { "${it.key}@${it.stamp.number}" }} ${outcome.upTo.number}"
+            FollowOutcome.TooOld -> "too old"
+        }
+
+        private fun text(outcome: CommitOutcome) = this@StandInStore.text(outcome)
+
+        private fun text(transaction: Transaction) = this@StandInStore.text(transaction)
     }
 
     private companion object {
--- a/src/test/kotlin/mountmast/standin/VirtualTime.kt
+++ b/src/test/kotlin/mountmast/standin/VirtualTime.kt
@@ -10,12 +10,20 @@
 class VirtualTime {
     var now = 0L
         private set
+
+    /** Hears of all that the stand-ins see, where a test wants to compare days. */
+    var digest: DayDigest? = null
     private val pending = PriorityQueue<Pair<Long, () -> Unit>>(compareBy { it.first })
 
     fun later(inMs: Long, act: () -> Unit) {
         pending += (now + inMs) to act
     }
 
+    /** Reports an event to the [digest]; [text] is only made where there is one. */
+    inline fun record(text: () -> String) {
+        digest?.add(now, text())
+    }
+
     fun advance(ms: Long) {
         val until = now + ms
         while (pending.isNotEmpty() && pending.peek().first <= until) {
@@ -37,8 +45,8 @@
 /** A process dies in the middle of what it does. */
 class NodeDied : RuntimeException()
 
-/** What ails a node right now. */
-class Trouble(private val time: VirtualTime) {
+/** What ails the node [number] right now. */
+class Trouble(private val time: VirtualTime, val number: Int = -1) {
     var lossRate = 0.0
     var storeCutUntil = 0L
     var storeRefusedUntil = 0L
