--- a/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
@@ -2,6 +2,7 @@
 
 import com.sun.net.httpserver.HttpServer
 import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.protobuf.ProtoBuf
@@ -86,16 +87,24 @@
     private val lists = Fixture("lists.txt")
     private val calls = Fixture("calls.txt")
 
+    /** What [read] returns; a line that cannot be read at all fails under the name of [line]. */
+    private fun <T> reading(line: String, read: () -> T): T = try {
+        read()
+    } catch (e: SerializationException) {
+        throw AssertionError("$line cannot be read: ${e.message}", e)
+    }
+
     private fun <T : Any> Example<T>.toJson() = WireJson.encodeToString(serializer, value)
 
     private fun <T : Any> Example<T>.assertReadFromJson(text: String) =
-        assertEquals(value, WireJson.decodeFromString(serializer, text), "json.txt, line $name")
+        assertEquals(value, reading("json.txt, line $name") { WireJson.decodeFromString(serializer, text) }, "json.txt, line $name")
 
     private fun <T : Any> Example<T>.toProtobuf() = ProtoBuf.encodeToByteArray(serializer, value).joinToString("") { "%02x".format(it) }
 
     private fun <T : Any> Example<T>.assertReadFromProtobuf(text: String) {
         val bytes = text.chunked(2).map { it.toInt(16).toByte() }.toByteArray()
-        assertEquals(value, ProtoBuf.decodeFromByteArray(serializer, bytes), "protobuf.txt, line $name")
+        val read = reading("protobuf.txt, line $name") { ProtoBuf.decodeFromByteArray(serializer, bytes) }
+        assertEquals(value, read, "protobuf.txt, line $name")
     }
 
     @Test
