--- a/src/main/kotlin/mountmast/CommandLineTool.kt
+++ b/src/main/kotlin/mountmast/CommandLineTool.kt
@@ -1,6 +1,6 @@
 package mountmast
 
-import mountmast.coordination.OperatorSettings
+import mountmast.coordination.controller.OperatorSettings
 import mountmast.protocol.InvalidSettingsException
 import mountmast.protocol.Settings
 import mountmast.transport.HttpCaller
--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -1,8 +1,8 @@
 package mountmast
 
-import mountmast.coordination.Controller
-import mountmast.coordination.Node
-import mountmast.coordination.OperatorSettings
+import mountmast.coordination.controller.Controller
+import mountmast.coordination.controller.Node
+import mountmast.coordination.controller.OperatorSettings
 import mountmast.protocol.Settings
 import mountmast.protocol.SystemClock
 import mountmast.storage.HttpStateStore
--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -1,7 +1,7 @@
 package mountmast
 
 import kotlinx.serialization.encodeToString
-import mountmast.coordination.OperatorSettings
+import mountmast.coordination.controller.OperatorSettings
 import mountmast.protocol.Attempt
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobValidation
--- a/src/main/kotlin/mountmast/coordination/ExpectedMachines.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ExpectedMachines.kt
@@ -1,5 +1,6 @@
-package mountmast.coordination
+package mountmast.coordination.autoscaling
 
+import mountmast.coordination.state.Job
 import mountmast.protocol.JobSpec
 import mountmast.protocol.Resources
 import mountmast.protocol.Zone
--- a/src/main/kotlin/mountmast/coordination/Fleet.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/Fleet.kt
@@ -1,5 +1,6 @@
-package mountmast.coordination
+package mountmast.coordination.autoscaling
 
+import mountmast.coordination.election.Timing
 import mountmast.protocol.Clock
 import mountmast.transport.Cloud
 import mountmast.transport.CloudException
@@ -12,7 +13,7 @@
  * work that waits. Called by one thread.
  */
 class Fleet(
-    leaderTerm: LeaderTerm,
+    context: AutoscalingContext,
     cloud: Cloud,
     private val clock: Clock,
     /** Begins the names of rental requests; no other process ever uses the same. */
@@ -24,10 +25,10 @@
 ) {
     /** A round comes once a second; what it may ask is the cloud's to say, not ours. */
     private val callsPerRound = maxOf(1, (cloudRatePerS * Cloud.RATE_SHARE).toInt())
-    private val history = OfferHistory(leaderTerm.ledger)
-    private val inventory = FleetInventory(leaderTerm, cloud, policy)
-    private val returns = MachineReturns(leaderTerm, cloud, clock, policy, timing, history, callsPerRound)
-    private val rentals = MachineRentals(leaderTerm, cloud, policy, timing, history, rentalPrefix, callsPerRound)
+    private val history = OfferHistory(context.ledger)
+    private val inventory = FleetInventory(context, cloud, policy)
+    private val returns = MachineReturns(context, cloud, clock, policy, timing, history, callsPerRound)
+    private val rentals = MachineRentals(context, cloud, policy, timing, history, rentalPrefix, callsPerRound)
     private var isCloudFailing = false
 
     /** One round; called about once a second. */
--- a/src/main/kotlin/mountmast/coordination/FleetInventory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/FleetInventory.kt
@@ -1,5 +1,7 @@
-package mountmast.coordination
+package mountmast.coordination.autoscaling
 
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
 import mountmast.protocol.ListedMachine
 import mountmast.protocol.ListedState
 import mountmast.protocol.MachineType
@@ -9,9 +11,9 @@
 import mountmast.transport.CloudException
 import kotlin.concurrent.withLock
 
-/** Keeps the ledger's machine types and machines as the cloud lists them. Called by one thread; takes the [LeaderTerm]'s lock. */
-class FleetInventory(private val leaderTerm: LeaderTerm, private val cloud: Cloud, private val policy: FleetPolicy) {
-    private val ledger get() = leaderTerm.ledger
+/** Keeps the ledger's machine types and machines as the cloud lists them. Called by one thread; takes the lock of [AutoscalingContext]. */
+class FleetInventory(private val context: AutoscalingContext, private val cloud: Cloud, private val policy: FleetPolicy) {
+    private val ledger get() = context.ledger
     private var typesReadAt: MonotonicTime? = null
     private var machinesReadAt: MonotonicTime? = null
 
@@ -31,16 +33,16 @@
             cloud.machineTypes()
         } catch (e: CloudException) {
             // The store keeps the types, so that an outage of the cloud stops nobody from submitting.
-            if (leaderTerm.lock.withLock { ledger.types.isEmpty() }) throw e
+            if (context.lock.withLock { ledger.types.isEmpty() }) throw e
             return
         }
         typesReadAt = now
-        leaderTerm.lock.withLock {
+        context.lock.withLock {
             val isChanged = withoutPrices(ledger.types.values) != withoutPrices(types)
             ledger.replaceTypes(MachineTypes(types))
             if (isChanged) {
-                leaderTerm.pendingTypes = MachineTypes(types)
-                leaderTerm.signals.wakeWriter()
+                context.pendingTypes = MachineTypes(types)
+                context.signals.wakeWriter()
             }
         }
     }
@@ -58,7 +60,7 @@
         } while (page.more && page.machines.isNotEmpty())
         machinesReadAt = now
         pages = read
-        leaderTerm.lock.withLock { for (machine in listed) takeIn(machine, now) }
+        context.lock.withLock { for (machine in listed) takeIn(machine, now) }
     }
 
     private fun takeIn(listed: ListedMachine, now: MonotonicTime) {
--- a/src/main/kotlin/mountmast/coordination/FleetPolicy.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/FleetPolicy.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.autoscaling
 
 /** How machines are rented and returned; operators may set each of these. */
 data class FleetPolicy(
--- a/src/main/kotlin/mountmast/coordination/MachineRentals.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineRentals.kt
@@ -1,5 +1,8 @@
-package mountmast.coordination
+package mountmast.coordination.autoscaling
 
+import mountmast.coordination.election.Timing
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.RentalId
 import mountmast.protocol.RentalRequest
@@ -13,10 +16,10 @@
 
 /**
  * Rents machines, each request by a name that no other process uses. A request without an answer is repeated by the same name
- * before any other is made, so that none is carried out twice. Called by one thread; takes the [LeaderTerm]'s lock.
+ * before any other is made, so that none is carried out twice. Called by one thread; takes the lock of [AutoscalingContext].
  */
 class MachineRentals(
-    private val leaderTerm: LeaderTerm,
+    private val context: AutoscalingContext,
     private val cloud: Cloud,
     private val policy: FleetPolicy,
     timing: Timing,
@@ -26,16 +29,16 @@
     /** Calls to the cloud that a round may make. */
     callsPerRound: Int,
 ) {
-    private val ledger get() = leaderTerm.ledger
+    private val ledger get() = context.ledger
     private val pausedUntil = HashMap<Offer, MonotonicTime>()
-    private val planner = RentalPlanner(leaderTerm, timing, history, callsPerRound * Cloud.MAX_PER_RENTAL, ::isPaused)
+    private val planner = RentalPlanner(context, timing, history, callsPerRound * Cloud.MAX_PER_RENTAL, ::isPaused)
     private var requestCount = 0
     private var unanswered: RentalRequest? = null
 
     /** One round of renting, decided as of [now]. Throws [CloudException] where the cloud does not answer. */
     fun step(now: MonotonicTime) {
         unanswered?.let { return send(it, now) }
-        val plan = leaderTerm.lock.withLock { planner.plan(now) }
+        val plan = context.lock.withLock { planner.plan(now) }
         for ((offer, wanted) in plan) rent(offer, wanted, now)
     }
 
@@ -74,7 +77,7 @@
     private fun logRental(offer: Offer, rented: Int, wanted: Int) =
         log.info("rented {} of {} {} in {}{}", rented, wanted, offer.type, offer.zone, if (offer.spot) ", spot" else "")
 
-    private fun takeIn(outcome: RentalOutcome.Rented, offer: Offer, now: MonotonicTime) = leaderTerm.lock.withLock {
+    private fun takeIn(outcome: RentalOutcome.Rented, offer: Offer, now: MonotonicTime) = context.lock.withLock {
         for (id in outcome.machines) {
             if (id in ledger.machines || id in ledger.tombstones) continue
             ledger.machines[id] = Machine(id, offer.type, offer.zone, offer.spot, MachineState.BOOTING).apply {
--- a/src/main/kotlin/mountmast/coordination/MachineReturns.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineReturns.kt
@@ -1,5 +1,8 @@
-package mountmast.coordination
+package mountmast.coordination.autoscaling
 
+import mountmast.coordination.election.Timing
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
@@ -12,10 +15,10 @@
 
 /**
  * Returns machines that are idle, dead, sick or out of reach. A machine chosen once is returned for certain: its deletion is
- * asked for again until it is answered. Called by one thread; takes the [LeaderTerm]'s lock.
+ * asked for again until it is answered. Called by one thread; takes the lock of [AutoscalingContext].
  */
 class MachineReturns(
-    private val leaderTerm: LeaderTerm,
+    private val context: AutoscalingContext,
     private val cloud: Cloud,
     private val clock: Clock,
     private val policy: FleetPolicy,
@@ -24,14 +27,14 @@
     /** Calls to the cloud that a round may make. */
     private val callsPerRound: Int,
 ) {
-    private val ledger get() = leaderTerm.ledger
+    private val ledger get() = context.ledger
 
     /** One round of returns, decided as of [now]. Throws `CloudException` where the cloud does not answer. */
     fun step(now: MonotonicTime) {
-        val chosen = leaderTerm.lock.withLock { choose(now) }
+        val chosen = context.lock.withLock { choose(now) }
         for (part in chosen.chunked(Cloud.MAX_PER_DELETION).take(callsPerRound)) {
             cloud.delete(part)
-            leaderTerm.lock.withLock { deleted(part, now) }
+            context.lock.withLock { deleted(part, now) }
         }
     }
 
@@ -39,7 +42,7 @@
         for (id in machines) ledger.markDeleted(id, clock.now())
         val forgotten = ledger.tombstones.entries.takeWhile { now - it.value > TOMBSTONE_MS }.map { it.key }
         ledger.tombstones.keys.removeAll(forgotten.toSet())
-        leaderTerm.signals.wakeWriter()
+        context.signals.wakeWriter()
     }
 
     private fun choose(now: MonotonicTime): List<MachineId> {
@@ -88,7 +91,7 @@
     /** Its tasks are free once it is deleted; but where hardly any worker hears us, it is not the machines. */
     private fun isUnreachedForGood(machine: Machine, now: MonotonicTime): Boolean {
         val since = machine.unreachedSince ?: return false
-        return now - since > leaderTerm.unreachedPatienceMs && !leaderTerm.reachability.areMostUnreached()
+        return now - since > context.unreachedPatienceMs && !context.areMostUnreached()
     }
 
     private fun isUnneeded(machine: Machine, type: MachineType, now: MonotonicTime): Boolean {
--- a/src/main/kotlin/mountmast/coordination/Offer.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/Offer.kt
@@ -1,5 +1,6 @@
-package mountmast.coordination
+package mountmast.coordination.autoscaling
 
+import mountmast.coordination.state.Machine
 import mountmast.protocol.JobSpec
 import mountmast.protocol.TypeId
 import mountmast.protocol.Zone
--- a/src/main/kotlin/mountmast/coordination/OfferHistory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/OfferHistory.kt
@@ -1,5 +1,8 @@
-package mountmast.coordination
+package mountmast.coordination.autoscaling
 
+import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
 import mountmast.protocol.MonotonicTime
 
 /**
--- a/src/main/kotlin/mountmast/coordination/RentalPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/RentalPlanner.kt
@@ -1,14 +1,18 @@
-package mountmast.coordination
+package mountmast.coordination.autoscaling
 
+import mountmast.coordination.election.Timing
+import mountmast.coordination.state.Job
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
 import mountmast.protocol.MachineType
 import mountmast.protocol.MonotonicTime
 
 /**
  * Decides what to rent: machines for the waiting tasks that those still booting will not have room for.
- * Guarded by the [LeaderTerm]'s lock.
+ * Guarded by the lock of [AutoscalingContext].
  */
 class RentalPlanner(
-    private val leaderTerm: LeaderTerm,
+    private val context: AutoscalingContext,
     private val timing: Timing,
     private val history: OfferHistory,
     /** How many machines can be rented in a round at most. */
@@ -16,13 +20,13 @@
     /** Whether the cloud lately had no such machine. */
     private val isPaused: (Offer, MonotonicTime) -> Boolean,
 ) {
-    private val ledger get() = leaderTerm.ledger
+    private val ledger get() = context.ledger
 
     /** How many machines to rent by each offer, in the order of the tasks that need them. */
     fun plan(now: MonotonicTime): Map<Offer, Int> {
         history.decay()
         val round = Round(now, history.lateOffers(now))
-        for (waiting in leaderTerm.waiting) {
+        for (waiting in context.waiting) {
             val job = ledger.jobs[waiting.job] ?: continue
             if (!job.poisoned) round.cover(job, waiting.tasks)
         }
--- a/src/main/kotlin/mountmast/coordination/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -1,5 +1,19 @@
-package mountmast.coordination
-
+package mountmast.coordination.controller
+
+import mountmast.coordination.autoscaling.Fleet
+import mountmast.coordination.autoscaling.FleetPolicy
+import mountmast.coordination.election.Leadership
+import mountmast.coordination.election.Timing
+import mountmast.coordination.jobs.JobService
+import mountmast.coordination.jobs.JobWatch
+import mountmast.coordination.membership.CancellationNotices
+import mountmast.coordination.membership.FormatAgreement
+import mountmast.coordination.membership.PeerStates
+import mountmast.coordination.persistence.LedgerWriter
+import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.state.Invariants
+import mountmast.coordination.state.TaskLosses
+import mountmast.coordination.workers.LeaseHelper
 import mountmast.protocol.Clock
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobId
--- a/src/main/kotlin/mountmast/coordination/DelayReports.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/DelayReports.kt
@@ -1,5 +1,8 @@
-package mountmast.coordination
+package mountmast.coordination.controller
 
+import mountmast.coordination.scheduling.Waiting
+import mountmast.coordination.state.Job
+import mountmast.coordination.state.Ledger
 import mountmast.protocol.MonotonicTime
 import org.slf4j.LoggerFactory
 
--- a/src/main/kotlin/mountmast/coordination/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -1,7 +1,27 @@
-package mountmast.coordination
-
+package mountmast.coordination.controller
+
+import mountmast.coordination.autoscaling.AutoscalingContext
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
+import mountmast.coordination.persistence.JournalState
+import mountmast.coordination.persistence.PersistenceContext
+import mountmast.coordination.persistence.TermLoader
+import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.scheduling.Waiting
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.Invariants
+import mountmast.coordination.state.JobDependencies
+import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.LiveJobs
+import mountmast.coordination.state.LiveJobsListener
+import mountmast.coordination.state.TaskLosses
+import mountmast.coordination.state.TermSignals
+import mountmast.coordination.workers.CommandDispatcher
+import mountmast.coordination.workers.ReachabilityMonitor
+import mountmast.coordination.workers.WorkerReports
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
+import mountmast.protocol.MachineId
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.Stamp
 import mountmast.protocol.TeamId
@@ -32,22 +52,23 @@
     private val onJobRecord: (JobRecord, Stamp) -> Unit = { _, _ -> },
     losses: TaskLosses = TaskLosses(),
     invariants: Invariants = Invariants(),
-) {
+) : PersistenceContext,
+    AutoscalingContext {
     /** Guards the ledger and all parts of the term. Held for moments; never during I/O. */
-    val lock = ReentrantLock()
-    val ledger = Ledger(policy.runDecay, losses).apply { beginTerm(grant.term) }
+    override val lock = ReentrantLock()
+    override val ledger = Ledger(policy.runDecay, losses).apply { beginTerm(grant.term) }
 
     /** Where the journal stands in the store. */
-    val journal = JournalState()
-    val signals = TermSignals(lock)
+    override val journal = JournalState()
+    override val signals = TermSignals(lock)
     val reachability = ReachabilityMonitor(ledger, grant, timing)
 
     /** Machine types that the store does not hold yet. */
-    var pendingTypes: MachineTypes? = null
+    override var pendingTypes: MachineTypes? = null
 
     private val dependencies = JobDependencies(ledger)
     val reports = WorkerReports(lock, ledger, grant, reachability, signals, timing, clock, invariants)
-    val jobs = LiveJobs(lock, ledger, dependencies, signals, store, prerequisiteLists, clock, grant.watermark, JobsListener())
+    override val jobs = LiveJobs(lock, ledger, dependencies, signals, store, prerequisiteLists, clock, grant.watermark, JobsListener())
 
     /** Commands to the workers. */
     val dispatch = CommandDispatcher(lock, ledger, grant, workers, timing, clock, { now ->
@@ -66,10 +87,10 @@
     val ready: Boolean get() = reports.takenFrom != null
 
     /** Open tasks that found no machine in the last pass; the caller holds the lock. */
-    val waiting: List<Waiting> get() = passes.waiting
+    override val waiting: List<Waiting> get() = passes.waiting
 
     /** How long a machine may hear nothing before it is returned. */
-    val unreachedPatienceMs: Long get() = 2 * timing.leaseOverMs
+    override val unreachedPatienceMs: Long get() = 2 * timing.leaseOverMs
 
     /** Reads everything from the store, in two steps: first what is needed to go on, then hints. False once all is read. */
     fun load(): Boolean {
@@ -105,6 +126,12 @@
         reports.takenFrom?.let(passes::run)
     }
 
+    override val leaderStamp: Stamp get() = grant.stamp
+
+    override fun onStartCommitted(machine: MachineId) = dispatch.queue(machine)
+
+    override fun areMostUnreached(): Boolean = reachability.areMostUnreached()
+
     private inner class JobsListener : LiveJobsListener {
         override fun isCancelledElsewhere(id: JobId) = isCancelled(id)
 
--- a/src/main/kotlin/mountmast/coordination/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
@@ -1,5 +1,7 @@
-package mountmast.coordination
+package mountmast.coordination.controller
 
+import mountmast.coordination.autoscaling.FleetPolicy
+import mountmast.coordination.scheduling.Policy
 import mountmast.protocol.InvalidSettingsException
 import mountmast.protocol.TeamId
 import mountmast.protocol.Urgency
--- a/src/main/kotlin/mountmast/coordination/SchedulingPasses.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingPasses.kt
@@ -1,5 +1,20 @@
-package mountmast.coordination
+package mountmast.coordination.controller
 
+import mountmast.coordination.scheduling.Eviction
+import mountmast.coordination.scheduling.Plan
+import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.scheduling.Scheduler
+import mountmast.coordination.scheduling.Start
+import mountmast.coordination.scheduling.Waiting
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.Job
+import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
+import mountmast.coordination.state.Phase
+import mountmast.coordination.state.TermSignals
+import mountmast.coordination.state.Unwritten
+import mountmast.coordination.workers.CommandDispatcher
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
--- a/src/main/kotlin/mountmast/coordination/SchedulingSnapshots.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingSnapshots.kt
@@ -1,5 +1,17 @@
-package mountmast.coordination
+package mountmast.coordination.controller
 
+import mountmast.coordination.election.Timing
+import mountmast.coordination.scheduling.JobView
+import mountmast.coordination.scheduling.MachineIndex
+import mountmast.coordination.scheduling.MachineView
+import mountmast.coordination.scheduling.Resident
+import mountmast.coordination.scheduling.Snapshot
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.Job
+import mountmast.coordination.state.JobDependencies
+import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.Phase
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
--- a/src/main/kotlin/mountmast/coordination/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/election/Leadership.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.election
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.decodeFromJsonElement
--- a/src/main/kotlin/mountmast/coordination/LeadershipGrant.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeadershipGrant.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.election
 
 import mountmast.protocol.HoldId
 import mountmast.protocol.MonotonicTime
--- a/src/main/kotlin/mountmast/coordination/PrerequisiteEvaluator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.jobs
 
 import com.google.common.cache.Cache
 import com.google.common.cache.CacheBuilder
--- a/src/main/kotlin/mountmast/coordination/PeerStates.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/PeerStates.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.membership
 
 import mountmast.protocol.Clock
 import mountmast.protocol.Member
--- a/src/main/kotlin/mountmast/coordination/ConflictResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.decodeFromJsonElement
 import mountmast.protocol.WireJson
@@ -15,9 +15,9 @@
 /**
  * Learns what the store has under keys that were found changed, instead of what the leader expected there. Throws
  * `StoreException` where it cannot be read, and `IllegalArgumentException` where a record is unreadable. Takes the
- * [LeaderTerm]'s lock, but not during a call.
+ * lock of [PersistenceContext], but not during a call.
  */
-class ConflictResolver(private val leaderTerm: LeaderTerm, private val store: StateStore, private val snapshots: SnapshotWriter) {
+class ConflictResolver(private val context: PersistenceContext, private val store: StateStore, private val snapshots: SnapshotWriter) {
     fun resolve(key: String) {
         when {
             key.startsWith(Keys.JOBS) -> resolveJob(key)
@@ -31,11 +31,11 @@
         val id = Keys.jobOfKey(key) ?: return
         val entry = store.get(key)
         val over = if (entry == null) store.get(Keys.over(id)) else null
-        leaderTerm.lock.withLock {
-            val job = leaderTerm.ledger.jobs[id] ?: return
+        context.lock.withLock {
+            val job = context.ledger.jobs[id] ?: return
             when {
-                entry != null -> leaderTerm.jobs.takeIn(WireJson.decodeFromJsonElement<JobRecord>(entry.value), entry.stamp)
-                over != null -> leaderTerm.jobs.over(job, WireJson.decodeFromJsonElement<OverRecord>(over.value))
+                entry != null -> context.jobs.takeIn(WireJson.decodeFromJsonElement<JobRecord>(entry.value), entry.stamp)
+                over != null -> context.jobs.over(job, WireJson.decodeFromJsonElement<OverRecord>(over.value))
                 else -> log.error("job {} is in the store no more", id)
             }
         }
@@ -44,6 +44,6 @@
     private fun resolveSnapshot() {
         val entry = store.get(Keys.SNAPSHOT) ?: return
         val record = WireJson.decodeFromJsonElement<SnapshotRecord>(entry.value)
-        leaderTerm.lock.withLock { snapshots.became(record, entry.stamp) }
+        context.lock.withLock { snapshots.became(record, entry.stamp) }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/Journal.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/Journal.kt
@@ -1,24 +1,10 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
-import mountmast.protocol.JobId
-import mountmast.protocol.MachineId
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Stamp
 import mountmast.storage.JournalRecord
 import mountmast.storage.Keys
 
-/** What the journal does not say yet, in the order in which it happened. */
-sealed interface Unwritten {
-    /** [assignment] was decided; its start may be sent once this is written. */
-    class Started(val assignment: Assignment) : Unwritten
-
-    /** [assignment] is off its machine; it counts until this is written. */
-    class Ended(val assignment: Assignment) : Unwritten
-
-    /** [machine] is kept for [job], and [victims] are stopped for that. */
-    class Reserved(val machine: MachineId, val job: JobId, val victims: List<String>) : Unwritten
-}
-
 /** Where the journal stands in the store. */
 class JournalState {
     private class Slot(val stamp: Stamp, val number: Long)
--- a/src/main/kotlin/mountmast/coordination/JournalReplay.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
@@ -1,5 +1,10 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
+import mountmast.coordination.state.Phase
 import mountmast.protocol.Attempt
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
--- a/src/main/kotlin/mountmast/coordination/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -1,6 +1,9 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.encodeToJsonElement
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.Phase
+import mountmast.coordination.state.Unwritten
 import mountmast.protocol.Clock
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Stamp
@@ -11,9 +14,9 @@
 import mountmast.storage.TextCodec
 
 /** Brings the ledger's changes into the journal, as many into each record as a value takes. */
-class JournalWriter(private val leaderTerm: LeaderTerm, private val clock: Clock) {
-    private val ledger get() = leaderTerm.ledger
-    private val journal get() = leaderTerm.journal
+class JournalWriter(private val context: PersistenceContext, private val clock: Clock) {
+    private val ledger get() = context.ledger
+    private val journal get() = context.journal
     private var wroteAt = MonotonicTime(Long.MIN_VALUE / 2)
 
     /** Adds changes in the order in which they happened, in at most [mostRecords] records. */
--- a/src/main/kotlin/mountmast/coordination/LedgerWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/LedgerWriter.kt
@@ -1,7 +1,11 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.Job
+import mountmast.coordination.state.Phase
+import mountmast.coordination.state.Unwritten
 import mountmast.protocol.Clock
 import mountmast.protocol.JobStatus
 import mountmast.protocol.MonotonicTime
@@ -35,7 +39,7 @@
  * leader or a former one, changes nothing that was written since.
  */
 class LedgerWriter(
-    private val leaderTerm: LeaderTerm,
+    private val context: PersistenceContext,
     private val store: StateStore,
     stateLimits: StateLimits,
     private val clock: Clock,
@@ -43,17 +47,17 @@
     private val compact: () -> Boolean = { false },
     private val onDeposed: () -> Unit,
 ) {
-    private val ledger get() = leaderTerm.ledger
+    private val ledger get() = context.ledger
     private var limits = WriteLimits.of(stateLimits)
     private val largeJournal = JournalSize.of(limits.valueBytes)
-    private val journal = JournalWriter(leaderTerm, clock)
-    private val snapshots = SnapshotWriter(leaderTerm)
-    private val types = TypesWriter(leaderTerm)
+    private val journal = JournalWriter(context, clock)
+    private val snapshots = SnapshotWriter(context)
+    private val types = TypesWriter(context)
     private val progress = ProgressWriter(ledger, clock)
     private val failing = FailingJobsWriter(ledger, clock)
     private val images = ImagesWriter(ledger, clock)
-    private val watermark = WatermarkWriter(leaderTerm, clock)
-    private val conflicts = ConflictResolver(leaderTerm, store, snapshots)
+    private val watermark = WatermarkWriter(context, clock)
+    private val conflicts = ConflictResolver(context, store, snapshots)
     private var endsFirst = false
     private var rejectedOnce = false
     private var pausedUntil = MonotonicTime(Long.MIN_VALUE / 2)
@@ -84,7 +88,7 @@
         } catch (e: StoreException) {
             log.debug("commit of {} writes: {}", transaction.writes.size, e.message)
             // What was refused was not executed; but an earlier try of the same may have been.
-            if (unsettled == null) leaderTerm.lock.withLock { putBack(batch) }
+            if (unsettled == null) context.lock.withLock { putBack(batch) }
             return false
         }
         return when (outcome) {
@@ -97,8 +101,8 @@
         val wasFence = fence != null
         unsettled = null
         fence = null
-        leaderTerm.lock.withLock {
-            leaderTerm.journal.writtenAt = clock.now()
+        context.lock.withLock {
+            context.journal.writtenAt = clock.now()
             if (wasFence) fenced(batch, stamp) else committed(batch, stamp)
         }
         return true
@@ -108,7 +112,7 @@
         val room = store.writeRoom()
         if (room.spare <= 0) return null
         if (!progress.knowsParts && !findProgress()) return null
-        return leaderTerm.lock.withLock { collect(minOf(room.spare, limits.transactionOps), room.isShort) }
+        return context.lock.withLock { collect(minOf(room.spare, limits.transactionOps), room.isShort) }
     }
 
     private fun findProgress(): Boolean = try {
@@ -121,7 +125,7 @@
 
     /** What matters most comes first: the ends of jobs and the journal, last what is for display or a hint. */
     private fun collect(mostOps: Int, isShort: Boolean): WriteBatch? {
-        val batch = WriteBatch(leaderTerm.grant.stamp, mostOps)
+        val batch = WriteBatch(context.leaderStamp, mostOps)
         val isCompact = compact()
         val size = if (isCompact) largeJournal else JournalSize.LEAST
         val ready = ledger.finishing.filter { it.nothingLives() }
@@ -189,11 +193,11 @@
                 is Unwritten.Reserved -> {}
             }
         }
-        if (freed) leaderTerm.signals.wakePlacement()
+        if (freed) context.signals.wakePlacement()
         snapshots.committed(batch, stamp)
         for (end in batch.over) {
             log.debug("job {} is over", end.job.id)
-            leaderTerm.jobs.over(end.job, end.record)
+            context.jobs.over(end.job, end.record)
         }
         types.committed(batch)
     }
@@ -203,7 +207,7 @@
         assignment.written = true
         if (assignment.phase != Phase.INTENDED) return
         assignment.phase = Phase.COMMITTED
-        leaderTerm.dispatch.queue(assignment.machine)
+        context.onStartCommitted(assignment.machine)
     }
 
     /** The state service takes less than was thought: the same is not tried again, but less at a time. */
@@ -215,7 +219,7 @@
         if (unsettled == null || batch.records.isEmpty()) {
             unsettled = null
             fence = null
-            leaderTerm.lock.withLock { putBack(batch) }
+            context.lock.withLock { putBack(batch) }
         } else {
             val first = batch.records.first()
             fence = SlottedRecord(first.slot, JournalRecord(first.number, ""))
@@ -224,8 +228,8 @@
 
     private fun fencing(empty: SlottedRecord): Transaction {
         val conditions = listOf(
-            Condition(Keys.LEADER, leaderTerm.grant.stamp),
-            Condition(empty.key, leaderTerm.journal.stampOf(empty.slot)),
+            Condition(Keys.LEADER, context.leaderStamp),
+            Condition(empty.key, context.journal.stampOf(empty.slot)),
         )
         return Transaction(conditions, listOf(Write.Put(empty.key, WireJson.encodeToJsonElement(empty.record))))
     }
@@ -246,7 +250,7 @@
             if (batch.records.isNotEmpty() && unsettled != null && wasCarriedOut(batch)) return true
             unsettled = null
             fence = null
-            leaderTerm.lock.withLock { putBack(batch) }
+            context.lock.withLock { putBack(batch) }
             failed.forEach(conflicts::resolve)
         } catch (e: StoreException) {
             log.debug("reading again: {}", e.message)
--- a/src/main/kotlin/mountmast/coordination/ProgressWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
@@ -1,6 +1,7 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.encodeToJsonElement
+import mountmast.coordination.state.Ledger
 import mountmast.protocol.Clock
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WireJson
--- a/src/main/kotlin/mountmast/coordination/SnapshotWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Stamp
@@ -12,7 +12,7 @@
  * Writes the whole ledger now and then, in parts, so that the journal's slots can be used again. While changes are short,
  * parts are spread over the slots that are left.
  */
-class SnapshotWriter(private val leaderTerm: LeaderTerm) {
+class SnapshotWriter(private val context: PersistenceContext) {
     /** The snapshot being written. Its text is packed part by part, as packing all at once would hold the lock for long. */
     private class Draft(val text: String, val generation: Long, val upTo: Long, val beganAt: Long) {
         var position = 0
@@ -26,7 +26,7 @@
     fun addTo(batch: WriteBatch, limits: WriteLimits, size: JournalSize, compact: Boolean, isShort: Boolean) {
         val current = draft ?: begin(size) ?: return
         // Parts are written while the pointer still names the snapshot before: late ones then change nothing.
-        batch.requires(Keys.SNAPSHOT, leaderTerm.journal.snapshotStamp)
+        batch.requires(Keys.SNAPSHOT, context.journal.snapshotStamp)
         batch.snapshotEnd = current.position
         val due = if (isShort) dueUpTo(current, size) else current.text.length
         while (batch.room > 0 && batch.snapshotParts < PARTS_PER_BATCH && batch.snapshotEnd < due) {
@@ -55,24 +55,24 @@
 
     /** The store holds [pointer]. */
     fun became(pointer: SnapshotRecord, stamp: Stamp) {
-        leaderTerm.journal.snapshotUpTo = pointer.upTo
-        leaderTerm.journal.generation = pointer.generation
-        leaderTerm.journal.snapshotStamp = stamp
+        context.journal.snapshotUpTo = pointer.upTo
+        context.journal.generation = pointer.generation
+        context.journal.snapshotStamp = stamp
         draft = null
     }
 
     /** What is in the journal by now; what is written later is replayed on top of it. */
     private fun begin(size: JournalSize): Draft? {
-        val journal = leaderTerm.journal
+        val journal = context.journal
         // A leader before may have used another size, so that the next slot is taken although few are.
         val isDue = journal.used >= size.beginSnapshotAfter || !journal.isFree(size.slotOf(journal.next))
         if (!isDue) return null
-        return Draft(leaderTerm.ledger.describe(), journal.generation + 1, journal.next - 1, journal.used).also { draft = it }
+        return Draft(context.ledger.describe(), journal.generation + 1, journal.next - 1, journal.used).also { draft = it }
     }
 
     /** How far the text should be written by now, for it to be whole before the slots run out. */
     private fun dueUpTo(current: Draft, size: JournalSize): Int {
-        val used = leaderTerm.journal.used - current.beganAt
+        val used = context.journal.used - current.beganAt
         val share = (used + 1).toDouble() / (maxOf(size.snapshotWholeAt, current.beganAt + 1) - current.beganAt)
         return minOf(current.text.length.toLong(), (current.text.length * share).toLong()).toInt()
     }
--- a/src/main/kotlin/mountmast/coordination/TermLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/TermLoader.kt
@@ -1,5 +1,8 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
+import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.LiveJobs
+import mountmast.coordination.state.StoredRecords
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.MonotonicTime
@@ -95,7 +98,7 @@
     }
 
     private fun replay(snapshot: SnapshotRecord?, parts: List<Entry>, slots: List<Entry>, now: MonotonicTime) {
-        val reader = ledger.replay(now)
+        val reader = JournalReplay(ledger, now)
         var unreadable = 0
         if (snapshot != null) {
             journal.generation = snapshot.generation
--- a/src/main/kotlin/mountmast/coordination/TypesWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/TypesWriter.kt
@@ -1,11 +1,11 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
 import mountmast.protocol.MachineTypes
 import mountmast.storage.TypesForm
 import mountmast.storage.Write
 
 /** Writes the machine types where the store does not hold them yet. */
-class TypesWriter(private val leaderTerm: LeaderTerm) {
+class TypesWriter(private val context: PersistenceContext) {
     /** Values still to be written for [types], the one that names the others last. */
     private var writes: List<Write.Put> = emptyList()
     private var types: MachineTypes? = null
@@ -13,7 +13,7 @@
 
     /** [inParts] tells whether types that do not fit into one value may be split. */
     fun addTo(batch: WriteBatch, limits: WriteLimits, inParts: Boolean) {
-        val pending = leaderTerm.pendingTypes ?: return
+        val pending = context.pendingTypes ?: return
         if (types !== pending || this.limits != limits) {
             types = pending
             this.limits = limits
@@ -32,7 +32,7 @@
         if (batch.types == null || batch.types !== types) return
         writes = writes.drop(batch.typesWrites)
         if (writes.isNotEmpty()) return
-        if (leaderTerm.pendingTypes === types) leaderTerm.pendingTypes = null
+        if (context.pendingTypes === types) context.pendingTypes = null
         types = null
     }
 }
--- a/src/main/kotlin/mountmast/coordination/WatermarkWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/WatermarkWriter.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
@@ -10,9 +10,9 @@
 
 /**
  * Tells the next leader, and those who help it, from when on there may be cancellations that no worker was told of. Guarded by
- * the [LeaderTerm]'s lock.
+ * the lock of [PersistenceContext].
  */
-class WatermarkWriter(private val leaderTerm: LeaderTerm, private val clock: Clock) {
+class WatermarkWriter(private val context: PersistenceContext, private val clock: Clock) {
     private var notBefore = MonotonicTime(0)
     private var written: WallTime? = null
 
@@ -20,7 +20,7 @@
         val now = clock.now()
         if (now < notBefore || batch.room <= 0) return
         notBefore = now + EVERY_MS
-        val watermark = leaderTerm.jobs.watermark()
+        val watermark = context.jobs.watermark()
         if (watermark == written) return
         written = watermark
         batch.put(Keys.WATERMARK, WireJson.encodeToJsonElement(WatermarkRecord(watermark)))
--- a/src/main/kotlin/mountmast/coordination/WriteBatch.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
@@ -1,6 +1,8 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.JsonElement
+import mountmast.coordination.state.Job
+import mountmast.coordination.state.Unwritten
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.Stamp
 import mountmast.storage.Condition
--- a/src/main/kotlin/mountmast/coordination/JobPriorities.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.scheduling
 
 import mountmast.protocol.Resources
 import mountmast.protocol.TeamQuota
--- a/src/main/kotlin/mountmast/coordination/MachineReservations.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.scheduling
 
 /**
  * Exception to the design: keeps the machines where room for large tasks comes free soonest, stopping nothing; otherwise
--- a/src/main/kotlin/mountmast/coordination/PlacementCandidates.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.scheduling
 
 import java.util.PriorityQueue
 
--- a/src/main/kotlin/mountmast/coordination/SchedulingView.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/SchedulingView.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.scheduling
 
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
--- a/src/main/kotlin/mountmast/coordination/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.state
 
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
--- a/src/main/kotlin/mountmast/coordination/Ledger.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Ledger.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.state
 
 import mountmast.protocol.Attempt
 import mountmast.protocol.ImageId
@@ -14,15 +14,13 @@
 import mountmast.protocol.Term
 import mountmast.protocol.TypeId
 import mountmast.protocol.WallTime
-import mountmast.protocol.WorkerReport
 import mountmast.storage.JobRecord
-import mountmast.storage.JournalReader
 import mountmast.storage.JournalText
 import mountmast.storage.Ranges
 
 /**
  * Everything the leader knows: jobs, tasks, machines and what each team uses. Not thread-safe: guarded by the
- * [LeaderTerm]'s lock, and does no I/O.
+ * lock of the leader's term, and does no I/O.
  *
  * The ledger frees a task only on evidence that cannot be outdated: the worker says that the attempt has exited,
  * its session is over, or the machine is deleted. A report that merely lacks a task proves nothing, since its start
@@ -47,8 +45,6 @@
     /** Which machines and jobs fail or are slow. */
     val health = Health(this)
 
-    private val reports = ReportIntake(this)
-
     /** What is still to be written. */
     val unwritten = ArrayDeque<Unwritten>()
 
@@ -93,9 +89,6 @@
         jobs.values.filter { it.cancelled && !it.nothingLives() }.minOfOrNull { it.cancelledAfter }?.let { minOf(it, knownUpTo) }
             ?: knownUpTo
 
-    /** Takes in what earlier leaders wrote. */
-    fun replay(now: MonotonicTime): JournalReader = JournalReplay(this, now)
-
     /**
      * What the store holds by now of tasks and machines. What ended since is listed as live, and what is only intended is
      * left out: the journal tells of both from here on.
@@ -200,12 +193,6 @@
         if (machine.live.isEmpty()) machines.remove(id) else machine.deleting = true
     }
 
-    /**
-     * Takes in a worker's report. Returns false where it is older than what is known already.
-     * What it says of exits and sessions is final, so it needs no proof of being recent.
-     */
-    fun report(report: WorkerReport, now: MonotonicTime): Boolean = reports.take(report, now)
-
     /** A task of [team] ran for [runS]. */
     fun learnRun(team: TeamId, runS: Double) {
         meanRunS.merge(team, runS) { old, new -> old * runDecay + new * (1 - runDecay) }
--- a/src/main/kotlin/mountmast/coordination/TaskLosses.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TaskLosses.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.state
 
 import mountmast.transport.Counter
 import mountmast.transport.Metrics
--- a/src/main/kotlin/mountmast/coordination/TermSignals.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
@@ -1,11 +1,11 @@
-package mountmast.coordination
+package mountmast.coordination.state
 
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.locks.Condition
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-/** Wakes the threads that write and that place tasks, when there is something for them. Uses the [LeaderTerm]'s [lock]. */
+/** Wakes the threads that write and that place tasks, when there is something for them. Uses the leader's [lock]. */
 class TermSignals(private val lock: ReentrantLock) {
     private val writable: Condition = lock.newCondition()
     private val placeable: Condition = lock.newCondition()
--- a/src/main/kotlin/mountmast/coordination/AnswerRecord.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/AnswerRecord.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.workers
 
 import mountmast.protocol.MachineId
 import mountmast.protocol.MonotonicTime
--- a/src/main/kotlin/mountmast/coordination/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -1,5 +1,14 @@
-package mountmast.coordination
-
+package mountmast.coordination.workers
+
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.Invariants
+import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
+import mountmast.coordination.state.Phase
+import mountmast.coordination.state.UnknownTask
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineId
 import mountmast.protocol.MonotonicTime
@@ -17,7 +26,7 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-/** What workers are told to do, in answers to their reports and by direct commands. Guarded by the [LeaderTerm]'s lock. */
+/** What workers are told to do, in answers to their reports and by direct commands. Guarded by [lock]. */
 class CommandDispatcher(
     private val lock: ReentrantLock,
     private val ledger: Ledger,
--- a/src/main/kotlin/mountmast/coordination/LeaseHelper.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaseHelper.kt
@@ -1,5 +1,7 @@
-package mountmast.coordination
+package mountmast.coordination.workers
 
+import mountmast.coordination.election.Leadership
+import mountmast.coordination.membership.CancellationNotices
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.MachineId
 import mountmast.protocol.Order
--- a/src/main/kotlin/mountmast/coordination/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -1,5 +1,12 @@
-package mountmast.coordination
+package mountmast.coordination.workers
 
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
+import mountmast.coordination.state.Phase
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WorkerReport
 import org.slf4j.LoggerFactory
--- a/src/main/kotlin/mountmast/coordination/ReportIntake.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReportIntake.kt
@@ -1,5 +1,12 @@
-package mountmast.coordination
+package mountmast.coordination.workers
 
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.LossCause
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
+import mountmast.coordination.state.Phase
+import mountmast.coordination.state.UnknownTask
 import mountmast.protocol.ExitCause
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.ReportNumber
@@ -10,8 +17,11 @@
 
 private val log = LoggerFactory.getLogger("mountmast.ledger")
 
-/** Brings what workers report into [ledger]. Guarded as the ledger is. */
-internal class ReportIntake(private val ledger: Ledger) {
+/**
+ * Brings what workers report into [ledger]. What a report says of exits and sessions is final, so it needs no proof of being
+ * recent. Guarded as the ledger is.
+ */
+class ReportIntake(private val ledger: Ledger) {
     /** Returns false where the report is older than what is known already. */
     fun take(report: WorkerReport, now: MonotonicTime): Boolean {
         if (report.machine in ledger.tombstones) return false
--- a/src/main/kotlin/mountmast/coordination/WorkerReports.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerReports.kt
@@ -1,5 +1,14 @@
-package mountmast.coordination
-
+package mountmast.coordination.workers
+
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
+import mountmast.coordination.state.Invariants
+import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.LossCause
+import mountmast.coordination.state.Machine
+import mountmast.coordination.state.MachineState
+import mountmast.coordination.state.Phase
+import mountmast.coordination.state.TermSignals
 import mountmast.protocol.Clock
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.MonotonicTime
@@ -22,6 +31,8 @@
     private val clock: Clock,
     private val invariants: Invariants = Invariants(),
 ) {
+    private val intake = ReportIntake(ledger)
+
     /** The answers that left this node in this term. */
     val answers = AnswerRecord()
 
@@ -73,7 +84,7 @@
         val before = ledger.machines[report.machine]
         val wasUsable = before?.usable(now) == true
         val lostAnswers = before?.let { unacknowledgedAnswers(it, report, now) } ?: 0
-        if (!ledger.report(report, now)) return false
+        if (!intake.take(report, now)) return false
         val machine = ledger.machines[report.machine] ?: return false
         if (isHeartbeat) {
             machine.unacknowledgedReports += lostAnswers
--- a/src/test/kotlin/mountmast/ThreadsTest.kt
+++ b/src/test/kotlin/mountmast/ThreadsTest.kt
@@ -1,6 +1,6 @@
 package mountmast
 
-import mountmast.coordination.OperatorSettings
+import mountmast.coordination.controller.OperatorSettings
 import mountmast.protocol.Settings
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -10,7 +10,7 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.protobuf.ProtoBuf
-import mountmast.coordination.JobService
+import mountmast.coordination.jobs.JobService
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobId
 import mountmast.protocol.JobStatus
--- a/src/test/kotlin/mountmast/coordination/OperatorSettingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/OperatorSettingsTest.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.controller
 
 import mountmast.protocol.InvalidSettingsException
 import mountmast.protocol.TeamId
--- a/src/test/kotlin/mountmast/coordination/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -1,5 +1,7 @@
-package mountmast.coordination
+package mountmast.coordination.controller
 
+import mountmast.coordination.state.MachineState
+import mountmast.coordination.state.Phase
 import mountmast.protocol.JobId
 import mountmast.protocol.JobStatus
 import mountmast.protocol.Order
--- a/src/test/kotlin/mountmast/coordination/RulesUnderFailureTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RulesUnderFailureTest.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.controller
 
 import mountmast.standin.World
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/mountmast/coordination/UpgradeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.controller
 
 import kotlinx.serialization.encodeToString
 import mountmast.protocol.JobId
--- a/src/test/kotlin/mountmast/coordination/JobReaderTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.jobs
 
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.JobId
--- a/src/test/kotlin/mountmast/coordination/FormatAgreementTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/FormatAgreementTest.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.membership
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonPrimitive
--- a/src/test/kotlin/mountmast/coordination/FallingLimitsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/FallingLimitsTest.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
--- a/src/test/kotlin/mountmast/coordination/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.persistence
 
 import kotlinx.serialization.ExperimentalSerializationApi
 import kotlinx.serialization.decodeFromByteArray
@@ -10,6 +10,11 @@
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.protobuf.ProtoBuf
+import mountmast.coordination.controller.LeaderTerm
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
+import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.state.Ledger
 import mountmast.protocol.HoldId
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
@@ -300,8 +305,12 @@
 
     private fun unreadable(entries: Map<String, JsonElement>): Int = entries.keys.sumOf { key ->
         when {
-            key.startsWith(Keys.JOURNAL) -> JournalText.read(stored<JournalRecord>(key).text(), Ledger(0.5).replay(MonotonicTime(0)))
-            key.startsWith(Keys.SNAPSHOT_PARTS) -> JournalText.read(stored<SnapshotPart>(key).text(), Ledger(0.5).replay(MonotonicTime(0)))
+            key.startsWith(
+                Keys.JOURNAL,
+            ) -> JournalText.read(stored<JournalRecord>(key).text(), JournalReplay(Ledger(0.5), MonotonicTime(0)))
+            key.startsWith(
+                Keys.SNAPSHOT_PARTS,
+            ) -> JournalText.read(stored<SnapshotPart>(key).text(), JournalReplay(Ledger(0.5), MonotonicTime(0)))
             else -> 0
         }
     }
--- a/src/test/kotlin/mountmast/coordination/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.state
 
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
--- a/src/test/kotlin/mountmast/coordination/LedgerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/LedgerTest.kt
@@ -1,5 +1,7 @@
-package mountmast.coordination
+package mountmast.coordination.state
 
+import mountmast.coordination.persistence.JournalReplay
+import mountmast.coordination.workers.ReportIntake
 import mountmast.protocol.Attempt
 import mountmast.protocol.ExitCause
 import mountmast.protocol.MachineId
@@ -29,7 +31,7 @@
     private val job = ledger.putJob(JobRecord(spec, WallTime(0)), Stamp(1u), MonotonicTime(0))
     private var reportNumber = 0uL
 
-    private fun report(machine: String, at: Long, vararg tasks: ReportedTask, session: ULong = 1u): Boolean = ledger.report(
+    private fun report(machine: String, at: Long, vararg tasks: ReportedTask, session: ULong = 1u): Boolean = ReportIntake(ledger).take(
         WorkerReport(
             MachineId(
                 machine,
@@ -121,7 +123,7 @@
     @Test
     fun `to a leader just elected a late copy of a report proves nothing`() {
         // It has heard nobody yet, so it cannot tell a copy from news: nothing may hang on which one it is.
-        val replay = ledger.replay(MonotonicTime(0))
+        val replay = JournalReplay(ledger, MonotonicTime(0))
         replay.started(TaskId(spec.id, 3), MachineId("vm-7"), Session(3u), Attempt(9u), Zone("a"))
         assertTrue(report("vm-7", 100, session = 2u))
         val assignment = job.live.get(3)
--- a/src/test/kotlin/mountmast/coordination/LeaseRenewalTest.kt
+++ b/src/test/kotlin/mountmast/coordination/workers/LeaseRenewalTest.kt
@@ -1,4 +1,4 @@
-package mountmast.coordination
+package mountmast.coordination.workers
 
 import mountmast.protocol.MonotonicTime
 import mountmast.standin.StandInWorker
--- a/src/test/kotlin/mountmast/standin/ControllerSeat.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerSeat.kt
@@ -1,8 +1,8 @@
 package mountmast.standin
 
-import mountmast.coordination.Controller
-import mountmast.coordination.FleetPolicy
-import mountmast.coordination.Policy
+import mountmast.coordination.autoscaling.FleetPolicy
+import mountmast.coordination.controller.Controller
+import mountmast.coordination.scheduling.Policy
 import mountmast.protocol.Member
 import mountmast.protocol.NodeId
 import mountmast.protocol.Settings
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/Network.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.encodeToHexString
 import kotlinx.serialization.encodeToString
 import kotlinx.serialization.protobuf.ProtoBuf
-import mountmast.coordination.Controller
+import mountmast.coordination.controller.Controller
 import mountmast.protocol.Member
 import mountmast.protocol.Order
 import mountmast.protocol.OrdersMessage
--- a/src/test/kotlin/mountmast/standin/Users.kt
+++ b/src/test/kotlin/mountmast/standin/Users.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.json.jsonObject
-import mountmast.coordination.Controller
+import mountmast.coordination.controller.Controller
 import mountmast.protocol.JobAnswer
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
