--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -43,7 +43,7 @@
     val metrics = Metrics()
     val run = SecureRandom().nextLong().toULong().toString(Character.MAX_RADIX)
     val store = HttpStateStore(settings.state, settings.stateLimits, settings.nodes, metrics = metrics)
-    store.shareAs(leader = false)
+    store.setRole(leader = false)
     val controller = Controller(
         settings, operators.policy, operators.fleet, store, HttpCloud(settings.cloud, settings.cloudRps), HttpWorkers(),
         HttpPeers(), SystemClock, run, metrics,
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -159,12 +159,12 @@
         if (grant == null) {
             if (current != null) {
                 leaderComponents.set(null)
-                store.shareAs(leader = false)
+                store.setRole(leader = false)
             }
             return
         }
         if (current?.leaderTerm?.grant === grant) return
-        store.shareAs(leader = true)
+        store.setRole(leader = true)
         val leaderTerm =
             LeaderTerm(
                 grant, store, workers, settings.teams, policy, timing, clock, { it in notices }, prerequisiteLists, jobService::noteRecord,
@@ -200,10 +200,10 @@
     fun write(): Boolean = leaderComponents.get()?.takeIf { it.leaderTerm.ready }?.writer?.step() ?: false
 
     /** Learns of new and cancelled jobs; false where the state service did not tell. */
-    fun follow(waitMs: Long): Boolean {
+    fun watch(waitMs: Long): Boolean {
         val leaderTerm = leaderTerm() ?: return false
         return try {
-            leaderTerm.jobs.follow(waitMs)
+            leaderTerm.jobs.watch(waitMs)
             true
         } catch (e: StoreException) {
             log.debug("following jobs: {}", e.message)
@@ -287,7 +287,7 @@
         }
     }
 
-    private fun canServe() = jobService.knowsTypes && store.reachable
+    private fun canServe() = jobService.knowsTypes && store.isReachable
 
     /**
      * Users are sent elsewhere only if some other node can serve what this one cannot. Where all are blocked alike,
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -23,7 +23,7 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineTypes
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 import mountmast.storage.JobRecord
@@ -49,7 +49,7 @@
     private val isCancelled: (JobId) -> Boolean = { false },
     prerequisiteLists: PrerequisiteLists,
     /** Told of each record of a live job that is read. */
-    private val onJobRecord: (JobRecord, Stamp) -> Unit = { _, _ -> },
+    private val onJobRecord: (JobRecord, ModRevision) -> Unit = { _, _ -> },
     losses: TaskLosses = TaskLosses(),
     invariants: Invariants = Invariants(),
 ) : PersistenceContext,
@@ -126,7 +126,7 @@
         reports.takenFrom?.let(passes::run)
     }
 
-    override val leaderStamp: Stamp get() = grant.stamp
+    override val leaderModRevision: ModRevision get() = grant.modRevision
 
     override fun onStartCommitted(machine: MachineId) = dispatch.queue(machine)
 
@@ -135,7 +135,7 @@
     private inner class JobsListener : LiveJobsListener {
         override fun isCancelledElsewhere(id: JobId) = isCancelled(id)
 
-        override fun onRecord(record: JobRecord, stamp: Stamp) = onJobRecord(record, stamp)
+        override fun onRecord(record: JobRecord, modRevision: ModRevision) = onJobRecord(record, modRevision)
 
         override fun onCommandsDue(assignment: Assignment) = dispatch.queue(assignment.machine)
     }
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -96,7 +96,7 @@
             if (!controller.write()) leaderTerm.signals.awaitWritable(WRITE_IDLE_MS)
             WRITE_GAP_MS
         }
-        whileLeading("follow") { if (controller.follow(FOLLOW_MS)) FOLLOW_GAP_MS else FAILED_MS }
+        whileLeading("follow") { if (controller.watch(WATCH_JOBS_MS)) WATCH_JOBS_GAP_MS else FAILED_MS }
         whileLeading("prerequisites") { if (controller.resolvePrerequisites()) 0 else PREREQUISITES_MS }
         whileLeading("fleet") {
             controller.manageFleet()
@@ -160,8 +160,8 @@
         const val WRITE_IDLE_MS = 500L
 
         /** Short, since what is known of cancellations is as old as the call that waits for more. */
-        const val FOLLOW_MS = 2000L
-        const val FOLLOW_GAP_MS = 150L
+        const val WATCH_JOBS_MS = 2000L
+        const val WATCH_JOBS_GAP_MS = 150L
 
         /** A node that does not lead has a small share of the requests, and nothing rests on how old its watch is. */
         const val WATCH_MS = 10_000L
--- a/src/main/kotlin/mountmast/coordination/election/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/election/Leadership.kt
@@ -4,18 +4,18 @@
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
-import mountmast.protocol.HoldId
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
 import mountmast.protocol.Revision
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.Term
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
-import mountmast.storage.FollowOutcome
-import mountmast.storage.HoldEnded
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
+import mountmast.storage.WatchResult
+import mountmast.storage.StoreLeaseExpiredException
 import mountmast.storage.Keys
 import mountmast.storage.LeaderRecord
 import mountmast.storage.StateStore
@@ -55,7 +55,7 @@
     private var doubted = false
     private var storeFailingSince: MonotonicTime? = null
     private var abstainUntil = MonotonicTime(Long.MIN_VALUE)
-    private var spareHold: HoldId? = null
+    private var unusedLease: StoreLeaseId? = null
     private var seenUpTo = Revision(0u)
     private var helpUntil = WallTime(0)
     private var helpTerm = Term(0u)
@@ -101,7 +101,7 @@
             abstainUntil = clock.now() + ABSTAIN_MS
         }
         try {
-            store.dropHold(own.hold)
+            store.revokeLease(own.storeLease)
         } catch (e: StoreException) {
             log.debug("the hold will run out by itself: {}", e.message)
         }
@@ -129,7 +129,7 @@
     fun step() {
         try {
             val own = grant()
-            if (own == null) followOrElect() else renew(own)
+            if (own == null) observeOrElect() else renew(own)
             storeFailingSince?.let { log.info("the state service answers again after {} ms", clock.now() - it) }
             storeFailingSince = null
         } catch (e: StoreException) {
@@ -151,8 +151,8 @@
         val from = lock.withLock { seenUpTo.takeIf { grant == null && leader != null && leader != node && it.number > 0u } }
         if (from == null || clock.now() < abstainUntil) return false
         return try {
-            val outcome = store.follow(Keys.LEADER, from, waitMs)
-            if (outcome is FollowOutcome.Changes) lock.withLock { seenUpTo = outcome.upTo }
+            val outcome = store.watch(Keys.LEADER, from, waitMs)
+            if (outcome is WatchResult.Changes) lock.withLock { seenUpTo = outcome.upTo }
             true
         } catch (e: StoreException) {
             log.debug("following the leader's key: {}", e.message)
@@ -162,23 +162,23 @@
 
     private fun renew(own: LeadershipGrant) {
         val asked = clock.now()
-        if (!store.renewHold(own.hold)) return lost()
+        if (!store.keepAlive(own.storeLease)) return lost()
         lock.withLock { confirmedAt = asked }
         if (lock.withLock { doubted }) {
             // A worker or peer named a higher term. Only the store knows; a made-up number must not end a term.
             val entry = store.get(Keys.LEADER)
-            if (entry?.stamp != own.stamp) lost() else lock.withLock { doubted = false }
+            if (entry?.modRevision != own.modRevision) lost() else lock.withLock { doubted = false }
         }
     }
 
-    private fun followOrElect() {
+    private fun observeOrElect() {
         val entry = store.get(Keys.LEADER)
         val record = entry?.let { decode(it.value) }
         if (entry != null && record == null) return log.warn("the leader's key is unreadable")
         if (record != null) heard(record.term)
         if (entry != null && record != null && record.run == run) {
             // A transaction of ours was carried out although no answer came.
-            spareHold?.let { begin(record, entry.stamp, it) }
+            unusedLease?.let { begin(record, entry.modRevision, it) }
             return
         }
         // This node's earlier process is dead, or this one would not run: its place can be taken at once.
@@ -188,52 +188,52 @@
                 helpTerm = record.term
                 // Whoever helps knows no cancellations either.
                 helpUntil = minOf(timing.helpUntil(record.since), timing.uninformedUntil(record.watermark))
-                seenUpTo = maxOf(seenUpTo, Revision(entry.stamp.number))
+                seenUpTo = maxOf(seenUpTo, Revision(entry.modRevision.number))
             }
             return
         }
-        if (clock.now() >= abstainUntil) elect(entry?.stamp ?: Stamp.ABSENT)
+        if (clock.now() >= abstainUntil) elect(entry?.modRevision ?: ModRevision.ABSENT)
     }
 
-    /** Tries to become leader; [stamp] is that of the leader's key, which must not have changed since. */
-    private fun elect(stamp: Stamp) {
+    /** Tries to become leader; [modRevision] is that of the leader's key, which must not have changed since. */
+    private fun elect(modRevision: ModRevision) {
         val asked = clock.now()
         val began = clock.wall()
-        val hold = spareHold?.takeIf { store.renewHold(it) } ?: store.grantHold(timing.ttlMs)
+        val storeLease = unusedLease?.takeIf { store.keepAlive(it) } ?: store.grantLease(timing.ttlMs)
         lock.withLock {
-            spareHold = hold
+            unusedLease = storeLease
             confirmedAt = asked
         }
         val termEntry = store.get(Keys.TERM)
         val lastTerm = termEntry?.let { WireJson.decodeFromJsonElement<TermRecord>(it.value).term } ?: Term(0u)
         val record = LeaderRecord(node, run, lastTerm.next(), began, readWatermark() ?: began)
         try {
-            val transaction = election(record, hold, stamp, termEntry?.stamp ?: Stamp.ABSENT)
+            val transaction = election(record, storeLease, modRevision, termEntry?.modRevision ?: ModRevision.ABSENT)
             when (val outcome = store.commit(transaction)) {
-                is CommitOutcome.Committed -> begin(record, Stamp(outcome.revision.number), hold)
-                is CommitOutcome.Conflict -> log.debug("another node was elected: {}", outcome.failed)
+                is TransactionResult.Committed -> begin(record, ModRevision(outcome.revision.number), storeLease)
+                is TransactionResult.CompareFailed -> log.debug("another node was elected: {}", outcome.failed)
             }
-        } catch (e: HoldEnded) {
+        } catch (e: StoreLeaseExpiredException) {
             log.debug("the hold ended before the election: {}", e.message)
-            lock.withLock { spareHold = null }
+            lock.withLock { unusedLease = null }
         }
     }
 
     /** The low watermark of cancellations, or null where no leader has left one: then nothing ran so far. */
     private fun readWatermark(): WallTime? = store.get(Keys.WATERMARK)?.let { WireJson.decodeFromJsonElement<WatermarkRecord>(it.value).at }
 
-    private fun election(record: LeaderRecord, hold: HoldId, leaderStamp: Stamp, termStamp: Stamp) = Transaction(
-        listOf(Condition(Keys.LEADER, leaderStamp), Condition(Keys.TERM, termStamp)),
+    private fun election(record: LeaderRecord, storeLease: StoreLeaseId, leaderModRevision: ModRevision, tokenModRevision: ModRevision) = Transaction(
+        listOf(Compare(Keys.LEADER, leaderModRevision), Compare(Keys.TERM, tokenModRevision)),
         listOf(
-            Write.Put(Keys.LEADER, WireJson.encodeToJsonElement(record), hold),
+            Write.Put(Keys.LEADER, WireJson.encodeToJsonElement(record), storeLease),
             Write.Put(Keys.TERM, WireJson.encodeToJsonElement(TermRecord(record.term))),
         ),
     )
 
-    private fun begin(record: LeaderRecord, stamp: Stamp, hold: HoldId) = lock.withLock {
+    private fun begin(record: LeaderRecord, modRevision: ModRevision, storeLease: StoreLeaseId) = lock.withLock {
         val term = record.term
-        grant = LeadershipGrant(term, stamp, hold, clock.now(), record.watermark)
-        spareHold = null
+        grant = LeadershipGrant(term, modRevision, storeLease, clock.now(), record.watermark)
+        unusedLease = null
         leader = node
         doubted = false
         if (term > highest) highest = term
@@ -241,7 +241,7 @@
         log.info(
             "leading in term {} by hold {}, asked for {} ms ago for {} ms; cancellations are known up to {} ms ago",
             term,
-            hold,
+            storeLease,
             clock.now() - confirmedAt,
             timing.ttlMs,
             clock.wall().ms - record.watermark.ms,
--- a/src/main/kotlin/mountmast/coordination/election/LeadershipGrant.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeadershipGrant.kt
@@ -1,16 +1,16 @@
 package mountmast.coordination.election
 
-import mountmast.protocol.HoldId
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.Term
 import mountmast.protocol.WallTime
 
 /** A time of leading: the term, and the version of the leader's key on which every write depends. */
 class LeadershipGrant(
     val term: Term,
-    val stamp: Stamp,
-    val hold: HoldId,
+    val modRevision: ModRevision,
+    val storeLease: StoreLeaseId,
     val electedAt: MonotonicTime,
     /** Of cancellations, as the leader before left it. */
     val watermark: WallTime,
--- a/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
@@ -4,16 +4,16 @@
 import com.google.common.cache.CacheBuilder
 import kotlinx.serialization.json.decodeFromJsonElement
 import mountmast.protocol.JobId
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
-import mountmast.storage.StoreSilent
+import mountmast.storage.StoreTimeoutException
 import mountmast.storage.Transaction
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.ExecutionException
@@ -35,11 +35,11 @@
  */
 class JobReader(
     private val store: StateStore,
-    private val mostConditions: Int,
+    private val maxCompares: Int,
     /** For how long a question waits for its answer at most. */
     private val maxWaitMs: Long = USERS_WAIT_MS,
 ) {
-    private class Seen(val record: JobRecord, val stamp: Stamp)
+    private class Seen(val record: JobRecord, val modRevision: ModRevision)
 
     private class Question(val ids: Set<JobId>) {
         /** The states, or null: the thread that asked is to read for all that wait. */
@@ -78,8 +78,8 @@
     fun lastSeen(id: JobId): JobRecord? = seen.getIfPresent(id)?.record
 
     /** Takes note of a record that was read elsewhere, unless a newer one is known. */
-    fun note(record: JobRecord, stamp: Stamp) {
-        seen.asMap().merge(record.spec.id, Seen(record, stamp)) { old, new -> if (new.stamp.number > old.stamp.number) new else old }
+    fun note(record: JobRecord, modRevision: ModRevision) {
+        seen.asMap().merge(record.spec.id, Seen(record, modRevision)) { old, new -> if (new.modRevision.number > old.modRevision.number) new else old }
     }
 
     private fun await(question: Question): Map<JobId, JobState>? = try {
@@ -93,7 +93,7 @@
             val answer = question.answer
             if (answer.isDone && !answer.isCompletedExceptionally && answer.getNow(null) == null) handOn()
         }
-        throw StoreSilent("reading ${question.ids.first()} takes too long")
+        throw StoreTimeoutException("reading ${question.ids.first()} takes too long")
     }
 
     private fun readForAll() {
@@ -101,7 +101,7 @@
         try {
             answer(batch)
         } finally {
-            batch.forEach { it.answer.completeExceptionally(StoreSilent("not read")) }
+            batch.forEach { it.answer.completeExceptionally(StoreTimeoutException("not read")) }
             synchronized(lock) { handOn() }
         }
     }
@@ -110,7 +110,7 @@
     private fun takeBatch(): List<Question> {
         val batch = ArrayList<Question>()
         var size = 0
-        while (waiting.isNotEmpty() && (batch.isEmpty() || size + waiting.first().ids.size <= mostConditions)) {
+        while (waiting.isNotEmpty() && (batch.isEmpty() || size + waiting.first().ids.size <= maxCompares)) {
             val question = waiting.removeFirst()
             size += question.ids.size
             batch += question
@@ -128,7 +128,7 @@
         val ids = batch.flatMapTo(LinkedHashSet()) { it.ids }
         val states = HashMap<JobId, JobState>()
         val known = ids.mapNotNull { id -> seen.getIfPresent(id)?.let { id to it } }
-        for (part in known.chunked(mostConditions)) addUnchanged(part.toMap(), states)
+        for (part in known.chunked(maxCompares)) addUnchanged(part.toMap(), states)
         for (question in batch) answer(question, states)
     }
 
@@ -150,10 +150,10 @@
 
     /** Which of these jobs are still as they were read. */
     private fun unchanged(jobs: Map<JobId, Seen>): Set<JobId> = try {
-        val conditions = jobs.map { (id, it) -> Condition(Keys.job(id), it.stamp) }
-        when (val outcome = store.commit(Transaction(conditions, emptyList()))) {
-            is CommitOutcome.Committed -> jobs.keys
-            is CommitOutcome.Conflict -> jobs.keys - outcome.failed.mapNotNull(Keys::jobOfKey).toSet()
+        val compares = jobs.map { (id, it) -> Compare(Keys.job(id), it.modRevision) }
+        when (val outcome = store.commit(Transaction(compares, emptyList()))) {
+            is TransactionResult.Committed -> jobs.keys
+            is TransactionResult.CompareFailed -> jobs.keys - outcome.failed.mapNotNull(Keys::jobOfKey).toSet()
         }
     } catch (e: StoreException) {
         emptySet()
@@ -162,7 +162,7 @@
     private fun readOne(id: JobId): JobState {
         store.get(Keys.job(id))?.let { entry ->
             val record = WireJson.decodeFromJsonElement<JobRecord>(entry.value)
-            seen.put(id, Seen(record, entry.stamp))
+            seen.put(id, Seen(record, entry.modRevision))
             return JobState.Live(record)
         }
         seen.invalidate(id)
--- a/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
@@ -15,13 +15,13 @@
 import mountmast.protocol.MachineType
 import mountmast.protocol.Malformed
 import mountmast.protocol.RelayRequest
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 import mountmast.protocol.WireJson
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
 import mountmast.storage.Entry
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
@@ -29,7 +29,7 @@
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
-import mountmast.storage.StoreRejected
+import mountmast.storage.StoreRequestRejectedException
 import mountmast.storage.Transaction
 import mountmast.storage.TypesForm
 import mountmast.storage.Write
@@ -66,9 +66,9 @@
     private val over: Cache<JobId, OverRecord> = CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build()
 
     private val progress = ProgressCache(store, clock)
-    private val reader = JobReader(store, limits.transactionConditions)
+    private val reader = JobReader(store, limits.transactionCompares)
     private val lists = PrerequisiteLists(store, limits)
-    private val prerequisites = PrerequisiteEvaluator(store, reader, lists, over, limits.transactionConditions)
+    private val prerequisites = PrerequisiteEvaluator(store, reader, lists, over, limits.transactionCompares)
 
     /** Reads the machine types that the leader has stored. */
     fun refreshTypes() {
@@ -76,7 +76,7 @@
     }
 
     /** Takes note of the record of a live job that was read elsewhere. */
-    fun noteRecord(record: JobRecord, stamp: Stamp) = reader.note(record, stamp)
+    fun noteRecord(record: JobRecord, modRevision: ModRevision) = reader.note(record, modRevision)
 
     override fun ready() = isReady()
 
@@ -121,16 +121,16 @@
         if (!lists.fitsWithoutPrerequisites(record)) return lookUp(id) ?: UserAnswer(400, refusal("names are too long"))
         val stored = lists.store(record)
         val transaction = Transaction(
-            listOf(Condition(Keys.job(id), Stamp.ABSENT), Condition(Keys.over(id), Stamp.ABSENT)),
+            listOf(Compare(Keys.job(id), ModRevision.ABSENT), Compare(Keys.over(id), ModRevision.ABSENT)),
             listOf(Write.Put(Keys.job(id), WireJson.encodeToJsonElement(stored))),
         )
         return when (val outcome = store.commit(transaction)) {
-            is CommitOutcome.Committed -> {
+            is TransactionResult.Committed -> {
                 // Its user may name it in the next submission at once.
-                noteRecord(stored, Stamp(outcome.revision.number))
+                noteRecord(stored, ModRevision(outcome.revision.number))
                 UserAnswer(201, encode(JobAnswer(id, JobStatus.PENDING)))
             }
-            is CommitOutcome.Conflict -> lookUp(id) ?: later("try again")
+            is TransactionResult.CompareFailed -> lookUp(id) ?: later("try again")
         }
     }
 
@@ -154,10 +154,10 @@
             // Done and cancelled race on this key: only one of them finds the version it expects.
             val cancelled = record.copy(cancelled = true)
             val transaction = Transaction(
-                listOf(Condition(entry.key, entry.stamp)),
+                listOf(Compare(entry.key, entry.modRevision)),
                 listOf(Write.Put(entry.key, WireJson.encodeToJsonElement(cancelled))),
             )
-            if (store.commit(transaction) is CommitOutcome.Committed) return confirm(id, cancelled)
+            if (store.commit(transaction) is TransactionResult.Committed) return confirm(id, cancelled)
         }
         return later("try again")
     }
@@ -211,7 +211,7 @@
     /** Serves from the store, or through another node; where neither can, the user is told at once to come back. */
     private fun served(relayed: Boolean, request: RelayRequest, serve: () -> UserAnswer): UserAnswer = try {
         serve()
-    } catch (e: StoreRejected) {
+    } catch (e: StoreRequestRejectedException) {
         // Every other node would send the same, so it is not passed on.
         log.debug("{}: {}", request.path, e.message)
         later("the state service does not take the record")
--- a/src/main/kotlin/mountmast/coordination/jobs/JobWatch.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobWatch.kt
@@ -2,10 +2,10 @@
 
 import kotlinx.serialization.json.decodeFromJsonElement
 import mountmast.protocol.Revision
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
-import mountmast.storage.Change
-import mountmast.storage.FollowOutcome
+import mountmast.storage.WatchEvent
+import mountmast.storage.WatchResult
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
 import mountmast.storage.StateStore
@@ -19,21 +19,21 @@
  * no reading before it is written, and questions about many jobs are answered by one comparison. No answer rests on what is
  * heard here but on what never changes in a record, so that missing some only costs a reading. Called by one thread.
  */
-class JobWatch(private val store: StateStore, private val onRecord: (JobRecord, Stamp) -> Unit) {
+class JobWatch(private val store: StateStore, private val onRecord: (JobRecord, ModRevision) -> Unit) {
     private var from: Revision? = null
 
     /** Waits up to [waitMs] for changes and tells of them; false where the state service did not answer. */
     fun step(waitMs: Long): Boolean {
-        if (!store.reachable) return false
+        if (!store.isReachable) return false
         return try {
             val start = from ?: latest()
-            when (val outcome = store.follow(Keys.JOBS, start, waitMs)) {
-                is FollowOutcome.Changes -> {
+            when (val outcome = store.watch(Keys.JOBS, start, waitMs)) {
+                is WatchResult.Changes -> {
                     outcome.changes.forEach(::take)
                     from = outcome.upTo
                 }
                 // What was missed is read when somebody asks for it.
-                FollowOutcome.TooOld -> from = null
+                WatchResult.Compacted -> from = null
             }
             true
         } catch (e: StoreException) {
@@ -44,11 +44,11 @@
 
     private fun latest(): Revision = store.list(Keys.JOBS, after = Keys.JOBS + LAST, limit = 1).revision
 
-    private fun take(change: Change) {
+    private fun take(change: WatchEvent) {
         val value = change.value ?: return
         if (Keys.jobOfKey(change.key) == null) return
         try {
-            onRecord(WireJson.decodeFromJsonElement<JobRecord>(value), change.stamp)
+            onRecord(WireJson.decodeFromJsonElement<JobRecord>(value), change.modRevision)
         } catch (e: IllegalArgumentException) {
             log.error("unreadable record {}: {}", change.key, e.message)
         }
--- a/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
@@ -6,10 +6,10 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.JobStatus
 import mountmast.protocol.Shape
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
@@ -52,7 +52,7 @@
     private val reader: JobReader,
     private val lists: PrerequisiteLists,
     private val finalStates: Cache<JobId, OverRecord>,
-    private val mostConditions: Int,
+    private val maxCompares: Int,
 ) {
     private val satisfied: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build()
     private val longLists: Cache<JobId, List<JobId>> = CacheBuilder.newBuilder().maximumSize(MAX_LONG_LISTS).build()
@@ -151,19 +151,19 @@
                 val record = WireJson.decodeFromJsonElement<JobRecord>(entry.value)
                 if (record.spec.id in ids) {
                     accepted.put(record.spec.id, Unit)
-                    reader.note(record, entry.stamp)
+                    reader.note(record, entry.modRevision)
                 }
             }
             after = page.entries.lastOrNull()?.key
         } while (page.more && after != null && after <= last)
-        ids.filter { !isKnown(it) }.chunked(mostConditions).forEach(::noteFinished)
+        ids.filter { !isKnown(it) }.chunked(maxCompares).forEach(::noteFinished)
     }
 
     /** A comparison with "does not exist" fails for those that do: one request tells of many. */
     private fun noteFinished(ids: List<JobId>) {
-        val conditions = ids.map { Condition(Keys.over(it), Stamp.ABSENT) }
-        val outcome = store.commit(Transaction(conditions, emptyList()))
-        if (outcome !is CommitOutcome.Conflict) return
+        val compares = ids.map { Compare(Keys.over(it), ModRevision.ABSENT) }
+        val outcome = store.commit(Transaction(compares, emptyList()))
+        if (outcome !is TransactionResult.CompareFailed) return
         val failed = outcome.failed.toSet()
         ids.filter { Keys.over(it) in failed }.forEach { accepted.put(it, Unit) }
     }
--- a/src/main/kotlin/mountmast/coordination/membership/FormatAgreement.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/FormatAgreement.kt
@@ -4,10 +4,10 @@
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.NodeId
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
 import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.FormatRecord
 import mountmast.storage.Keys
@@ -33,7 +33,7 @@
     private val currentMembers = ConcurrentHashMap.newKeySet<NodeId>()
 
     /** Version of the stored record as it was last read, or null where it has to be read before anything is written. */
-    private var storedStamp: Stamp? = null
+    private var storedModRevision: ModRevision? = null
     private var stepsSinceRead = 0
 
     /** Whether every node of the deployment is known to read the current forms; never false again once it was true. */
@@ -49,17 +49,17 @@
     /** Makes at most one call to the state service, until all nodes are known to be current; called about once a second. */
     fun step() {
         // A call that is not answered would hold up renewals.
-        if (isCurrent || !store.reachable) return
+        if (isCurrent || !store.isReachable) return
         try {
-            val stamp = storedStamp
+            val modRevision = storedModRevision
             when {
-                stamp == null -> read()
-                currentMembers.containsAll(members) -> write(stamp)
+                modRevision == null -> read()
+                currentMembers.containsAll(members) -> write(modRevision)
                 ++stepsSinceRead >= READ_EVERY_STEPS -> read()
             }
         } catch (e: StoreException) {
             // A write without an answer may have been carried out, or still be.
-            storedStamp = null
+            storedModRevision = null
             log.debug("agreement on forms: {}", e.message)
         }
     }
@@ -71,17 +71,17 @@
         when {
             version == null -> log.warn("the record of the agreed forms is unreadable")
             version >= FORMAT_VERSION -> becomeCurrent()
-            else -> storedStamp = entry?.stamp ?: Stamp.ABSENT
+            else -> storedModRevision = entry?.modRevision ?: ModRevision.ABSENT
         }
     }
 
     /** Depends on the version that was read, so that a late write cannot undo what a later version of the code wrote. */
-    private fun write(stamp: Stamp) {
+    private fun write(modRevision: ModRevision) {
         val record = WireJson.encodeToJsonElement(FormatRecord(FORMAT_VERSION))
-        val transaction = Transaction(listOf(Condition(Keys.FORMAT, stamp)), listOf(Write.Put(Keys.FORMAT, record)))
+        val transaction = Transaction(listOf(Compare(Keys.FORMAT, modRevision)), listOf(Write.Put(Keys.FORMAT, record)))
         when (store.commit(transaction)) {
-            is CommitOutcome.Committed -> becomeCurrent()
-            is CommitOutcome.Conflict -> storedStamp = null
+            is TransactionResult.Committed -> becomeCurrent()
+            is TransactionResult.CompareFailed -> storedModRevision = null
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
@@ -34,7 +34,7 @@
         context.lock.withLock {
             val job = context.ledger.jobs[id] ?: return
             when {
-                entry != null -> context.jobs.takeIn(WireJson.decodeFromJsonElement<JobRecord>(entry.value), entry.stamp)
+                entry != null -> context.jobs.takeIn(WireJson.decodeFromJsonElement<JobRecord>(entry.value), entry.modRevision)
                 over != null -> context.jobs.over(job, WireJson.decodeFromJsonElement<OverRecord>(over.value))
                 else -> log.error("job {} is in the store no more", id)
             }
@@ -44,6 +44,6 @@
     private fun resolveSnapshot() {
         val entry = store.get(Keys.SNAPSHOT) ?: return
         val record = WireJson.decodeFromJsonElement<SnapshotRecord>(entry.value)
-        context.lock.withLock { snapshots.became(record, entry.stamp) }
+        context.lock.withLock { snapshots.became(record, entry.modRevision) }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/ImagesWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ImagesWriter.kt
@@ -21,13 +21,13 @@
     private var nextBucket = 0
     private val written = HashMap<Int, Map<MachineId, Map<ImageId, Double>>>()
 
-    fun addTo(batch: WriteBatch, limits: WriteLimits, isShort: Boolean) {
+    fun addTo(batch: WriteBatch, limits: WriteLimits, isScarce: Boolean) {
         val now = clock.now()
         if (batch.room <= 0 || now < notBefore) return
-        notBefore = now + if (isShort) SHORT_EVERY_MS else EVERY_MS
+        notBefore = now + if (isScarce) SHORT_EVERY_MS else EVERY_MS
         val buckets = buckets(limits.valueBytes)
         // While there is room each bucket's turn comes within a minute, however many there are.
-        val turns = if (isShort) 1 else 1 + buckets * EVERY_MS.toInt() / ROUND_MS
+        val turns = if (isScarce) 1 else 1 + buckets * EVERY_MS.toInt() / ROUND_MS
         repeat(minOf(turns, buckets)) { addNext(batch, buckets, limits) }
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/Journal.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/Journal.kt
@@ -1,13 +1,13 @@
 package mountmast.coordination.persistence
 
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.storage.JournalRecord
 import mountmast.storage.Keys
 
 /** Where the journal stands in the store. */
 class JournalState {
-    private class Slot(val stamp: Stamp, val number: Long)
+    private class Slot(val modRevision: ModRevision, val number: Long)
 
     private val slots = HashMap<Int, Slot>()
 
@@ -20,20 +20,20 @@
     /** What the latest whole snapshot holds, and which it is. */
     var snapshotUpTo = 0L
     var generation = 0L
-    var snapshotStamp = Stamp.ABSENT
+    var snapshotModRevision = ModRevision.ABSENT
 
     /** Records that a new leader would replay. */
     val used: Long get() = next - 1 - snapshotUpTo
 
     /** Version of what is in [slot]. */
-    fun stampOf(slot: Int): Stamp = slots[slot]?.stamp ?: Stamp.ABSENT
+    fun modRevisionOf(slot: Int): ModRevision = slots[slot]?.modRevision ?: ModRevision.ABSENT
 
     /** Whether [slot] holds no record that a new leader would have to replay. */
     fun isFree(slot: Int): Boolean = (slots[slot]?.number ?: 0) <= snapshotUpTo
 
     /** [slot] holds the record of this [number]. */
-    fun note(slot: Int, number: Long, stamp: Stamp) {
-        slots[slot] = Slot(stamp, number)
+    fun note(slot: Int, number: Long, modRevision: ModRevision) {
+        slots[slot] = Slot(modRevision, number)
     }
 }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -6,7 +6,7 @@
 import mountmast.coordination.state.Unwritten
 import mountmast.protocol.Clock
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
 import mountmast.storage.JournalRecord
 import mountmast.storage.JournalText
@@ -20,9 +20,9 @@
     private var wroteAt = MonotonicTime(Long.MIN_VALUE / 2)
 
     /** Adds changes in the order in which they happened, in at most [mostRecords] records. */
-    fun addTo(batch: WriteBatch, limits: WriteLimits, size: JournalSize, mostRecords: Int, compact: Boolean, isShort: Boolean) {
+    fun addTo(batch: WriteBatch, limits: WriteLimits, size: JournalSize, mostRecords: Int, compact: Boolean, isScarce: Boolean) {
         val now = clock.now()
-        if (isShort && now - wroteAt < SHORT_EVERY_MS && ledger.unwritten.size < MANY_CHANGES) return
+        if (isScarce && now - wroteAt < SHORT_EVERY_MS && ledger.unwritten.size < MANY_CHANGES) return
         val most = freeSlots(size, minOf(mostRecords, batch.room))
         if (most <= 0) return
         val described = ArrayList<Unwritten>()
@@ -58,7 +58,7 @@
     }
 
     private fun addRecord(batch: WriteBatch, slotted: SlottedRecord) {
-        batch.requires(slotted.key, journal.stampOf(slotted.slot))
+        batch.requires(slotted.key, journal.modRevisionOf(slotted.slot))
         batch.put(slotted.key, WireJson.encodeToJsonElement(slotted.record))
         batch.records += slotted
     }
@@ -97,9 +97,9 @@
         }
     }
 
-    /** The journal holds [records] now, written at [stamp]. */
-    fun committed(records: List<SlottedRecord>, stamp: Stamp) {
-        for (slotted in records) journal.note(slotted.slot, slotted.number, stamp)
+    /** The journal holds [records] now, written at [modRevision]. */
+    fun committed(records: List<SlottedRecord>, modRevision: ModRevision) {
+        for (slotted in records) journal.note(slotted.slot, slotted.number, modRevision)
         journal.next += records.size
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/LedgerWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/LedgerWriter.kt
@@ -10,19 +10,19 @@
 import mountmast.protocol.JobStatus
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Shape
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
 import mountmast.protocol.WireJson
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
 import mountmast.storage.Entry
 import mountmast.storage.JournalRecord
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
-import mountmast.storage.StoreRejected
-import mountmast.storage.StoreSilent
+import mountmast.storage.StoreRequestRejectedException
+import mountmast.storage.StoreTimeoutException
 import mountmast.storage.Transaction
 import mountmast.storage.Write
 import org.slf4j.LoggerFactory
@@ -78,11 +78,11 @@
         val transaction = fence?.let(::fencing) ?: batch.transaction()
         val outcome = try {
             store.commit(transaction)
-        } catch (e: StoreSilent) {
+        } catch (e: StoreTimeoutException) {
             log.debug("commit of {} writes: {}", transaction.writes.size, e.message)
             unsettled = batch
             return false
-        } catch (e: StoreRejected) {
+        } catch (e: StoreRequestRejectedException) {
             rejected(batch, e)
             return false
         } catch (e: StoreException) {
@@ -92,27 +92,27 @@
             return false
         }
         return when (outcome) {
-            is CommitOutcome.Committed -> settled(batch, Stamp(outcome.revision.number))
-            is CommitOutcome.Conflict -> resolve(outcome.failed, batch)
+            is TransactionResult.Committed -> settled(batch, ModRevision(outcome.revision.number))
+            is TransactionResult.CompareFailed -> resolve(outcome.failed, batch)
         }
     }
 
-    private fun settled(batch: WriteBatch, stamp: Stamp): Boolean {
+    private fun settled(batch: WriteBatch, modRevision: ModRevision): Boolean {
         val wasFence = fence != null
         unsettled = null
         fence = null
         context.lock.withLock {
             context.journal.writtenAt = clock.now()
-            if (wasFence) fenced(batch, stamp) else committed(batch, stamp)
+            if (wasFence) fenced(batch, modRevision) else committed(batch, modRevision)
         }
         return true
     }
 
     private fun collectBatch(): WriteBatch? {
-        val room = store.writeRoom()
-        if (room.spare <= 0) return null
+        val room = store.writeBudget()
+        if (room.available <= 0) return null
         if (!progress.knowsParts && !findProgress()) return null
-        return context.lock.withLock { collect(minOf(room.spare, limits.transactionOps), room.isShort) }
+        return context.lock.withLock { collect(minOf(room.available, limits.transactionOps), room.isScarce) }
     }
 
     private fun findProgress(): Boolean = try {
@@ -124,27 +124,27 @@
     }
 
     /** What matters most comes first: the ends of jobs and the journal, last what is for display or a hint. */
-    private fun collect(mostOps: Int, isShort: Boolean): WriteBatch? {
-        val batch = WriteBatch(context.leaderStamp, mostOps)
+    private fun collect(mostOps: Int, isScarce: Boolean): WriteBatch? {
+        val batch = WriteBatch(context.leaderModRevision, mostOps)
         val isCompact = compact()
         val size = if (isCompact) largeJournal else JournalSize.LEAST
         val ready = ledger.finishing.filter { it.nothingLives() }
         endsFirst = !endsFirst
-        addJournal(batch, size, ready.size, isCompact, isShort)
+        addJournal(batch, size, ready.size, isCompact, isScarce)
         for (job in ready) if (batch.room >= OPS_PER_END) addOver(batch, job)
         watermark.addTo(batch)
         types.addTo(batch, limits, inParts = isCompact || rejectedOnce)
-        snapshots.addTo(batch, limits, size, isCompact, isShort)
+        snapshots.addTo(batch, limits, size, isCompact, isScarce)
         if (!limits.isLeast) {
-            progress.addTo(batch, limits, isCompact, isShort)
+            progress.addTo(batch, limits, isCompact, isScarce)
             failing.addTo(batch, limits)
-            images.addTo(batch, limits, isShort)
+            images.addTo(batch, limits, isScarce)
         }
         return batch.takeUnless { it.isEmpty }
     }
 
     /** The journal leaves half of the transaction to jobs that are over, and one change to what else is due. */
-    private fun addJournal(batch: WriteBatch, size: JournalSize, jobsOver: Int, isCompact: Boolean, isShort: Boolean) {
+    private fun addJournal(batch: WriteBatch, size: JournalSize, jobsOver: Int, isCompact: Boolean, isScarce: Boolean) {
         val half = maxOf(OPS_PER_END, batch.room / 2)
         val forEnds = minOf(jobsOver * OPS_PER_END, half)
         // Where both do not fit they take turns.
@@ -156,12 +156,12 @@
             batch.room
         }
         val forOthers = if (left >= MIN_SHARED_OPS) 1 else 0
-        journal.addTo(batch, limits, size, left - forOthers, isCompact, isShort)
+        journal.addTo(batch, limits, size, left - forOthers, isCompact, isScarce)
     }
 
     private fun addOver(batch: WriteBatch, job: Job) {
         val record = finalRecord(job)
-        batch.requires(Keys.job(job.id), job.stamp)
+        batch.requires(Keys.job(job.id), job.modRevision)
         batch.put(Keys.over(job.id), WireJson.encodeToJsonElement(record))
         batch.delete(Keys.job(job.id))
         batch.over += JobEnd(job, record)
@@ -180,8 +180,8 @@
         watermark.putBack()
     }
 
-    private fun committed(batch: WriteBatch, stamp: Stamp) {
-        journal.committed(batch.records, stamp)
+    private fun committed(batch: WriteBatch, modRevision: ModRevision) {
+        journal.committed(batch.records, modRevision)
         var freed = false
         for (change in batch.written) {
             when (change) {
@@ -194,7 +194,7 @@
             }
         }
         if (freed) context.signals.wakePlacement()
-        snapshots.committed(batch, stamp)
+        snapshots.committed(batch, modRevision)
         for (end in batch.over) {
             log.debug("job {} is over", end.job.id)
             context.jobs.over(end.job, end.record)
@@ -211,7 +211,7 @@
     }
 
     /** The state service takes less than was thought: the same is not tried again, but less at a time. */
-    private fun rejected(batch: WriteBatch, e: StoreRejected) {
+    private fun rejected(batch: WriteBatch, e: StoreRequestRejectedException) {
         log.debug("{}", e.message)
         rejectedOnce = true
         if (limits.isLeast) pausedUntil = clock.now() + REJECTED_PAUSE_MS
@@ -227,16 +227,16 @@
     }
 
     private fun fencing(empty: SlottedRecord): Transaction {
-        val conditions = listOf(
-            Condition(Keys.LEADER, context.leaderStamp),
-            Condition(empty.key, context.journal.stampOf(empty.slot)),
+        val compares = listOf(
+            Compare(Keys.LEADER, context.leaderModRevision),
+            Compare(empty.key, context.journal.modRevisionOf(empty.slot)),
         )
-        return Transaction(conditions, listOf(Write.Put(empty.key, WireJson.encodeToJsonElement(empty.record))))
+        return Transaction(compares, listOf(Write.Put(empty.key, WireJson.encodeToJsonElement(empty.record))))
     }
 
     /** An empty record is in the first slot of [batch], which can be carried out no more. */
-    private fun fenced(batch: WriteBatch, stamp: Stamp) {
-        journal.committed(listOf(batch.records.first()), stamp)
+    private fun fenced(batch: WriteBatch, modRevision: ModRevision) {
+        journal.committed(listOf(batch.records.first()), modRevision)
         putBack(batch)
     }
 
@@ -266,7 +266,7 @@
         val entry = store.get(first.key) ?: return false
         if (WireJson.decodeFromJsonElement<JournalRecord>(entry.value).number != first.number) return false
         if (!isFence(entry)) fence = null
-        return settled(batch, entry.stamp)
+        return settled(batch, entry.modRevision)
     }
 
     private fun isFence(entry: Entry) = fence?.let { WireJson.encodeToJsonElement(it.record) == entry.value } == true
--- a/src/main/kotlin/mountmast/coordination/persistence/PersistenceContext.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/PersistenceContext.kt
@@ -5,7 +5,7 @@
 import mountmast.coordination.state.TermSignals
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineTypes
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import java.util.concurrent.locks.ReentrantLock
 
 /** What the classes that persist the cluster state need of the leader's term that they write for. Guarded by [lock]. */
@@ -14,7 +14,7 @@
     val lock: ReentrantLock
 
     /** Version of the leader's key, on which every write of the term depends. */
-    val leaderStamp: Stamp
+    val leaderModRevision: ModRevision
     val ledger: Ledger
     val journal: JournalState
     val jobs: LiveJobs
--- a/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
@@ -27,9 +27,9 @@
         while (written.size < parts) written += null
     }
 
-    fun addTo(batch: WriteBatch, limits: WriteLimits, compact: Boolean, isShort: Boolean) {
+    fun addTo(batch: WriteBatch, limits: WriteLimits, compact: Boolean, isScarce: Boolean) {
         val now = clock.now()
-        if (round == null && now - doneAt < if (isShort) SHORT_EVERY_MS else EVERY_MS) return
+        if (round == null && now - doneAt < if (isScarce) SHORT_EVERY_MS else EVERY_MS) return
         val records = round ?: records(limits, compact).also { round = it }
         for ((part, record) in records.withIndex()) {
             if (written[part] == record) continue
--- a/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.encodeToJsonElement
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
 import mountmast.storage.Keys
 import mountmast.storage.SnapshotPart
@@ -23,12 +23,12 @@
 
     private var draft: Draft? = null
 
-    fun addTo(batch: WriteBatch, limits: WriteLimits, size: JournalSize, compact: Boolean, isShort: Boolean) {
+    fun addTo(batch: WriteBatch, limits: WriteLimits, size: JournalSize, compact: Boolean, isScarce: Boolean) {
         val current = draft ?: begin(size) ?: return
         // Parts are written while the pointer still names the snapshot before: late ones then change nothing.
-        batch.requires(Keys.SNAPSHOT, context.journal.snapshotStamp)
+        batch.requires(Keys.SNAPSHOT, context.journal.snapshotModRevision)
         batch.snapshotEnd = current.position
-        val due = if (isShort) dueUpTo(current, size) else current.text.length
+        val due = if (isScarce) dueUpTo(current, size) else current.text.length
         while (batch.room > 0 && batch.snapshotParts < PARTS_PER_BATCH && batch.snapshotEnd < due) {
             val piece = TextCodec.packNext(current.text, batch.snapshotEnd, limits.valueBytes, compact)
             val key = Keys.snapshotPart(current.generation, current.parts + batch.snapshotParts++)
@@ -42,22 +42,22 @@
         }
     }
 
-    /** [batch] was carried out, at [stamp]. */
-    fun committed(batch: WriteBatch, stamp: Stamp) {
+    /** [batch] was carried out, at [modRevision]. */
+    fun committed(batch: WriteBatch, modRevision: ModRevision) {
         if (batch.snapshotParts > 0) {
             draft?.let {
                 it.parts += batch.snapshotParts
                 it.position = batch.snapshotEnd
             }
         }
-        batch.snapshot?.let { became(it, stamp) }
+        batch.snapshot?.let { became(it, modRevision) }
     }
 
     /** The store holds [pointer]. */
-    fun became(pointer: SnapshotRecord, stamp: Stamp) {
+    fun became(pointer: SnapshotRecord, modRevision: ModRevision) {
         context.journal.snapshotUpTo = pointer.upTo
         context.journal.generation = pointer.generation
-        context.journal.snapshotStamp = stamp
+        context.journal.snapshotModRevision = modRevision
         draft = null
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/TermLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/TermLoader.kt
@@ -6,7 +6,7 @@
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.storage.Entry
 import mountmast.storage.FailingRecord
 import mountmast.storage.ImagesRecord
@@ -54,7 +54,7 @@
         lock.withLock {
             types?.let(ledger::replaceTypes)
             jobs.takeInAll(liveJobs, revision, asked, askedWall)
-            journal.snapshotStamp = pointer?.stamp ?: Stamp.ABSENT
+            journal.snapshotModRevision = pointer?.modRevision ?: ModRevision.ABSENT
             replay(snapshot, parts, slots, clock.now())
             failing?.let(::recallFailing)
         }
@@ -119,7 +119,7 @@
     private fun noteSlot(entry: Entry): JournalRecord? {
         val slot = Keys.slotOfKey(entry.key) ?: return null
         val record = StoredRecords.decode<JournalRecord>(entry.key, entry.value)
-        journal.note(slot, record?.number ?: 0, entry.stamp)
+        journal.note(slot, record?.number ?: 0, entry.modRevision)
         return record
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
@@ -4,8 +4,8 @@
 import mountmast.coordination.state.Job
 import mountmast.coordination.state.Unwritten
 import mountmast.protocol.MachineTypes
-import mountmast.protocol.Stamp
-import mountmast.storage.Condition
+import mountmast.protocol.ModRevision
+import mountmast.storage.Compare
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
 import mountmast.storage.SnapshotRecord
@@ -21,8 +21,8 @@
  * It holds at most [mostOps] changes. Its conditions are the leader's key, the snapshot's and at most one for each change,
  * which is no more than a transaction takes.
  */
-class WriteBatch(leaderStamp: Stamp, private val mostOps: Int) {
-    private val conditions = arrayListOf(Condition(Keys.LEADER, leaderStamp))
+class WriteBatch(leaderModRevision: ModRevision, private val mostOps: Int) {
+    private val compares = arrayListOf(Compare(Keys.LEADER, leaderModRevision))
     private val writes = ArrayList<Write>()
     private var bytes = 0L
 
@@ -48,8 +48,8 @@
     val room: Int get() = if (bytes >= MAX_BYTES) 0 else mostOps - writes.size
     val isEmpty: Boolean get() = writes.isEmpty()
 
-    fun requires(key: String, stamp: Stamp) {
-        conditions += Condition(key, stamp)
+    fun requires(key: String, modRevision: ModRevision) {
+        compares += Compare(key, modRevision)
     }
 
     fun put(key: String, value: JsonElement) = add(Write.Put(key, value))
@@ -63,7 +63,7 @@
         writes += Write.Delete(key)
     }
 
-    fun transaction() = Transaction(conditions, writes)
+    fun transaction() = Transaction(compares, writes)
 
     private companion object {
         /** Below the 64 KiB that a transaction may have, with room for conditions, names and one more value. */
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -11,7 +11,7 @@
 import mountmast.protocol.Resources
 import mountmast.protocol.Session
 import mountmast.protocol.Shape
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.TaskState
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
@@ -74,7 +74,7 @@
 }
 
 /** A job that is not over. */
-class Job(val spec: JobSpec, val submitted: WallTime, var stamp: Stamp) {
+class Job(val spec: JobSpec, val submitted: WallTime, var modRevision: ModRevision) {
     val id: JobId get() = spec.id
     val perTask: Resources = spec.perTask
     var cancelled = false
--- a/src/main/kotlin/mountmast/coordination/state/Ledger.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Ledger.kt
@@ -9,7 +9,7 @@
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Resources
 import mountmast.protocol.Session
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.TeamId
 import mountmast.protocol.Term
 import mountmast.protocol.TypeId
@@ -69,14 +69,14 @@
     fun use(team: TeamId): Resources = uses[team] ?: Resources.NONE
 
     /** Takes in a job record as the store has it; all changes before [knownUpTo] had been taken in until now. */
-    fun putJob(record: JobRecord, stamp: Stamp, now: MonotonicTime, knownUpTo: WallTime = WallTime(0)): Job {
+    fun putJob(record: JobRecord, modRevision: ModRevision, now: MonotonicTime, knownUpTo: WallTime = WallTime(0)): Job {
         val job = jobs.getOrPut(record.spec.id) {
-            Job(record.spec, record.submitted, stamp).apply {
+            Job(record.spec, record.submitted, modRevision).apply {
                 learnedAt = now
                 lastProgress = now
             }
         }
-        job.stamp = stamp
+        job.modRevision = modRevision
         if (record.cancelled && !job.cancelRecorded) {
             job.cancel(knownUpTo, recorded = true)
             finishing += job
--- a/src/main/kotlin/mountmast/coordination/state/LiveJobs.kt
+++ b/src/main/kotlin/mountmast/coordination/state/LiveJobs.kt
@@ -4,10 +4,10 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Revision
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WallTime
 import mountmast.storage.Entry
-import mountmast.storage.FollowOutcome
+import mountmast.storage.WatchResult
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
@@ -33,7 +33,7 @@
     /** What else wants to know of jobs. */
     private val listener: LiveJobsListener,
 ) {
-    private var followFrom = Revision(0u)
+    private var watchFrom = Revision(0u)
 
     /** All changes of jobs before this are taken in, on this node's steady clock and by its time of day. */
     private var knownUpTo = MonotonicTime(0)
@@ -46,16 +46,16 @@
     fun watermark(): WallTime = ledger.watermark(knownUpToWall)
 
     /** Learns of new and cancelled jobs; waits up to [waitMs] for them. */
-    fun follow(waitMs: Long) {
+    fun watch(waitMs: Long) {
         val asked = clock.now()
         val askedWall = clock.wall()
-        when (val outcome = store.follow(Keys.JOBS, followFrom, waitMs)) {
-            is FollowOutcome.Changes -> lock.withLock {
-                for (change in outcome.changes) change.value?.let { takeInNews(Entry(change.key, it, change.stamp)) }
-                followFrom = outcome.upTo
+        when (val outcome = store.watch(Keys.JOBS, watchFrom, waitMs)) {
+            is WatchResult.Changes -> lock.withLock {
+                for (change in outcome.changes) change.value?.let { takeInNews(Entry(change.key, it, change.modRevision)) }
+                watchFrom = outcome.upTo
                 known(asked, askedWall)
             }
-            FollowOutcome.TooOld -> {
+            WatchResult.Compacted -> {
                 val (entries, revision) = store.listAll(Keys.JOBS)
                 lock.withLock { takeInAll(entries, revision, asked, askedWall) }
             }
@@ -66,15 +66,15 @@
     private fun takeInNews(entry: Entry) {
         val id = Keys.jobOfKey(entry.key) ?: return
         val record = StoredRecords.decode<JobRecord>(entry.key, entry.value) ?: return
-        listener.onRecord(record, entry.stamp)
+        listener.onRecord(record, entry.modRevision)
         val known = ledger.jobs[id]
-        if (known == null || entry.stamp.number > known.stamp.number) takeIn(record, entry.stamp)
+        if (known == null || entry.modRevision.number > known.modRevision.number) takeIn(record, entry.modRevision)
     }
 
     /** Takes in all live jobs as they were at [revision] or later, asked for at [asked]; the caller holds the lock. */
     fun takeInAll(entries: List<Entry>, revision: Revision, asked: MonotonicTime, askedWall: WallTime) {
-        for (entry in entries) StoredRecords.decode<JobRecord>(entry.key, entry.value)?.let { takeIn(it, entry.stamp) }
-        followFrom = revision
+        for (entry in entries) StoredRecords.decode<JobRecord>(entry.key, entry.value)?.let { takeIn(it, entry.modRevision) }
+        watchFrom = revision
         known(asked, askedWall)
     }
 
@@ -85,12 +85,12 @@
     }
 
     /** Takes in a job record; the caller holds the lock. */
-    fun takeIn(record: JobRecord, stamp: Stamp) {
+    fun takeIn(record: JobRecord, modRevision: ModRevision) {
         val id = record.spec.id
         if (dependencies.isRememberedAsOver(id)) return
         val isNew = id !in ledger.jobs
         val now = clock.now()
-        val job = ledger.putJob(record, stamp, now, knownUpToWall)
+        val job = ledger.putJob(record, modRevision, now, knownUpToWall)
         if (isNew) dependencies.added(job, record, now)
         if (job.cancelRecorded) dependencies.cancelled(job)
         if (job.cancelled || listener.isCancelledElsewhere(job.id)) {
@@ -155,7 +155,7 @@
     fun isCancelledElsewhere(id: JobId): Boolean
 
     /** A record of a live job was read. */
-    fun onRecord(record: JobRecord, stamp: Stamp)
+    fun onRecord(record: JobRecord, modRevision: ModRevision)
 
     /** The worker that [assignment] is with has to be told something. */
     fun onCommandsDue(assignment: Assignment)
--- a/src/main/kotlin/mountmast/protocol/Ids.kt
+++ b/src/main/kotlin/mountmast/protocol/Ids.kt
@@ -154,11 +154,11 @@
 /** Version of a key of the state service; zero where the key does not exist. */
 @Serializable
 @JvmInline
-value class Stamp(val number: ULong) {
+value class ModRevision(val number: ULong) {
     override fun toString() = number.toString()
 
     companion object {
-        val ABSENT = Stamp(0u)
+        val ABSENT = ModRevision(0u)
     }
 }
 
@@ -173,7 +173,7 @@
 /** A lease at the state service; keys attached to it vanish with it. */
 @Serializable
 @JvmInline
-value class HoldId(val number: ULong) {
+value class StoreLeaseId(val number: ULong) {
     override fun toString() = number.toString()
 }
 
--- a/src/main/kotlin/mountmast/protocol/StateLimits.kt
+++ b/src/main/kotlin/mountmast/protocol/StateLimits.kt
@@ -11,7 +11,7 @@
     val transactionOps: Int,
 ) {
     /** Conditions in one transaction. */
-    val transactionConditions: Int get() = transactionOps * CONDITIONS_PER_OP
+    val transactionCompares: Int get() = transactionOps * COMPARES_PER_OP
 
     /** Bytes of JSON that a value is filled up to: some room is left, since the state service may write it at greater length. */
     val valueBytes: Int get() = (valueKb * BYTES_PER_KB * FILLED_SHARE).toInt()
@@ -26,7 +26,7 @@
 
     companion object {
         /** A transaction takes four times as many conditions as changes. */
-        const val CONDITIONS_PER_OP = 4
+        const val COMPARES_PER_OP = 4
 
         private const val BYTES_PER_KB = 1024
         private const val FILLED_SHARE = 0.95
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -7,9 +7,9 @@
 import kotlinx.serialization.decodeFromString
 import kotlinx.serialization.encodeToString
 import kotlinx.serialization.json.JsonElement
-import mountmast.protocol.HoldId
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.Revision
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
 import mountmast.protocol.WireJson
 import mountmast.transport.HttpCaller
@@ -36,7 +36,7 @@
     private val failures = metrics.counter(MetricNames.STORE_FAILURES)
 
     private val requests = RateLimiter.create(limits.requestsPerSecond / nodes)
-    private val writes = RateShare(limits.writesPerSecond / nodes, System::nanoTime)
+    private val writes = TokenBucket(limits.writesPerSecond / nodes, System::nanoTime)
     private val rejections = ConcurrentHashMap.newKeySet<String>()
 
     @Volatile
@@ -45,15 +45,15 @@
     @Volatile
     private var lastOk = false
 
-    override val reachable: Boolean
+    override val isReachable: Boolean
         get() = lastOk || System.nanoTime() - lastOkNanos < REACHED_NANOS
 
-    override fun shareAs(leader: Boolean) {
-        requests.rate = RateShares.requests(limits, nodes, leader)
-        writes.setRate(RateShares.writes(limits, nodes, leader))
+    override fun setRole(leader: Boolean) {
+        requests.rate = StoreRateQuota.requests(limits, nodes, leader)
+        writes.setRate(StoreRateQuota.writes(limits, nodes, leader))
     }
 
-    override fun writeRoom(): WriteRoom = writes.room()
+    override fun writeBudget(): WriteBudget = writes.room()
 
     override fun get(key: String): Entry? {
         val reply = call("GET", "/store/$key", null)
@@ -72,36 +72,36 @@
         return EntryPage(page.items.map { it.toEntry() }, page.more, page.revision)
     }
 
-    override fun commit(transaction: Transaction): CommitOutcome {
+    override fun commit(transaction: Transaction): TransactionResult {
         takeWrites(transaction.writes.size)
         val body = CommitBody(
-            transaction.conditions.map { ConditionBody(it.key, it.stamp) },
+            transaction.compares.map { CompareBody(it.key, it.modRevision) },
             transaction.writes.map { write ->
                 when (write) {
-                    is Write.Put -> WriteBody(put = write.key, value = write.value, hold = write.hold)
+                    is Write.Put -> WriteBody(put = write.key, value = write.value, storeLease = write.storeLease)
                     is Write.Delete -> WriteBody(delete = write.key)
                 }
             },
         )
         val reply = call("POST", "/commit", WireJson.encodeToString(body))
         return when {
-            reply.ok -> CommitOutcome.Committed(decode<RevisionBody>(reply).revision)
-            reply.status == 409 -> CommitOutcome.Conflict(decode<ConflictBody>(reply).failed)
+            reply.ok -> TransactionResult.Committed(decode<RevisionBody>(reply).revision)
+            reply.status == 409 -> TransactionResult.CompareFailed(decode<ConflictBody>(reply).failed)
             reply.status == 400 && "no such lease" in reply.text ->
-                throw HoldEnded(transaction.writes.firstNotNullOf { (it as? Write.Put)?.hold })
+                throw StoreLeaseExpiredException(transaction.writes.firstNotNullOf { (it as? Write.Put)?.storeLease })
             reply.status == 400 -> throw rejected(transaction, reply)
             else -> throw refused(reply)
         }
     }
 
-    override fun grantHold(ttlMs: Long): HoldId {
+    override fun grantLease(ttlMs: Long): StoreLeaseId {
         val reply = call("POST", "/holds", WireJson.encodeToString(TtlBody(ttlMs)))
         if (!reply.ok) throw refused(reply)
-        return decode<HoldBody>(reply).hold
+        return decode<LeaseBody>(reply).storeLease
     }
 
-    override fun renewHold(hold: HoldId): Boolean {
-        val reply = call("POST", "/holds/$hold/renew", "")
+    override fun keepAlive(storeLease: StoreLeaseId): Boolean {
+        val reply = call("POST", "/holds/$storeLease/renew", "")
         return when (reply.status) {
             200 -> true
             404 -> false
@@ -109,17 +109,17 @@
         }
     }
 
-    override fun dropHold(hold: HoldId) {
-        call("DELETE", "/holds/$hold", null)
+    override fun revokeLease(storeLease: StoreLeaseId) {
+        call("DELETE", "/holds/$storeLease", null)
     }
 
-    override fun follow(prefix: String, from: Revision, waitMs: Long): FollowOutcome {
+    override fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult {
         val reply = call("GET", "/follow?starts=$prefix&from=$from&waitMs=$waitMs", null, WAIT_MS + waitMs.toInt())
         return when (reply.status) {
-            200 -> decode<FollowBody>(reply).let { body ->
-                FollowOutcome.Changes(body.news.map { it.toChange() }, body.revision)
+            200 -> decode<WatchBody>(reply).let { body ->
+                WatchResult.Changes(body.news.map { it.toChange() }, body.revision)
             }
-            410 -> FollowOutcome.TooOld
+            410 -> WatchResult.Compacted
             else -> throw refused(reply)
         }
     }
@@ -138,7 +138,7 @@
         } catch (e: NoAnswerException) {
             lastOk = false
             failures.add()
-            throw if (e.mayBeCarriedOut) StoreSilent("$path: ${e.message}") else StoreRefused("$path: ${e.message}")
+            throw if (e.mayBeCarriedOut) StoreTimeoutException("$path: ${e.message}") else StoreUnavailableException("$path: ${e.message}")
         }
     }
 
@@ -155,31 +155,31 @@
         if (waitMs > 0) Thread.sleep(waitMs)
     }
 
-    private fun overShare() = StoreRefused("over this node's share of the rate")
+    private fun overShare() = StoreUnavailableException("over this node's share of the rate")
 
     /** Each key is told once: users may send the same request any number of times. */
-    private fun rejected(transaction: Transaction, reply: Reply): StoreRejected {
-        val rejected = StoreRejected.of(transaction, reply.text.take(MAX_TOLD))
+    private fun rejected(transaction: Transaction, reply: Reply): StoreRequestRejectedException {
+        val rejected = StoreRequestRejectedException.of(transaction, reply.text.take(MAX_TOLD))
         if (rejections.size >= MAX_REJECTIONS) rejections.clear()
         if (rejections.add(rejected.largestKey)) log.error("the state service takes no such transaction: {}", rejected.message)
         return rejected
     }
 
-    private fun refused(reply: Reply) = StoreRefused("status ${reply.status}")
+    private fun refused(reply: Reply) = StoreUnavailableException("status ${reply.status}")
 
     private inline fun <reified T> decode(reply: Reply): T = try {
         WireJson.decodeFromString<T>(reply.text)
     } catch (e: SerializationException) {
-        throw StoreSilent("malformed answer: ${e.message}")
+        throw StoreTimeoutException("malformed answer: ${e.message}")
     }
 
     @Serializable
     private class EntryBody(
         @SerialName("path") val key: String,
         @SerialName("data") val value: JsonElement,
-        @SerialName("stamp") val stamp: Stamp,
+        @SerialName("stamp") val modRevision: ModRevision,
     ) {
-        fun toEntry() = Entry(key, value, stamp)
+        fun toEntry() = Entry(key, value, modRevision)
     }
 
     @Serializable
@@ -190,18 +190,18 @@
     )
 
     @Serializable
-    private class ConditionBody(@SerialName("path") val key: String, @SerialName("stamp") val stamp: Stamp)
+    private class CompareBody(@SerialName("path") val key: String, @SerialName("stamp") val modRevision: ModRevision)
 
     @Serializable
     private class WriteBody(
         @SerialName("write") val put: String? = null,
         @SerialName("data") val value: JsonElement? = null,
-        @SerialName("hold") val hold: HoldId? = null,
+        @SerialName("hold") val storeLease: StoreLeaseId? = null,
         @SerialName("delete") val delete: String? = null,
     )
 
     @Serializable
-    private class CommitBody(@SerialName("if") val conditions: List<ConditionBody>, @SerialName("writes") val writes: List<WriteBody>)
+    private class CommitBody(@SerialName("if") val compares: List<CompareBody>, @SerialName("writes") val writes: List<WriteBody>)
 
     @Serializable
     private class RevisionBody(@SerialName("ledger") val revision: Revision)
@@ -213,19 +213,19 @@
     private class TtlBody(@SerialName("ttlMs") val ttlMs: Long)
 
     @Serializable
-    private class HoldBody(@SerialName("hold") val hold: HoldId)
+    private class LeaseBody(@SerialName("hold") val storeLease: StoreLeaseId)
 
     @Serializable
-    private class FollowBody(@SerialName("ledger") val revision: Revision, @SerialName("news") val news: List<ChangeBody> = emptyList())
+    private class WatchBody(@SerialName("ledger") val revision: Revision, @SerialName("news") val news: List<ChangeBody> = emptyList())
 
     @Serializable
     private class ChangeBody(
         @SerialName("write") val put: String? = null,
         @SerialName("data") val value: JsonElement? = null,
         @SerialName("delete") val delete: String? = null,
-        @SerialName("stamp") val stamp: Stamp,
+        @SerialName("stamp") val modRevision: ModRevision,
     ) {
-        fun toChange() = Change(put ?: delete.orEmpty(), if (put != null) value else null, stamp)
+        fun toChange() = WatchEvent(put ?: delete.orEmpty(), if (put != null) value else null, modRevision)
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
+++ b/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.JobId
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
 import mountmast.protocol.WireJson
 import java.security.MessageDigest
@@ -38,11 +38,11 @@
             Write.Put(Keys.prerequisiteList(job, reference.digest, number), value)
         }
         // Whoever wrote these keys before wrote the same, as the digest is part of them.
-        val conditions = writes.map { Condition(it.key, Stamp.ABSENT) }
-        if (store.commit(Transaction(conditions, writes)) is CommitOutcome.Committed) return
+        val compares = writes.map { Compare(it.key, ModRevision.ABSENT) }
+        if (store.commit(Transaction(compares, writes)) is TransactionResult.Committed) return
         // An earlier try left some of them behind: what is missing is written one by one.
-        for ((write, condition) in writes.zip(conditions)) {
-            if (store.get(write.key) == null) store.commit(Transaction(listOf(condition), listOf(write)))
+        for ((write, compare) in writes.zip(compares)) {
+            if (store.get(write.key) == null) store.commit(Transaction(listOf(compare), listOf(write)))
         }
     }
 
@@ -54,7 +54,7 @@
 
     private fun readPart(job: JobId, digest: String, part: Int): List<JobId> {
         val key = Keys.prerequisiteList(job, digest, part)
-        val entry = store.get(key) ?: throw StoreSilent("$key is missing")
+        val entry = store.get(key) ?: throw StoreTimeoutException("$key is missing")
         return WireJson.decodeFromJsonElement<PrerequisiteListPart>(entry.value).jobs
     }
 
--- a/src/main/kotlin/mountmast/storage/RateShare.kt
+++ b/src/main/kotlin/mountmast/storage/TokenBucket.kt
@@ -3,19 +3,19 @@
 import mountmast.protocol.StateLimits
 
 /**
- * How much may be written now without being in the way of users: see [StateStore.writeRoom].
+ * How much may be written now without being in the way of users: see [StateStore.writeBudget].
  *
- * @property spare changes that may be written at once
- * @property isShort whether less is left than usual, so that whatever can wait should
+ * @property available changes that may be written at once
+ * @property isScarce whether less is left than usual, so that whatever can wait should
  */
-data class WriteRoom(val spare: Int, val isShort: Boolean) {
+data class WriteBudget(val available: Int, val isScarce: Boolean) {
     companion object {
-        val AMPLE = WriteRoom(Int.MAX_VALUE, isShort = false)
+        val AMPLE = WriteBudget(Int.MAX_VALUE, isScarce = false)
     }
 }
 
 /** How the rates of the state service are divided among the nodes. */
-object RateShares {
+object StoreRateQuota {
     /** The leader writes more than the others, which have more users to answer; all nodes together stay within the rates. */
     fun writes(limits: StateLimits, nodes: Int, leads: Boolean) = limits.writesPerSecond * share(nodes, leads, LEADER_WRITES)
 
@@ -38,7 +38,7 @@
  * A node's share of a rate, as a token bucket of one second's worth. Work in the background leaves a reserve in it, so that
  * what users wait for finds room at once.
  */
-class RateShare(rate: Double, private val nowNanos: () -> Long) {
+class TokenBucket(rate: Double, private val nowNanos: () -> Long) {
     private var rate = rate
     private var tokens = capacity
     private var filledAt = nowNanos()
@@ -67,11 +67,11 @@
 
     /** What work in the background may take now. */
     @Synchronized
-    fun room(): WriteRoom {
+    fun room(): WriteBudget {
         fill()
         val reserve = capacity * RESERVED_SHARE
-        val spare = tokens - reserve
-        return WriteRoom(maxOf(0, spare.toInt()), spare < (capacity - reserve) * SHORT_SHARE)
+        val available = tokens - reserve
+        return WriteBudget(maxOf(0, available.toInt()), available < (capacity - reserve) * SHORT_SHARE)
     }
 
     private fun fill() {
--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -19,7 +19,7 @@
 import mountmast.protocol.NodeId
 import mountmast.protocol.PeerHello
 import mountmast.protocol.RelayRequest
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
@@ -30,13 +30,13 @@
 import mountmast.standin.StandInStore
 import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
 import mountmast.storage.ProgressRecord
 import mountmast.storage.StateStore
-import mountmast.storage.StoreRejected
+import mountmast.storage.StoreRequestRejectedException
 import mountmast.storage.Transaction
 import mountmast.storage.TypesForm
 import mountmast.storage.Write
@@ -109,7 +109,7 @@
         publicRoutes(users, beats, AdmissionLimits(AdmissionLimit(1, 1), AdmissionLimit(1, 1)), metrics)
 
     private fun put(key: String, value: JsonElement) {
-        store.commit(Transaction(listOf(Condition(key, Stamp.ABSENT)), listOf(Write.Put(key, value))))
+        store.commit(Transaction(listOf(Compare(key, ModRevision.ABSENT)), listOf(Write.Put(key, value))))
     }
 
     private fun altered(vararg changes: Pair<String, JsonElement>) = JsonObject(job + changes)
@@ -240,15 +240,15 @@
     private fun storeFaults() {
         routes(service(knowsTypes = false)).submit("no machine types", named("j-70"))
         val conflicting = object : StateStore by store {
-            override fun commit(transaction: Transaction): CommitOutcome {
+            override fun commit(transaction: Transaction): TransactionResult {
                 val onlyCompares = transaction.writes.isEmpty()
-                return if (onlyCompares) store.commit(transaction) else CommitOutcome.Conflict(transaction.conditions.map { it.key })
+                return if (onlyCompares) store.commit(transaction) else TransactionResult.CompareFailed(transaction.compares.map { it.key })
             }
         }
         routes(service(conflicting)).submit("conflict", named("j-70"))
         routes(service(conflicting)).cancel("conflict", "j-2")
         val rejecting = object : StateStore by store {
-            override fun commit(transaction: Transaction) = throw StoreRejected.of(transaction, "too large")
+            override fun commit(transaction: Transaction) = throw StoreRequestRejectedException.of(transaction, "too large")
         }
         routes(service(rejecting)).submit("record rejected", named("j-70"))
         val cutOff = service()
--- a/src/test/kotlin/mountmast/contract/SerializedExamples.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedExamples.kt
@@ -6,7 +6,7 @@
 import mountmast.protocol.Attempt
 import mountmast.protocol.ExitCause
 import mountmast.protocol.HeartbeatResponse
-import mountmast.protocol.HoldId
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobAnswer
 import mountmast.protocol.JobId
@@ -34,7 +34,7 @@
 import mountmast.protocol.Revision
 import mountmast.protocol.Session
 import mountmast.protocol.Shape
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.TaskState
 import mountmast.protocol.TeamId
 import mountmast.protocol.Term
@@ -170,9 +170,9 @@
         example("worker-epoch", Session(ULong.MAX_VALUE)),
         example("report-number", ReportNumber(ULong.MAX_VALUE)),
         example("attempt", Attempt(ULong.MAX_VALUE)),
-        example("key-version", Stamp(ULong.MAX_VALUE)),
+        example("key-version", ModRevision(ULong.MAX_VALUE)),
         example("store-revision", Revision(ULong.MAX_VALUE)),
-        example("store-lease", HoldId(ULong.MAX_VALUE)),
+        example("store-lease", StoreLeaseId(ULong.MAX_VALUE)),
         example("wall-time", WallTime(1_700_000_010_088)),
     )
 
--- a/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
@@ -7,14 +7,14 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.protobuf.ProtoBuf
 import mountmast.protocol.Attempt
-import mountmast.protocol.HoldId
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.JobId
 import mountmast.protocol.JobValidation
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.Revision
 import mountmast.protocol.Session
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TaskId
 import mountmast.protocol.WallTime
@@ -23,13 +23,13 @@
 import mountmast.standin.StandInStore
 import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
-import mountmast.storage.Change
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
+import mountmast.storage.WatchEvent
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
 import mountmast.storage.Entry
 import mountmast.storage.EntryPage
 import mountmast.storage.FORMAT_VERSION
-import mountmast.storage.FollowOutcome
+import mountmast.storage.WatchResult
 import mountmast.storage.HttpStateStore
 import mountmast.storage.JobRecord
 import mountmast.storage.JournalReader
@@ -341,7 +341,7 @@
         }
         server.start()
         try {
-            val store = HttpStateStore(server.address, StateLimits(1000.0, 1000.0, 2.0, 5), nodes = 1).apply { shareAs(leader = true) }
+            val store = HttpStateStore(server.address, StateLimits(1000.0, 1000.0, 2.0, 5), nodes = 1).apply { setRole(leader = true) }
             val results = ArrayList<Any?>()
             fun exchange(answerName: String, answerStatus: Int = 200, call: () -> Any?) {
                 answer = calls[answerName]
@@ -350,31 +350,31 @@
             }
             val value = WireJson.parseToJsonElement("""{"term":3}""")
             val transaction = Transaction(
-                listOf(Condition("term", Stamp(8u)), Condition("lead", Stamp.ABSENT)),
-                listOf(Write.Put("lead", value, HoldId(77u)), Write.Put("term", value), Write.Delete("j/j-1")),
+                listOf(Compare("term", ModRevision(8u)), Compare("lead", ModRevision.ABSENT)),
+                listOf(Write.Put("lead", value, StoreLeaseId(77u)), Write.Put("term", value), Write.Delete("j/j-1")),
             )
-            val entry = Entry("term", value, Stamp(8u))
+            val entry = Entry("term", value, ModRevision(8u))
             exchange("get-answer") { store.get("term") }
             exchange("list-answer-full") { store.list("j/", "j/j-1", 50) }
             exchange("list-answer-least") { store.list("j/", null, 50) }
             exchange("commit-answer") { store.commit(transaction) }
             exchange("conflict-answer", 409) { store.commit(Transaction(emptyList(), emptyList())) }
-            exchange("grant-answer") { store.grantHold(6000) }
-            exchange("empty-answer") { store.renewHold(HoldId(77u)) }
-            exchange("empty-answer") { store.dropHold(HoldId(77u)) }
-            exchange("follow-answer-full") { store.follow("j/", Revision(12u), 250) }
-            exchange("follow-answer-least") { store.follow("", Revision(13u), 0) }
+            exchange("grant-answer") { store.grantLease(6000) }
+            exchange("empty-answer") { store.keepAlive(StoreLeaseId(77u)) }
+            exchange("empty-answer") { store.revokeLease(StoreLeaseId(77u)) }
+            exchange("follow-answer-full") { store.watch("j/", Revision(12u), 250) }
+            exchange("follow-answer-least") { store.watch("", Revision(13u), 0) }
             val expected = listOf(
                 entry,
                 EntryPage(listOf(entry), more = true, Revision(12u)),
                 EntryPage(emptyList(), more = false, Revision(12u)),
-                CommitOutcome.Committed(Revision(13u)),
-                CommitOutcome.Conflict(listOf("term", "lead")),
-                HoldId(77u),
+                TransactionResult.Committed(Revision(13u)),
+                TransactionResult.CompareFailed(listOf("term", "lead")),
+                StoreLeaseId(77u),
                 true,
                 Unit,
-                FollowOutcome.Changes(listOf(Change("term", value, Stamp(9u)), Change("j/j-1", null, Stamp(10u))), Revision(13u)),
-                FollowOutcome.Changes(emptyList(), Revision(13u)),
+                WatchResult.Changes(listOf(WatchEvent("term", value, ModRevision(9u)), WatchEvent("j/j-1", null, ModRevision(10u))), Revision(13u)),
+                WatchResult.Changes(emptyList(), Revision(13u)),
             )
             assertEquals(expected, results, "calls.txt, the lines of the answers")
         } finally {
--- a/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
@@ -56,7 +56,7 @@
     fun `cancellations a leader cannot be told of end within their time, though a renewal gets through`() = meeting {
         // No notice arrives and no change is seen, but a lucky renewal makes the old grace begin anew.
         leading.trouble.peersCutUntil = world.time.now + 90_000
-        leading.trouble.followsNothingUntil = world.time.now + 90_000
+        leading.trouble.watchesNothingUntil = world.time.now + 90_000
         world.run(500, busy = false)
         jobs.forEach { confirm(it) }
         world.run(8000, busy = false)
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -141,7 +141,7 @@
         world.expectDone(listOf(world.accept(world.plainJob(1))), 30_000)
         val id = world.accept(world.plainJob(2))
         val leading = world.seats.first { it.controller?.leaderTerm() != null }.controller!!
-        leading.follow(0)
+        leading.watch(0)
         leading.pass()
         assertTrue(world.leader().ledger.jobs.getValue(id).live.values.all { it.phase == Phase.INTENDED })
         assertEquals(200, world.cancel(id))
--- a/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
@@ -2,15 +2,15 @@
 
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.JobId
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
 import mountmast.standin.StandInStore
 import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.standin.World
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
 import mountmast.storage.Entry
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
@@ -42,7 +42,7 @@
 
     private val store = object : StateStore by inner {
         override fun get(key: String): Entry? = counted { inner.get(key) }
-        override fun commit(transaction: Transaction): CommitOutcome = counted { inner.commit(transaction) }
+        override fun commit(transaction: Transaction): TransactionResult = counted { inner.commit(transaction) }
 
         private fun <T> counted(act: () -> T): T {
             asked.incrementAndGet()
@@ -55,9 +55,9 @@
     private val reader = JobReader(store, 8, maxWaitMs = PATIENCE_S * 1000)
     private val jobs = (1..20).map { World(1).job(it) }
 
-    private fun put(number: Int, cancelled: Boolean, stamp: Stamp) = inner.commit(
+    private fun put(number: Int, cancelled: Boolean, modRevision: ModRevision) = inner.commit(
         Transaction(
-            listOf(Condition(Keys.job(jobs[number].id), stamp)),
+            listOf(Compare(Keys.job(jobs[number].id), modRevision)),
             listOf(Write.Put(Keys.job(jobs[number].id), WireJson.encodeToJsonElement(JobRecord(jobs[number], WallTime(0), cancelled)))),
         ),
     )
@@ -75,7 +75,7 @@
 
     @Test
     fun `questions that wait together are answered with few requests, and as the store has it after they came`() {
-        jobs.indices.forEach { put(it, false, Stamp.ABSENT) }
+        jobs.indices.forEach { put(it, false, ModRevision.ABSENT) }
         jobs.forEach { reader.read(it.id) }
         asked.set(0)
         gated = true
@@ -87,7 +87,7 @@
         // The first waits for the store, all others for their answers.
         waitUntil { threads.count { it.state == Thread.State.TIMED_WAITING } == jobs.size }
         // The first request is still under way: what changes now must be in every answer but perhaps the first.
-        synchronized(inner) { put(5, true, checkNotNull(inner.get(Keys.job(jobs[5].id))).stamp) }
+        synchronized(inner) { put(5, true, checkNotNull(inner.get(Keys.job(jobs[5].id))).modRevision) }
         gated = false
         gate.release(100)
         assertEquals(listOf(5), rest.indices.filter { rest[it].get(PATIENCE_S, TimeUnit.SECONDS) }.map { it + 1 })
@@ -99,7 +99,7 @@
     @Test
     fun `an unknown job is unknown, and a failure is told to whoever asked and passes`() {
         assertEquals(JobState.Unknown, reader.read(jobs[0].id))
-        put(0, false, Stamp.ABSENT)
+        put(0, false, ModRevision.ABSENT)
         val trouble = Trouble(time).apply { storeRefusedUntil = 100 }
         val failing = JobReader(StandInStore(time).View(Random(1), trouble), 8)
         repeat(3) { assertThrows(StoreException::class.java) { failing.read(jobs[0].id) } }
--- a/src/test/kotlin/mountmast/coordination/jobs/JobWatchTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobWatchTest.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.JobId
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
 import mountmast.standin.StandInStore
@@ -26,8 +26,8 @@
     private val standIn = StandInStore(time, keptChanges = 10)
     private val trouble = Trouble(time)
     private val store = standIn.View(Random(1), trouble)
-    private val heard = ArrayList<Pair<JobId, Stamp>>()
-    private val watch = JobWatch(store) { record, stamp -> heard += record.spec.id to stamp }
+    private val heard = ArrayList<Pair<JobId, ModRevision>>()
+    private val watch = JobWatch(store) { record, modRevision -> heard += record.spec.id to modRevision }
     private val jobs = (1..30).map { World(1).job(it) }
 
     private fun put(key: String, value: JsonElement) = store.commit(Transaction(emptyList(), listOf(Write.Put(key, value))))
@@ -44,7 +44,7 @@
         accept(2)
         repeat(3) { assertTrue(watch.step(0)) }
         assertEquals(listOf(jobs[1].id, jobs[2].id), heard.map { it.first })
-        assertEquals(store.get(Keys.job(jobs[2].id))?.stamp, heard.last().second)
+        assertEquals(store.get(Keys.job(jobs[2].id))?.modRevision, heard.last().second)
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/membership/FormatAgreementTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/FormatAgreementTest.kt
@@ -4,14 +4,14 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.NodeId
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
 import mountmast.standin.StandInStore
 import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.standin.World
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
 import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.FormatRecord
 import mountmast.storage.Keys
@@ -41,9 +41,9 @@
 
     private fun stored(): JsonElement? = store.get(Keys.FORMAT)?.value
 
-    private fun put(value: JsonElement, stamp: Stamp = Stamp.ABSENT) {
-        val outcome = store.commit(Transaction(listOf(Condition(Keys.FORMAT, stamp)), listOf(Write.Put(Keys.FORMAT, value))))
-        assertTrue(outcome is CommitOutcome.Committed)
+    private fun put(value: JsonElement, modRevision: ModRevision = ModRevision.ABSENT) {
+        val outcome = store.commit(Transaction(listOf(Compare(Keys.FORMAT, modRevision)), listOf(Write.Put(Keys.FORMAT, value))))
+        assertTrue(outcome is TransactionResult.Committed)
     }
 
     private fun record(version: Int) = WireJson.encodeToJsonElement(FormatRecord(version))
@@ -163,9 +163,9 @@
             formats.steps(2)
             val entry = here.get(Keys.FORMAT)
             while (true) {
-                val condition = Condition(Keys.FORMAT, entry?.stamp ?: Stamp.ABSENT)
+                val compare = Compare(Keys.FORMAT, entry?.modRevision ?: ModRevision.ABSENT)
                 val write = Write.Put(Keys.FORMAT, record(FORMAT_VERSION + 1))
-                if (runCatching { here.commit(Transaction(listOf(condition), listOf(write))) }.isSuccess) break
+                if (runCatching { here.commit(Transaction(listOf(compare), listOf(write))) }.isSuccess) break
             }
             repeat(60) {
                 time.advance(1000)
@@ -186,7 +186,7 @@
         formats.step()
         assertTrue(formats.isCurrent)
         assertEquals(record(FORMAT_VERSION), stored())
-        put(record(FORMAT_VERSION + 1), checkNotNull(store.get(Keys.FORMAT)).stamp)
+        put(record(FORMAT_VERSION + 1), checkNotNull(store.get(Keys.FORMAT)).modRevision)
         assertTrue(agreement().apply { step() }.isCurrent)
     }
 
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -15,7 +15,7 @@
 import mountmast.coordination.election.Timing
 import mountmast.coordination.scheduling.Policy
 import mountmast.coordination.state.Ledger
-import mountmast.protocol.HoldId
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
@@ -30,7 +30,7 @@
 import mountmast.protocol.RelayAnswer
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.Shape
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.protocol.Term
@@ -322,7 +322,7 @@
     /** What a leader reads from [store]. */
     private fun loaded(store: StateStore): LeaderTerm {
         val clock = time.clock(0.0, 0)
-        val grant = LeadershipGrant(Term(1u shl 30), Stamp(1u), HoldId(1u), clock.now(), WallTime(0))
+        val grant = LeadershipGrant(Term(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
         val timing = Timing.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, reportS = 1.0)
         val lists = PrerequisiteLists(store, StateLimits(80.0, 30.0, 8.0, 16))
         return LeaderTerm(grant, store, NoWorkers, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
--- a/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
@@ -9,7 +9,7 @@
 import mountmast.standin.FallingLimits
 import mountmast.standin.World
 import mountmast.standin.WriteKind
-import mountmast.storage.RateShares
+import mountmast.storage.StoreRateQuota
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -65,7 +65,7 @@
             val before = HashMap(world.store.writesByKind)
             val startedBefore = world.rules.started
             val refusedBefore = refused
-            val share = RateShares.writes(LIMITS, 3, leads = true)
+            val share = StoreRateQuota.writes(LIMITS, 3, leads = true)
             val beganAt = world.time.now
             run(MEASURED_MS)
             val seconds = (world.time.now - beganAt) / 1000.0
--- a/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
@@ -5,7 +5,7 @@
 import mountmast.protocol.JobStatus
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Shape
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
 import mountmast.standin.World
@@ -34,7 +34,7 @@
 
     private fun add(number: Int, vararg needs: Int, change: (JobSpec) -> JobSpec = { it }): Job {
         val record = record(number, needs.map(::id), change)
-        return ledger.putJob(record, Stamp(1u), now).also { dependencies.added(it, record, now) }
+        return ledger.putJob(record, ModRevision(1u), now).also { dependencies.added(it, record, now) }
     }
 
     private fun end(number: Int, status: JobStatus = JobStatus.DONE, at: Long = 0) {
@@ -84,7 +84,7 @@
     fun `a job whose list is kept apart waits until the list is read`() {
         add(1)
         val record = record(2, emptyList()).copy(prerequisiteList = PrerequisiteListRef("d", 1))
-        val job = ledger.putJob(record, Stamp(1u), now)
+        val job = ledger.putJob(record, ModRevision(1u), now)
         dependencies.added(job, record, now)
         assertFalse(job.isReleased)
         assertEquals(listOf(id(2)), dependencies.unreadLists().map { it.spec.id })
@@ -144,7 +144,7 @@
             for (number in order) {
                 val needs = if (number == 1) emptyList() else listOf(id(number - 1))
                 val record = record(number, needs) { if (number == 4) it.copy(deadlineS = 100.0) else it }
-                dependencies.added(ledger.putJob(record, Stamp(1u), now), record, now)
+                dependencies.added(ledger.putJob(record, ModRevision(1u), now), record, now)
             }
             assertEquals(70_000L, ledger.jobs.getValue(id(1)).effectiveDue?.ms, "$order")
         }
--- a/src/test/kotlin/mountmast/coordination/state/LedgerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/LedgerTest.kt
@@ -10,7 +10,7 @@
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Session
 import mountmast.protocol.Shape
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
 import mountmast.protocol.Term
@@ -28,7 +28,7 @@
 class LedgerTest {
     private val ledger = Ledger(0.7)
     private val spec = World(1).job(1) { it.copy(shape = Shape.ARRAY, tasks = 20, estimateS = 1.0) }
-    private val job = ledger.putJob(JobRecord(spec, WallTime(0)), Stamp(1u), MonotonicTime(0))
+    private val job = ledger.putJob(JobRecord(spec, WallTime(0)), ModRevision(1u), MonotonicTime(0))
     private var reportNumber = 0uL
 
     private fun report(machine: String, at: Long, vararg tasks: ReportedTask, session: ULong = 1u): Boolean = ReportIntake(ledger).take(
@@ -146,7 +146,7 @@
                     },
                     WallTime(0),
                 ),
-                Stamp(1u),
+                ModRevision(1u),
                 MonotonicTime(0),
             )
         }
--- a/src/test/kotlin/mountmast/soak/StoreServer.kt
+++ b/src/test/kotlin/mountmast/soak/StoreServer.kt
@@ -9,20 +9,20 @@
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
 import kotlinx.serialization.json.long
-import mountmast.protocol.HoldId
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.Revision
-import mountmast.protocol.Stamp
+import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
-import mountmast.storage.Change
-import mountmast.storage.CommitOutcome
-import mountmast.storage.Condition
+import mountmast.storage.WatchEvent
+import mountmast.storage.TransactionResult
+import mountmast.storage.Compare
 import mountmast.storage.Entry
-import mountmast.storage.FollowOutcome
-import mountmast.storage.HoldEnded
+import mountmast.storage.WatchResult
+import mountmast.storage.StoreLeaseExpiredException
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
-import mountmast.storage.StoreRejected
-import mountmast.storage.StoreSilent
+import mountmast.storage.StoreRequestRejectedException
+import mountmast.storage.StoreTimeoutException
 import mountmast.storage.Transaction
 import mountmast.storage.Write
 import java.util.concurrent.ExecutorService
@@ -49,13 +49,13 @@
     }
 
     private fun refusal(reason: StoreException): StandInAnswer? = when (reason) {
-        is StoreSilent -> {
+        is StoreTimeoutException -> {
             // Carried out or not, now or later: the caller is not told.
             Thread.sleep(SILENT_MS)
             null
         }
-        is HoldEnded -> StandInAnswer(400, """{"error":"no such lease"}""")
-        is StoreRejected -> StandInAnswer(400, """{"error":"too large"}""")
+        is StoreLeaseExpiredException -> StandInAnswer(400, """{"error":"no such lease"}""")
+        is StoreRequestRejectedException -> StandInAnswer(400, """{"error":"too large"}""")
         else -> StandInAnswer(503, """{"error":"trouble"}""")
     }
 
@@ -63,29 +63,29 @@
         val path = request.path
         return when {
             path == "/commit" -> commit(WireJson.parseToJsonElement(request.body).jsonObject)
-            path == "/follow" -> follow(request)
-            path == "/holds" -> grantHold(request.body)
-            path.endsWith("/renew") -> renew(holdOf(path.removeSuffix("/renew")))
-            path.startsWith("/holds/") -> drop(holdOf(path))
+            path == "/follow" -> watch(request)
+            path == "/holds" -> grantLease(request.body)
+            path.endsWith("/renew") -> renew(leaseOf(path.removeSuffix("/renew")))
+            path.startsWith("/holds/") -> drop(leaseOf(path))
             path == "/store" -> list(request)
             else -> get(path.removePrefix("/store/"))
         }
     }
 
-    private fun holdOf(path: String) = HoldId(path.removePrefix("/holds/").toULong())
+    private fun leaseOf(path: String) = StoreLeaseId(path.removePrefix("/holds/").toULong())
 
     private fun ok(body: JsonElement) = StandInAnswer(200, body.toString())
 
-    private fun grantHold(body: String): StandInAnswer {
+    private fun grantLease(body: String): StandInAnswer {
         val ttlMs = WireJson.parseToJsonElement(body).jsonObject.getValue("ttlMs").jsonPrimitive.long
-        val hold = clock.locked { view.grantHold(ttlMs) }
-        return ok(buildJsonObject { put("hold", number(hold.number)) })
+        val storeLease = clock.locked { view.grantLease(ttlMs) }
+        return ok(buildJsonObject { put("hold", number(storeLease.number)) })
     }
 
-    private fun renew(hold: HoldId) = if (clock.locked { view.renewHold(hold) }) StandInAnswer(200, "{}") else StandInAnswer(404, "{}")
+    private fun renew(storeLease: StoreLeaseId) = if (clock.locked { view.keepAlive(storeLease) }) StandInAnswer(200, "{}") else StandInAnswer(404, "{}")
 
-    private fun drop(hold: HoldId): StandInAnswer {
-        clock.locked { view.dropHold(hold) }
+    private fun drop(storeLease: StoreLeaseId): StandInAnswer {
+        clock.locked { view.revokeLease(storeLease) }
         return StandInAnswer(200, "{}")
     }
 
@@ -107,45 +107,45 @@
     }
 
     private fun commit(body: JsonObject): StandInAnswer {
-        val conditions = body["if"]?.jsonArray.orEmpty().map { Condition(text(it, "path"), Stamp(count(it, "stamp"))) }
+        val compares = body["if"]?.jsonArray.orEmpty().map { Compare(text(it, "path"), ModRevision(count(it, "stamp"))) }
         val writes = body["writes"]?.jsonArray.orEmpty().map { it.jsonObject }.map { write ->
             if ("delete" in write) {
                 Write.Delete(text(write, "delete"))
             } else {
-                val hold = write["hold"]?.let { HoldId(count(write, "hold")) }
-                Write.Put(text(write, "write"), write.getValue("data"), hold)
+                val storeLease = write["hold"]?.let { StoreLeaseId(count(write, "hold")) }
+                Write.Put(text(write, "write"), write.getValue("data"), storeLease)
             }
         }
-        val isNewJob = writes.size == 1 && conditions.any { it.stamp == Stamp.ABSENT && it.key == writes[0].key && it.key.startsWith("j/") }
+        val isNewJob = writes.size == 1 && compares.any { it.modRevision == ModRevision.ABSENT && it.key == writes[0].key && it.key.startsWith("j/") }
         val isLost = losesJobs && isNewJob && newJobs++ % LOST_ONE_IN == 0
-        val transaction = if (isLost) Transaction(conditions, emptyList()) else Transaction(conditions, writes)
+        val transaction = if (isLost) Transaction(compares, emptyList()) else Transaction(compares, writes)
         return when (val outcome = clock.locked { view.commit(transaction) }) {
-            is CommitOutcome.Committed -> ok(buildJsonObject { put("ledger", number(outcome.revision.number)) })
-            is CommitOutcome.Conflict -> {
+            is TransactionResult.Committed -> ok(buildJsonObject { put("ledger", number(outcome.revision.number)) })
+            is TransactionResult.CompareFailed -> {
                 val failed = JsonArray(outcome.failed.map(::JsonPrimitive))
                 StandInAnswer(409, buildJsonObject { put("failed", failed) }.toString())
             }
         }
     }
 
-    private fun follow(request: StandInRequest): StandInAnswer {
+    private fun watch(request: StandInRequest): StandInAnswer {
         val prefix = request.parameter("starts").orEmpty()
         val from = Revision(checkNotNull(request.parameter("from")).toULong())
         val until = System.nanoTime() + (request.parameter("waitMs")?.toLong() ?: 0) * NANOS_PER_MS
         while (true) {
-            val outcome = clock.locked { view.follow(prefix, from, 0) }
-            if (outcome !is FollowOutcome.Changes) return StandInAnswer(410, "{}")
+            val outcome = clock.locked { view.watch(prefix, from, 0) }
+            if (outcome !is WatchResult.Changes) return StandInAnswer(410, "{}")
             if (outcome.changes.isNotEmpty() || System.nanoTime() >= until) return ok(body(outcome))
-            Thread.sleep(FOLLOW_STEP_MS)
+            Thread.sleep(WATCH_STEP_MS)
         }
     }
 
-    private fun body(outcome: FollowOutcome.Changes) = buildJsonObject {
+    private fun body(outcome: WatchResult.Changes) = buildJsonObject {
         put("ledger", number(outcome.upTo.number))
         put("news", JsonArray(outcome.changes.map(::body)))
     }
 
-    private fun body(change: Change) = buildJsonObject {
+    private fun body(change: WatchEvent) = buildJsonObject {
         val value = change.value
         if (value == null) {
             put("delete", JsonPrimitive(change.key))
@@ -153,13 +153,13 @@
             put("write", JsonPrimitive(change.key))
             put("data", value)
         }
-        put("stamp", number(change.stamp.number))
+        put("stamp", number(change.modRevision.number))
     }
 
     private fun body(entry: Entry) = buildJsonObject {
         put("path", JsonPrimitive(entry.key))
         put("data", entry.value)
-        put("stamp", number(entry.stamp.number))
+        put("stamp", number(entry.modRevision.number))
     }
 
     private fun number(value: ULong) = JsonPrimitive(value.toLong())
@@ -173,7 +173,7 @@
     private companion object {
         const val SILENT_MS = 2000L
         const val LOST_ONE_IN = 3
-        const val FOLLOW_STEP_MS = 25L
+        const val WATCH_STEP_MS = 25L
         const val NANOS_PER_MS = 1_000_000L
     }
 }
--- a/src/test/kotlin/mountmast/standin/ControllerSeat.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerSeat.kt
@@ -80,7 +80,7 @@
         Step(2000L) { running.greet() },
         Step(300L) { running.pass() },
         Step(100L) { running.write() },
-        Step(150L) { if (running.follow(0)) running.resolvePrerequisites() },
+        Step(150L) { if (running.watch(0)) running.resolvePrerequisites() },
         Step(1000L) { running.manageFleet() },
         Step(300L) { running.watchJobs(0) },
         Step(100L) { while (running.post(0) || running.call()) Unit },
--- a/src/test/kotlin/mountmast/standin/Failures.kt
+++ b/src/test/kotlin/mountmast/standin/Failures.kt
@@ -67,7 +67,7 @@
             26 -> trouble.lateWritesUntil = until
             32 -> world.store.outage(random.nextLong(World.CANCEL_MS, 2 * World.CANCEL_MS))
             34 -> leader()?.trouble?.let { its ->
-                its.followsNothingUntil = until
+                its.watchesNothingUntil = until
                 its.peersCutUntil = until
             }
             else -> return false
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -1,26 +1,26 @@
 package mountmast.standin
 
 import kotlinx.serialization.json.JsonElement
-import mountmast.protocol.HoldId
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.Revision
-import mountmast.protocol.Stamp
-import mountmast.storage.Change
-import mountmast.storage.CommitOutcome
+import mountmast.protocol.ModRevision
+import mountmast.storage.WatchEvent
+import mountmast.storage.TransactionResult
 import mountmast.storage.Entry
 import mountmast.storage.EntryPage
-import mountmast.storage.FollowOutcome
-import mountmast.storage.HoldEnded
+import mountmast.storage.WatchResult
+import mountmast.storage.StoreLeaseExpiredException
 import mountmast.storage.Keys
-import mountmast.storage.RateShare
-import mountmast.storage.RateShares
+import mountmast.storage.TokenBucket
+import mountmast.storage.StoreRateQuota
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
-import mountmast.storage.StoreRefused
-import mountmast.storage.StoreRejected
-import mountmast.storage.StoreSilent
+import mountmast.storage.StoreUnavailableException
+import mountmast.storage.StoreRequestRejectedException
+import mountmast.storage.StoreTimeoutException
 import mountmast.storage.Transaction
 import mountmast.storage.Write
-import mountmast.storage.WriteRoom
+import mountmast.storage.WriteBudget
 import java.util.TreeMap
 import kotlin.random.Random
 
@@ -32,13 +32,13 @@
     /** Entries in a page of a list: few, so that listing in several parts is exercised. */
     private val pageSize: Int = 7,
 ) {
-    private class Value(val data: JsonElement, val stamp: Long, val hold: Long?)
+    private class Value(val data: JsonElement, val modRevision: Long, val storeLease: Long?)
 
     private val values = TreeMap<String, Value>()
     private val holds = HashMap<Long, LongArray>() // ttl, ends
-    private val changes = ArrayDeque<Change>()
+    private val changes = ArrayDeque<WatchEvent>()
     private var revision = 0L
-    private var nextHold = 1L
+    private var nextLease = 1L
     private var outageUntil = 0L
     var largestValue = 0
         private set
@@ -72,25 +72,25 @@
 
     private fun refuseOverRate(): Nothing {
         overRate++
-        throw StoreRefused("status 429")
+        throw StoreUnavailableException("status 429")
     }
 
     private fun checkSizes(transaction: Transaction) {
         val now = limits.now(world)
         val sizes = transaction.writes.map { if (it is Write.Put) it.value.toString().encodeToByteArray().size else 0 }
         val fits = transaction.writes.size <= now.transactionOps &&
-            transaction.conditions.size <= now.transactionConditions &&
+            transaction.compares.size <= now.transactionCompares &&
             sizes.all { it <= now.valueKb * BYTES_PER_KB } &&
             sizes.sum() <= MAX_TRANSACTION_BYTES
         if (fits) return
         tooLarge++
-        throw StoreRejected.of(transaction, "too large")
+        throw StoreRequestRejectedException.of(transaction, "too large")
     }
 
     fun outage(forMs: Long) {
         outageUntil = maxOf(outageUntil, world.now + forMs)
         // An outage gives all leases their full time again.
-        for (hold in holds.values) hold[1] = maxOf(hold[1], outageUntil + hold[0])
+        for (storeLease in holds.values) storeLease[1] = maxOf(storeLease[1], outageUntil + storeLease[0])
     }
 
     val out: Boolean get() = world.now < outageUntil
@@ -100,21 +100,21 @@
         val ended = holds.filterValues { it[1] < world.now }.keys
         if (ended.isEmpty()) return
         holds.keys.removeAll(ended)
-        val gone = values.filterValues { it.hold in ended }.keys.toList()
+        val gone = values.filterValues { it.storeLease in ended }.keys.toList()
         if (gone.isNotEmpty()) revision++
         for (key in gone) delete(key)
     }
 
     private fun delete(key: String) {
-        if (values.remove(key) != null) note(Change(key, null, Stamp(revision.toULong())))
+        if (values.remove(key) != null) note(WatchEvent(key, null, ModRevision(revision.toULong())))
     }
 
-    private fun note(change: Change) {
+    private fun note(change: WatchEvent) {
         changes += change
         while (changes.size > keptChanges) changes.removeFirst()
     }
 
-    private fun commit(transaction: Transaction): CommitOutcome {
+    private fun commit(transaction: Transaction): TransactionResult {
         world.record { "store commits ${text(transaction)}" }
         try {
             return carryOut(transaction).also { world.record { "store answers ${text(it)}" } }
@@ -125,53 +125,53 @@
     }
 
     private fun text(transaction: Transaction): String {
-        val conditions = transaction.conditions.map { "${it.key}@${it.stamp.number}" }
+        val compares = transaction.compares.map { "${it.key}@${it.modRevision.number}" }
         val writes = transaction.writes.map {
             when (it) {
-                is Write.Put -> "${it.key}=${it.value} ${it.hold?.number}"
+                is Write.Put -> "${it.key}=${it.value} ${it.storeLease?.number}"
                 is Write.Delete -> "-${it.key}"
             }
         }
-        return "$conditions $writes"
+        return "$compares $writes"
     }
 
-    private fun text(outcome: CommitOutcome) = when (outcome) {
-        is CommitOutcome.Committed -> "committed ${outcome.revision.number}"
-        is CommitOutcome.Conflict -> "conflict ${outcome.failed}"
+    private fun text(outcome: TransactionResult) = when (outcome) {
+        is TransactionResult.Committed -> "committed ${outcome.revision.number}"
+        is TransactionResult.CompareFailed -> "conflict ${outcome.failed}"
     }
 
     private fun reason(failure: StoreException) = when (failure) {
-        is StoreRefused -> "refused"
-        is StoreRejected -> "rejected"
-        is StoreSilent -> "silent"
-        is HoldEnded -> "lease ended"
+        is StoreUnavailableException -> "refused"
+        is StoreRequestRejectedException -> "rejected"
+        is StoreTimeoutException -> "silent"
+        is StoreLeaseExpiredException -> "lease ended"
         else -> "failed"
     }
 
-    private fun carryOut(transaction: Transaction): CommitOutcome {
+    private fun carryOut(transaction: Transaction): TransactionResult {
         expire()
         checkSizes(transaction)
         checkWriteRate(transaction.writes.size)
         writes += transaction.writes.size
         mostOps = maxOf(mostOps, transaction.writes.size)
         for (write in transaction.writes) {
-            if (write is Write.Put && write.hold != null && write.hold!!.number.toLong() !in holds) throw HoldEnded(write.hold!!)
+            if (write is Write.Put && write.storeLease != null && write.storeLease!!.number.toLong() !in holds) throw StoreLeaseExpiredException(write.storeLease!!)
         }
-        val failed = transaction.conditions.filter { (values[it.key]?.stamp ?: 0L).toULong() != it.stamp.number }
-        if (failed.isNotEmpty()) return CommitOutcome.Conflict(failed.map { it.key })
+        val failed = transaction.compares.filter { (values[it.key]?.modRevision ?: 0L).toULong() != it.modRevision.number }
+        if (failed.isNotEmpty()) return TransactionResult.CompareFailed(failed.map { it.key })
         if (transaction.writes.isNotEmpty()) revision++
         for (write in transaction.writes) {
             writesByKind.merge(WriteKind.of(write), 1, Int::plus)
             when (write) {
                 is Write.Put -> {
-                    values[write.key] = Value(write.value, revision, write.hold?.number?.toLong())
+                    values[write.key] = Value(write.value, revision, write.storeLease?.number?.toLong())
                     largestValue = maxOf(largestValue, write.value.toString().length)
-                    note(Change(write.key, write.value, Stamp(revision.toULong())))
+                    note(WatchEvent(write.key, write.value, ModRevision(revision.toULong())))
                 }
                 is Write.Delete -> delete(write.key)
             }
         }
-        return CommitOutcome.Committed(Revision(revision.toULong()))
+        return TransactionResult.Committed(Revision(revision.toULong()))
     }
 
     /**
@@ -179,14 +179,14 @@
      * the days that seeds stand for as they were.
      */
     inner class View(private val random: Random, private val trouble: Trouble, private val formatRandom: Random = random) : StateStore {
-        override var reachable = true
+        override var isReachable = true
             private set
 
-        private val share = RateShare(RateShares.writes(limits.known, NODES, leads = false)) { world.now * NANOS_PER_MS }
+        private val share = TokenBucket(StoreRateQuota.writes(limits.known, NODES, leads = false)) { world.now * NANOS_PER_MS }
 
-        override fun shareAs(leader: Boolean) = share.setRate(RateShares.writes(limits.known, NODES, leader))
+        override fun setRole(leader: Boolean) = share.setRate(StoreRateQuota.writes(limits.known, NODES, leader))
 
-        override fun writeRoom(): WriteRoom = if (limits.enforcesRates) share.room() else WriteRoom.AMPLE
+        override fun writeBudget(): WriteBudget = if (limits.enforcesRates) share.room() else WriteBudget.AMPLE
 
         /** Asks for what [what] describes; [told] describes the answer. */
         private fun <T> ask(
@@ -212,13 +212,13 @@
             requests++
             checkRequestRate()
             if (out || trouble.refusedByStore()) {
-                reachable = false
-                throw StoreRefused("refused")
+                isReachable = false
+                throw StoreUnavailableException("refused")
             }
             if (trouble.cutFromStore()) {
-                reachable = false
+                isReachable = false
                 if (silentAllowed && random.nextBoolean()) world.later(random.nextLong(100, 60_000)) { runCatching(act) }
-                throw StoreSilent("cut off")
+                throw StoreTimeoutException("cut off")
             }
             if (silentAllowed && random.nextDouble() < trouble.lossRate) {
                 when (random.nextInt(3)) {
@@ -226,16 +226,16 @@
                     1 -> world.later(random.nextLong(100, 20_000)) { if (!out) runCatching(act) }
                     else -> {}
                 }
-                throw StoreSilent("lost")
+                throw StoreTimeoutException("lost")
             }
-            reachable = true
+            isReachable = true
             if (silentAllowed) trouble.mayRepeat(random) { if (!out) act() }
             return act().also { trouble.mayStrike(random) }
         }
 
-        override fun get(key: String): Entry? = ask({ "get $key" }, { "${it?.stamp?.number}" }, false) {
+        override fun get(key: String): Entry? = ask({ "get $key" }, { "${it?.modRevision?.number}" }, false) {
             expire()
-            values[key]?.let { Entry(key, it.data, Stamp(it.stamp.toULong())) }
+            values[key]?.let { Entry(key, it.data, ModRevision(it.modRevision.toULong())) }
         }
 
         override fun list(prefix: String, after: String?, limit: Int): EntryPage = ask({ "list $prefix $after $limit" }, ::text, false) {
@@ -244,64 +244,64 @@
             val page = all.take(minOf(limit, pageSize))
             EntryPage(
                 page.map {
-                    Entry(it.key, it.value.data, Stamp(it.value.stamp.toULong()))
+                    Entry(it.key, it.value.data, ModRevision(it.value.modRevision.toULong()))
                 },
                 all.size > page.size,
                 Revision(revision.toULong()),
             )
         }
 
-        override fun commit(transaction: Transaction): CommitOutcome {
-            if (limits.enforcesRates && share.take(transaction.writes.size, 0) == null) throw StoreRefused("over the share")
+        override fun commit(transaction: Transaction): TransactionResult {
+            if (limits.enforcesRates && share.take(transaction.writes.size, 0) == null) throw StoreUnavailableException("over the share")
             val random = if (transaction.writes.any { it.key == Keys.FORMAT }) formatRandom else random
             return ask({ "commit ${text(transaction)}" }, ::text, random = random) {
                 if (trouble.writesLate(random)) {
                     world.later(random.nextLong(2000, 12_000)) { if (!out) runCatching { this@StandInStore.commit(transaction) } }
-                    throw StoreSilent("carried out later")
+                    throw StoreTimeoutException("carried out later")
                 }
                 this@StandInStore.commit(transaction)
             }
         }
 
-        override fun grantHold(ttlMs: Long): HoldId = ask({ "grant $ttlMs" }, { "${it.number}" }) {
-            val id = nextHold++
+        override fun grantLease(ttlMs: Long): StoreLeaseId = ask({ "grant $ttlMs" }, { "${it.number}" }) {
+            val id = nextLease++
             holds[id] = longArrayOf(ttlMs, world.now + ttlMs)
-            HoldId(id.toULong())
+            StoreLeaseId(id.toULong())
         }
 
-        override fun renewHold(hold: HoldId): Boolean = ask({ "renew ${hold.number}" }, { "$it" }) {
+        override fun keepAlive(storeLease: StoreLeaseId): Boolean = ask({ "renew ${storeLease.number}" }, { "$it" }) {
             expire()
-            val known = holds[hold.number.toLong()] ?: return@ask false
+            val known = holds[storeLease.number.toLong()] ?: return@ask false
             known[1] = world.now + known[0]
             true
         }
 
-        override fun dropHold(hold: HoldId) = ask({ "drop ${hold.number}" }, { "" }) {
-            holds[hold.number.toLong()]?.let { it[1] = world.now - 1 }
+        override fun revokeLease(storeLease: StoreLeaseId) = ask({ "drop ${storeLease.number}" }, { "" }) {
+            holds[storeLease.number.toLong()]?.let { it[1] = world.now - 1 }
             expire()
         }
 
-        override fun follow(prefix: String, from: Revision, waitMs: Long): FollowOutcome = ask({
+        override fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult = ask({
             "follow $prefix ${from.number} $waitMs"
         }, ::text, false) {
-            if (trouble.followsNothing()) throw StoreSilent("a watch that stays open")
+            if (trouble.watchesNothing()) throw StoreTimeoutException("a watch that stays open")
             expire()
-            val oldest = changes.firstOrNull()?.stamp?.number ?: 0u
-            if (changes.size >= keptChanges && from.number < oldest) return@ask FollowOutcome.TooOld
-            FollowOutcome.Changes(
-                changes.filter { it.stamp.number > from.number && it.key.startsWith(prefix) },
+            val oldest = changes.firstOrNull()?.modRevision?.number ?: 0u
+            if (changes.size >= keptChanges && from.number < oldest) return@ask WatchResult.Compacted
+            WatchResult.Changes(
+                changes.filter { it.modRevision.number > from.number && it.key.startsWith(prefix) },
                 Revision(revision.toULong()),
             )
         }
 
-        private fun text(page: EntryPage) = "${page.entries.map { "${it.key}@${it.stamp.number}" }} ${page.more} ${page.revision.number}"
+        private fun text(page: EntryPage) = "${page.entries.map { "${it.key}@${it.modRevision.number}" }} ${page.more} ${page.revision.number}"
 
-        private fun text(outcome: FollowOutcome) = when (outcome) {
-            is FollowOutcome.Changes -> "${outcome.changes.map { "${it.key}@${it.stamp.number}" }} ${outcome.upTo.number}"
-            FollowOutcome.TooOld -> "too old"
+        private fun text(outcome: WatchResult) = when (outcome) {
+            is WatchResult.Changes -> "${outcome.changes.map { "${it.key}@${it.modRevision.number}" }} ${outcome.upTo.number}"
+            WatchResult.Compacted -> "too old"
         }
 
-        private fun text(outcome: CommitOutcome) = this@StandInStore.text(outcome)
+        private fun text(outcome: TransactionResult) = this@StandInStore.text(outcome)
 
         private fun text(transaction: Transaction) = this@StandInStore.text(transaction)
     }
--- a/src/test/kotlin/mountmast/standin/VirtualTime.kt
+++ b/src/test/kotlin/mountmast/standin/VirtualTime.kt
@@ -55,7 +55,7 @@
     var peersCutUntil = 0L
 
     /** Its waiting for changes at the state service gets no answer, while all other requests do. */
-    var followsNothingUntil = 0L
+    var watchesNothingUntil = 0L
 
     /** What workers report arrives, but nothing that this node sends reaches any worker. */
     var sendsNothingUntil = 0L
@@ -78,7 +78,7 @@
     fun cutFromPeers() = time.now < peersCutUntil
     fun cutFromStore() = time.now < storeCutUntil
     fun refusedByStore() = time.now < storeRefusedUntil
-    fun followsNothing() = time.now < followsNothingUntil
+    fun watchesNothing() = time.now < watchesNothingUntil
     fun sendsNothing() = time.now < sendsNothingUntil
     fun cutFromWorkers() = time.now < workersCutUntil
     fun stalled() = time.now < stalledUntil
--- a/src/test/kotlin/mountmast/standin/production/ProductionStore.kt
+++ b/src/test/kotlin/mountmast/standin/production/ProductionStore.kt
@@ -3,17 +3,17 @@
 import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
-import mountmast.protocol.HoldId
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.Revision
-import mountmast.storage.Change
-import mountmast.storage.CommitOutcome
+import mountmast.storage.WatchEvent
+import mountmast.storage.TransactionResult
 import mountmast.storage.Entry
 import mountmast.storage.EntryPage
-import mountmast.storage.FollowOutcome
+import mountmast.storage.WatchResult
 import mountmast.storage.StateStore
 import mountmast.storage.Transaction
 import mountmast.storage.Write
-import mountmast.storage.WriteRoom
+import mountmast.storage.WriteBudget
 
 /**
  * The state service as a process of the version in production uses it: every value goes through that version's classes on
@@ -22,11 +22,11 @@
  * Throws [BrokenContract] where it meets what it would misread.
  */
 class ProductionStore(private val inner: StateStore) : StateStore {
-    override val reachable: Boolean get() = inner.reachable
+    override val isReachable: Boolean get() = inner.isReachable
 
-    override fun shareAs(leader: Boolean) = inner.shareAs(leader)
+    override fun setRole(leader: Boolean) = inner.setRole(leader)
 
-    override fun writeRoom(): WriteRoom = inner.writeRoom()
+    override fun writeBudget(): WriteBudget = inner.writeBudget()
 
     override fun get(key: String): Entry? {
         // It is asked all the same, as the code that stands for production's asks.
@@ -39,13 +39,13 @@
         return page.copy(entries = page.entries.map { it.copy(value = read(it.key, it.value)) })
     }
 
-    override fun follow(prefix: String, from: Revision, waitMs: Long): FollowOutcome =
-        when (val outcome = inner.follow(prefix, from, waitMs)) {
-            is FollowOutcome.Changes -> outcome.copy(changes = outcome.changes.map(::read))
-            FollowOutcome.TooOld -> outcome
+    override fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult =
+        when (val outcome = inner.watch(prefix, from, waitMs)) {
+            is WatchResult.Changes -> outcome.copy(changes = outcome.changes.map(::read))
+            WatchResult.Compacted -> outcome
         }
 
-    private fun read(change: Change): Change = change.copy(value = change.value?.let { read(change.key, it) })
+    private fun read(change: WatchEvent): WatchEvent = change.copy(value = change.value?.let { read(change.key, it) })
 
     private fun read(key: String, value: JsonElement): JsonElement {
         val read = ProductionForms.pass(key, value)
@@ -63,17 +63,17 @@
         else -> emptySet()
     }
 
-    override fun commit(transaction: Transaction): CommitOutcome = inner.commit(Transaction(transaction.conditions, written(transaction)))
+    override fun commit(transaction: Transaction): TransactionResult = inner.commit(Transaction(transaction.compares, written(transaction)))
 
     private fun written(transaction: Transaction): List<Write> = transaction.writes.filter { ProductionForms.knows(it.key) }.map { write ->
         if (write is Write.Put) write.copy(value = ProductionForms.pass(write.key, write.value)) else write
     }
 
-    override fun grantHold(ttlMs: Long): HoldId = inner.grantHold(ttlMs)
+    override fun grantLease(ttlMs: Long): StoreLeaseId = inner.grantLease(ttlMs)
 
-    override fun renewHold(hold: HoldId): Boolean = inner.renewHold(hold)
+    override fun keepAlive(storeLease: StoreLeaseId): Boolean = inner.keepAlive(storeLease)
 
-    override fun dropHold(hold: HoldId) = inner.dropHold(hold)
+    override fun revokeLease(storeLease: StoreLeaseId) = inner.revokeLease(storeLease)
 
     private companion object {
         const val OVER = "f/"
--- a/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
+++ b/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
@@ -2,7 +2,7 @@
 
 import com.sun.net.httpserver.HttpServer
 import kotlinx.serialization.json.JsonPrimitive
-import mountmast.protocol.HoldId
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.StateLimits
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -28,9 +28,9 @@
     }
 
     private fun store(writesPerSecond: Double) =
-        HttpStateStore(server.address, StateLimits(1000.0, writesPerSecond, 2.0, 5), nodes = 1).apply { shareAs(leader = true) }
+        HttpStateStore(server.address, StateLimits(1000.0, writesPerSecond, 2.0, 5), nodes = 1).apply { setRole(leader = true) }
 
-    private fun put(key: String, text: String, hold: HoldId? = null) = Write.Put(key, JsonPrimitive(text), hold)
+    private fun put(key: String, text: String, storeLease: StoreLeaseId? = null) = Write.Put(key, JsonPrimitive(text), storeLease)
 
     @AfterEach
     fun stop() = server.stop(0)
@@ -41,14 +41,14 @@
         val transaction = Transaction(emptyList(), listOf(put("small", "x"), put("large", "x".repeat(3000)), Write.Delete("gone")))
         status = 400
         answer = """{"error":"too large"}"""
-        val rejected = assertThrows(StoreRejected::class.java) { store.commit(transaction) }
+        val rejected = assertThrows(StoreRequestRejectedException::class.java) { store.commit(transaction) }
         assertEquals("large", rejected.largestKey)
         assertEquals(3002, rejected.largestBytes)
         assertEquals(3, rejected.changes)
         answer = """{"error":"no such lease"}"""
-        assertThrows(HoldEnded::class.java) { store.commit(Transaction(emptyList(), listOf(put("lead", "x", HoldId(3u))))) }
+        assertThrows(StoreLeaseExpiredException::class.java) { store.commit(Transaction(emptyList(), listOf(put("lead", "x", StoreLeaseId(3u))))) }
         status = 429
-        assertThrows(StoreRefused::class.java) { store.commit(transaction) }
+        assertThrows(StoreUnavailableException::class.java) { store.commit(transaction) }
     }
 
     @Test
@@ -56,10 +56,10 @@
         val store = store(1.0)
         fun commit() = store.commit(Transaction(emptyList(), listOf(put("k", "x"))))
         repeat(3) { commit() }
-        assertEquals(0, store.writeRoom().spare)
+        assertEquals(0, store.writeBudget().available)
         val sent = requests.get()
         val began = System.nanoTime()
-        assertThrows(StoreRefused::class.java) { commit() }
+        assertThrows(StoreUnavailableException::class.java) { commit() }
         assertTrue(System.nanoTime() - began < 500_000_000, "refused late")
         assertEquals(sent, requests.get())
     }
--- a/src/test/kotlin/mountmast/storage/RateShareTest.kt
+++ b/src/test/kotlin/mountmast/storage/TokenBucketTest.kt
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class RateShareTest {
+class TokenBucketTest {
     private var nowNanos = 0L
-    private val share = RateShare(12.0) { nowNanos }
+    private val share = TokenBucket(12.0) { nowNanos }
 
     private fun pass(ms: Long) {
         nowNanos += ms * 1_000_000
@@ -27,13 +27,13 @@
 
     @Test
     fun `work in the background leaves a reserve for users`() {
-        assertFalse(share.room().isShort)
-        assertEquals(9, share.room().spare)
+        assertFalse(share.room().isScarce)
+        assertEquals(9, share.room().available)
         assertEquals(0L, share.take(9, 0))
-        assertEquals(WriteRoom(0, isShort = true), share.room())
+        assertEquals(WriteBudget(0, isScarce = true), share.room())
         assertEquals(0L, share.take(3, 0))
         pass(500)
-        assertEquals(3, share.room().spare)
+        assertEquals(3, share.room().available)
     }
 
     @Test
@@ -41,15 +41,15 @@
         assertEquals(0L, share.take(20, 0))
         assertNull(share.take(1, 300))
         pass(2000)
-        assertTrue(share.room().spare > 0)
+        assertTrue(share.room().available > 0)
     }
 
     @Test
     fun `a change of the rate keeps what is left`() {
         share.take(12, 0)
         share.setRate(24.0)
-        assertEquals(0, share.room().spare)
+        assertEquals(0, share.room().available)
         pass(1000)
-        assertEquals(18, share.room().spare)
+        assertEquals(18, share.room().available)
     }
 }
