--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -3,6 +3,7 @@
 import kotlinx.serialization.encodeToString
 import mountmast.coordination.controller.OperatorSettings
 import mountmast.protocol.Attempt
+import mountmast.protocol.FencingToken
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobValidation
 import mountmast.protocol.MachineId
@@ -17,7 +18,6 @@
 import mountmast.protocol.Session
 import mountmast.protocol.Settings
 import mountmast.protocol.TaskState
-import mountmast.protocol.Term
 import mountmast.protocol.TypeId
 import mountmast.protocol.Verb
 import mountmast.protocol.WireJson
@@ -61,10 +61,10 @@
         val caller = HttpCaller()
         val self = InetSocketAddress("127.0.0.1", port)
         val report = WorkerReport(
-            MachineId("vm-1"), "127.0.0.1:1", TypeId("t"), Zone("z"), false, Session(1u), ReportNumber(1u), Term(0u), null,
+            MachineId("vm-1"), "127.0.0.1:1", TypeId("t"), Zone("z"), false, Session(1u), ReportNumber(1u), FencingToken(0u), null,
             listOf(ReportedTask("j-1/0", Attempt(1u), TaskState.RUNNING)),
         )
-        WireJson.encodeToString(HeartbeatResponse(Term(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
+        WireJson.encodeToString(HeartbeatResponse(FencingToken(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
         JobValidation.parse(JobValidation.parseObject(JOB))
         val bodies = listOf("/agent/beat" to WireJson.encodeToString(report), "/v1/jobs" to JOB)
         for ((path, body) in bodies) caller.call(self, "POST", path, body.encodeToByteArray(), CALL_MS)
@@ -81,7 +81,7 @@
         val peers = HttpPeers()
         checkNotNull(peers.hello(member, PeerHello("warm-1", 0, serves = true, leads = false))) { "no greeting" }
         peers.relay(member, RelayRequest("GET", "/v1/jobs/j-1", ""))
-        HttpWorkers().order("127.0.0.1:$port", OrdersMessage(Term(1u), Session(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
+        HttpWorkers().order("127.0.0.1:$port", OrdersMessage(FencingToken(1u), Session(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
     }
 
     private fun settings(public: Int, peer: Int) = """
--- a/src/main/kotlin/mountmast/coordination/autoscaling/RentalPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/RentalPlanner.kt
@@ -1,9 +1,9 @@
 package mountmast.coordination.autoscaling
 
-import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Job
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
+import mountmast.coordination.election.Timing
 import mountmast.protocol.MachineType
 import mountmast.protocol.MonotonicTime
 
@@ -93,7 +93,7 @@
         when (machine.state) {
             MachineState.BOOTING ->
                 if (machine.listedRunning) now - machine.knownAt < firstReportMs else !history.isLate(machine, now)
-            MachineState.UP -> !machine.hasSeenTerm && machine.live.isEmpty() && now - machine.sessionSince < firstReportMs
+            MachineState.UP -> !machine.hasShownCurrentTerm && machine.live.isEmpty() && now - machine.sessionSince < firstReportMs
             else -> false
         }
 
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -2,8 +2,6 @@
 
 import mountmast.coordination.autoscaling.Fleet
 import mountmast.coordination.autoscaling.FleetPolicy
-import mountmast.coordination.election.Leadership
-import mountmast.coordination.election.Timing
 import mountmast.coordination.jobs.JobService
 import mountmast.coordination.jobs.JobWatch
 import mountmast.coordination.membership.CancellationNotices
@@ -13,14 +11,16 @@
 import mountmast.coordination.scheduling.Policy
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.TaskLosses
+import mountmast.coordination.election.Leadership
+import mountmast.coordination.election.Timing
 import mountmast.coordination.workers.LeaseHelper
 import mountmast.protocol.Clock
+import mountmast.protocol.FencingToken
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobId
 import mountmast.protocol.NodeId
 import mountmast.protocol.PeerHello
 import mountmast.protocol.Settings
-import mountmast.protocol.Term
 import mountmast.protocol.WorkerReport
 import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.PrerequisiteLists
@@ -171,7 +171,7 @@
                 losses, invariants,
             )
         val writer = LedgerWriter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { leadership.lost() }
-        val fleet = Fleet(leaderTerm, cloud, clock, "${settings.node}-$run-${grant.term}", fleetPolicy, timing, settings.cloudRps)
+        val fleet = Fleet(leaderTerm, cloud, clock, "${settings.node}-$run-${grant.token}", fleetPolicy, timing, settings.cloudRps)
         leaderComponents.set(LeaderComponents(leaderTerm, writer, fleet))
     }
 
@@ -239,18 +239,18 @@
     fun call(): Boolean = leaderTerm()?.dispatch?.callNext() ?: false
 
     override fun heartbeat(report: WorkerReport): HeartbeatOutcome {
-        leadership.heard(report.term)
+        leadership.observeToken(report.token)
         val grant = leadership.grant() ?: return helper.help(report) ?: HeartbeatOutcome.Elsewhere(leadership.leader())
         val leaderTerm = leaderComponents.get()?.leaderTerm
-        if (!leadership.mayAnswerWorkers() || report.term.election > grant.term.election) return HeartbeatOutcome.Elsewhere(null)
+        if (!leadership.mayAnswerWorkers() || report.token.term > grant.token.term) return HeartbeatOutcome.Elsewhere(null)
         if (leaderTerm == null || leaderTerm.grant !== grant || !leaderTerm.mayAnswerWorkers()) return HeartbeatOutcome.Elsewhere(null)
         val receivedAt = clock.now()
         val answer = if (leaderTerm.ready) {
             leaderTerm.reports.heartbeat(report)
         } else {
-            HeartbeatResponse(maxOf(grant.term, report.term), helper.stopsOf(report))
+            HeartbeatResponse(maxOf(grant.token, report.token), helper.stopsOf(report))
         }
-        if (answer.term.number > 0u) leaderTerm.reports.answers.note(report.machine, receivedAt)
+        if (answer.token.number > 0u) leaderTerm.reports.answers.note(report.machine, receivedAt)
         return HeartbeatOutcome.Accepted(answer)
     }
 
@@ -271,7 +271,7 @@
     private inner class OwnState : PeerStates.Own {
         override fun hello() = PeerHello(
             settings.node.text,
-            leadership.highestTerm().number.toLong(),
+            leadership.highestToken().number.toLong(),
             canServe(),
             leadership.grant() != null,
             formatVersion = FORMAT_VERSION,
@@ -279,7 +279,7 @@
 
         override fun onHello(hello: PeerHello) {
             formats.heard(NodeId(hello.node), hello.formatVersion)
-            leadership.heard(Term(hello.term.toULong()))
+            leadership.observeToken(FencingToken(hello.token.toULong()))
             val cancelled = hello.cancelled.mapNotNull(JobId::parse)
             if (cancelled.isEmpty()) return
             notices.heard(cancelled)
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -1,8 +1,6 @@
 package mountmast.coordination.controller
 
 import mountmast.coordination.autoscaling.AutoscalingContext
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
 import mountmast.coordination.persistence.JournalState
 import mountmast.coordination.persistence.PersistenceContext
 import mountmast.coordination.persistence.TermLoader
@@ -16,6 +14,8 @@
 import mountmast.coordination.state.LiveJobsListener
 import mountmast.coordination.state.TaskLosses
 import mountmast.coordination.state.TermSignals
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
 import mountmast.coordination.workers.CommandDispatcher
 import mountmast.coordination.workers.ReachabilityMonitor
 import mountmast.coordination.workers.WorkerReports
@@ -56,7 +56,7 @@
     AutoscalingContext {
     /** Guards the ledger and all parts of the term. Held for moments; never during I/O. */
     override val lock = ReentrantLock()
-    override val ledger = Ledger(policy.runDecay, losses).apply { beginTerm(grant.term) }
+    override val ledger = Ledger(policy.runDecay, losses).apply { beginTerm(grant.token) }
 
     /** Where the journal stands in the store. */
     override val journal = JournalState()
@@ -100,7 +100,7 @@
             reports.takenFrom = clock.now()
             log.info(
                 "term {}: {} jobs, {} assignments on {} machines",
-                grant.term,
+                grant.token,
                 ledger.jobs.size,
                 ledger.machines.values.sumOf { it.live.size },
                 ledger.machines.size,
--- a/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
@@ -1,9 +1,9 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.election.Leadership
 import mountmast.coordination.state.LossCause
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.TaskLosses
+import mountmast.coordination.election.Leadership
 import mountmast.protocol.Clock
 import mountmast.transport.MetricNames
 import mountmast.transport.Metrics
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingSnapshots.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingSnapshots.kt
@@ -1,6 +1,5 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.election.Timing
 import mountmast.coordination.scheduling.JobView
 import mountmast.coordination.scheduling.MachineIndex
 import mountmast.coordination.scheduling.MachineView
@@ -12,6 +11,7 @@
 import mountmast.coordination.state.Ledger
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.Phase
+import mountmast.coordination.election.Timing
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
--- a/src/main/kotlin/mountmast/coordination/election/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/election/Leadership.kt
@@ -4,24 +4,24 @@
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
-import mountmast.protocol.StoreLeaseId
+import mountmast.protocol.FencingToken
+import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
 import mountmast.protocol.Revision
-import mountmast.protocol.ModRevision
-import mountmast.protocol.Term
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
-import mountmast.storage.TransactionResult
 import mountmast.storage.Compare
-import mountmast.storage.WatchResult
-import mountmast.storage.StoreLeaseExpiredException
 import mountmast.storage.Keys
 import mountmast.storage.LeaderRecord
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
+import mountmast.storage.StoreLeaseExpiredException
 import mountmast.storage.TermRecord
 import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
+import mountmast.storage.WatchResult
 import mountmast.storage.WatermarkRecord
 import mountmast.storage.Write
 import mountmast.transport.MetricNames
@@ -51,14 +51,14 @@
     private var grant: LeadershipGrant? = null
     private var confirmedAt = MonotonicTime(0)
     private var leader: NodeId? = null
-    private var highest = Term(0u)
-    private var doubted = false
+    private var highestToken = FencingToken(0u)
+    private var suspectsNewerLeader = false
     private var storeFailingSince: MonotonicTime? = null
     private var abstainUntil = MonotonicTime(Long.MIN_VALUE)
     private var unusedLease: StoreLeaseId? = null
     private var seenUpTo = Revision(0u)
     private var helpUntil = WallTime(0)
-    private var helpTerm = Term(0u)
+    private var delegatedToken = FencingToken(0u)
 
     /** What this node leads by, or null while it does not lead. */
     fun grant(): LeadershipGrant? = lock.withLock { grant }
@@ -70,7 +70,7 @@
     fun leader(): NodeId? = lock.withLock { if (grant != null) node else leader }
 
     /** The highest term that this node has heard of. */
-    fun highestTerm(): Term = lock.withLock { highest }
+    fun highestToken(): FencingToken = lock.withLock { highestToken }
 
     /**
      * Whether workers may be answered. A leader that cannot renew cannot tell an outage, in which every hold stays,
@@ -87,15 +87,15 @@
     fun confirmedUntil(own: LeadershipGrant): MonotonicTime? = lock.withLock { if (grant === own) confirmedAt else null }
 
     /** The term in which this node may renew workers' leases for a leader just elected, or null. */
-    fun helps(): Term? = lock.withLock {
-        helpTerm.takeIf { grant == null && it == highest && it.number > 0u && clock.wall() < helpUntil }
+    fun delegatedToken(): FencingToken? = lock.withLock {
+        delegatedToken.takeIf { grant == null && it == highestToken && it.number > 0u && clock.wall() < helpUntil }
     }
 
     /** Gives the lead up, for another node to take; abstains for a while. */
     fun resign(own: LeadershipGrant, why: String) {
         lock.withLock {
             if (grant !== own) return
-            log.info("resigning in term {}: {}", own.term, why)
+            log.info("resigning in term {}: {}", own.token, why)
             resignations.add()
             lost()
             abstainUntil = clock.now() + ABSTAIN_MS
@@ -107,22 +107,22 @@
         }
     }
 
-    /** Somebody saw [term]. A higher one than ours means another leader, unless the store says otherwise. */
-    fun heard(token: Term) {
-        val term = token.first()
+    /** Somebody saw [token]. One of a higher term than ours means another leader, unless the store says otherwise. */
+    fun observeToken(token: FencingToken) {
+        val firstOfTerm = token.firstOfTerm()
         lock.withLock {
-            if (term > highest) highest = term
+            if (firstOfTerm > highestToken) highestToken = firstOfTerm
             val own = grant ?: return
-            if (term > own.term) doubted = true
+            if (firstOfTerm > own.token) suspectsNewerLeader = true
         }
     }
 
     /** The leader's key was found changed. */
     fun lost() = lock.withLock {
-        grant?.let { log.info("no longer leading in term {}; last renewed {} ms ago", it.term, clock.now() - confirmedAt) }
+        grant?.let { log.info("no longer leading in term {}; last renewed {} ms ago", it.token, clock.now() - confirmedAt) }
         grant = null
         leader = null
-        doubted = false
+        suspectsNewerLeader = false
     }
 
     /** One look at the state service: renews, follows or tries to lead. Called about once a second. */
@@ -138,7 +138,7 @@
             lock.withLock {
                 val own = grant ?: return
                 val unconfirmed = clock.now() - confirmedAt >= timing.ttlMs
-                if (unconfirmed && doubted) lost()
+                if (unconfirmed && suspectsNewerLeader) lost()
             }
         }
     }
@@ -164,10 +164,10 @@
         val asked = clock.now()
         if (!store.keepAlive(own.storeLease)) return lost()
         lock.withLock { confirmedAt = asked }
-        if (lock.withLock { doubted }) {
+        if (lock.withLock { suspectsNewerLeader }) {
             // A worker or peer named a higher term. Only the store knows; a made-up number must not end a term.
             val entry = store.get(Keys.LEADER)
-            if (entry?.modRevision != own.modRevision) lost() else lock.withLock { doubted = false }
+            if (entry?.modRevision != own.modRevision) lost() else lock.withLock { suspectsNewerLeader = false }
         }
     }
 
@@ -175,7 +175,7 @@
         val entry = store.get(Keys.LEADER)
         val record = entry?.let { decode(it.value) }
         if (entry != null && record == null) return log.warn("the leader's key is unreadable")
-        if (record != null) heard(record.term)
+        if (record != null) observeToken(record.token)
         if (entry != null && record != null && record.run == run) {
             // A transaction of ours was carried out although no answer came.
             unusedLease?.let { begin(record, entry.modRevision, it) }
@@ -185,7 +185,7 @@
         if (entry != null && record != null && record.node != node) {
             lock.withLock {
                 leader = record.node
-                helpTerm = record.term
+                delegatedToken = record.token
                 // Whoever helps knows no cancellations either.
                 helpUntil = minOf(timing.helpUntil(record.since), timing.uninformedUntil(record.watermark))
                 seenUpTo = maxOf(seenUpTo, Revision(entry.modRevision.number))
@@ -204,11 +204,11 @@
             unusedLease = storeLease
             confirmedAt = asked
         }
-        val termEntry = store.get(Keys.TERM)
-        val lastTerm = termEntry?.let { WireJson.decodeFromJsonElement<TermRecord>(it.value).term } ?: Term(0u)
-        val record = LeaderRecord(node, run, lastTerm.next(), began, readWatermark() ?: began)
+        val tokenEntry = store.get(Keys.TERM)
+        val lastToken = tokenEntry?.let { WireJson.decodeFromJsonElement<TermRecord>(it.value).token } ?: FencingToken(0u)
+        val record = LeaderRecord(node, run, lastToken.firstOfNextTerm(), began, readWatermark() ?: began)
         try {
-            val transaction = election(record, storeLease, modRevision, termEntry?.modRevision ?: ModRevision.ABSENT)
+            val transaction = electionTransaction(record, storeLease, modRevision, tokenEntry?.modRevision ?: ModRevision.ABSENT)
             when (val outcome = store.commit(transaction)) {
                 is TransactionResult.Committed -> begin(record, ModRevision(outcome.revision.number), storeLease)
                 is TransactionResult.CompareFailed -> log.debug("another node was elected: {}", outcome.failed)
@@ -222,25 +222,25 @@
     /** The low watermark of cancellations, or null where no leader has left one: then nothing ran so far. */
     private fun readWatermark(): WallTime? = store.get(Keys.WATERMARK)?.let { WireJson.decodeFromJsonElement<WatermarkRecord>(it.value).at }
 
-    private fun election(record: LeaderRecord, storeLease: StoreLeaseId, leaderModRevision: ModRevision, tokenModRevision: ModRevision) = Transaction(
+    private fun electionTransaction(record: LeaderRecord, storeLease: StoreLeaseId, leaderModRevision: ModRevision, tokenModRevision: ModRevision) = Transaction(
         listOf(Compare(Keys.LEADER, leaderModRevision), Compare(Keys.TERM, tokenModRevision)),
         listOf(
             Write.Put(Keys.LEADER, WireJson.encodeToJsonElement(record), storeLease),
-            Write.Put(Keys.TERM, WireJson.encodeToJsonElement(TermRecord(record.term))),
+            Write.Put(Keys.TERM, WireJson.encodeToJsonElement(TermRecord(record.token))),
         ),
     )
 
     private fun begin(record: LeaderRecord, modRevision: ModRevision, storeLease: StoreLeaseId) = lock.withLock {
-        val term = record.term
-        grant = LeadershipGrant(term, modRevision, storeLease, clock.now(), record.watermark)
+        val token = record.token
+        grant = LeadershipGrant(token, modRevision, storeLease, clock.now(), record.watermark)
         unusedLease = null
         leader = node
-        doubted = false
-        if (term > highest) highest = term
+        suspectsNewerLeader = false
+        if (token > highestToken) highestToken = token
         elections.add()
         log.info(
             "leading in term {} by hold {}, asked for {} ms ago for {} ms; cancellations are known up to {} ms ago",
-            term,
+            token,
             storeLease,
             clock.now() - confirmedAt,
             timing.ttlMs,
--- a/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
@@ -6,7 +6,6 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
-import mountmast.storage.TransactionResult
 import mountmast.storage.Compare
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
@@ -15,6 +14,7 @@
 import mountmast.storage.StoreException
 import mountmast.storage.StoreTimeoutException
 import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.ExecutionException
 import java.util.concurrent.TimeUnit
--- a/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
@@ -14,13 +14,12 @@
 import mountmast.protocol.JobValidation
 import mountmast.protocol.MachineType
 import mountmast.protocol.Malformed
-import mountmast.protocol.RelayRequest
 import mountmast.protocol.ModRevision
+import mountmast.protocol.RelayRequest
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 import mountmast.protocol.WireJson
-import mountmast.storage.TransactionResult
 import mountmast.storage.Compare
 import mountmast.storage.Entry
 import mountmast.storage.JobRecord
@@ -31,6 +30,7 @@
 import mountmast.storage.StoreException
 import mountmast.storage.StoreRequestRejectedException
 import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
 import mountmast.storage.TypesForm
 import mountmast.storage.Write
 import mountmast.transport.UserAnswer
--- a/src/main/kotlin/mountmast/coordination/jobs/JobWatch.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobWatch.kt
@@ -1,15 +1,15 @@
 package mountmast.coordination.jobs
 
 import kotlinx.serialization.json.decodeFromJsonElement
-import mountmast.protocol.Revision
 import mountmast.protocol.ModRevision
+import mountmast.protocol.Revision
 import mountmast.protocol.WireJson
-import mountmast.storage.WatchEvent
-import mountmast.storage.WatchResult
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
+import mountmast.storage.WatchEvent
+import mountmast.storage.WatchResult
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("mountmast.jobs")
--- a/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
@@ -5,10 +5,9 @@
 import kotlinx.serialization.json.decodeFromJsonElement
 import mountmast.protocol.JobId
 import mountmast.protocol.JobStatus
-import mountmast.protocol.Shape
 import mountmast.protocol.ModRevision
+import mountmast.protocol.Shape
 import mountmast.protocol.WireJson
-import mountmast.storage.TransactionResult
 import mountmast.storage.Compare
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
@@ -16,6 +15,7 @@
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
 import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("mountmast.prerequisites")
--- a/src/main/kotlin/mountmast/coordination/membership/FormatAgreement.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/FormatAgreement.kt
@@ -3,10 +3,9 @@
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
-import mountmast.protocol.NodeId
 import mountmast.protocol.ModRevision
+import mountmast.protocol.NodeId
 import mountmast.protocol.WireJson
-import mountmast.storage.TransactionResult
 import mountmast.storage.Compare
 import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.FormatRecord
@@ -14,6 +13,7 @@
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
 import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
 import mountmast.storage.Write
 import org.slf4j.LoggerFactory
 import java.util.concurrent.ConcurrentHashMap
--- a/src/main/kotlin/mountmast/coordination/persistence/Journal.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/Journal.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.persistence
 
-import mountmast.protocol.MonotonicTime
 import mountmast.protocol.ModRevision
+import mountmast.protocol.MonotonicTime
 import mountmast.storage.JournalRecord
 import mountmast.storage.Keys
 
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -5,8 +5,8 @@
 import mountmast.coordination.state.Phase
 import mountmast.coordination.state.Unwritten
 import mountmast.protocol.Clock
-import mountmast.protocol.MonotonicTime
 import mountmast.protocol.ModRevision
+import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WireJson
 import mountmast.storage.JournalRecord
 import mountmast.storage.JournalText
--- a/src/main/kotlin/mountmast/coordination/persistence/LedgerWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/LedgerWriter.kt
@@ -8,12 +8,11 @@
 import mountmast.coordination.state.Unwritten
 import mountmast.protocol.Clock
 import mountmast.protocol.JobStatus
+import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Shape
-import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
 import mountmast.protocol.WireJson
-import mountmast.storage.TransactionResult
 import mountmast.storage.Compare
 import mountmast.storage.Entry
 import mountmast.storage.JournalRecord
@@ -24,6 +23,7 @@
 import mountmast.storage.StoreRequestRejectedException
 import mountmast.storage.StoreTimeoutException
 import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
 import mountmast.storage.Write
 import org.slf4j.LoggerFactory
 import kotlin.concurrent.withLock
@@ -69,13 +69,13 @@
      * Set where [unsettled] is refused by now as too large. An earlier try of it may still be carried out, so the journal's
      * slot that it depends on is written first.
      */
-    private var fence: SlottedRecord? = null
+    private var tombstone: SlottedRecord? = null
 
     /** Writes one transaction if there is anything to write; false where there was nothing, or it failed. */
     fun step(): Boolean {
         if (clock.now() < pausedUntil) return false
         val batch = unsettled ?: collectBatch() ?: return false
-        val transaction = fence?.let(::fencing) ?: batch.transaction()
+        val transaction = tombstone?.let(::tombstoneTransaction) ?: batch.transaction()
         val outcome = try {
             store.commit(transaction)
         } catch (e: StoreTimeoutException) {
@@ -98,12 +98,12 @@
     }
 
     private fun settled(batch: WriteBatch, modRevision: ModRevision): Boolean {
-        val wasFence = fence != null
+        val wasTombstone = tombstone != null
         unsettled = null
-        fence = null
+        tombstone = null
         context.lock.withLock {
             context.journal.writtenAt = clock.now()
-            if (wasFence) fenced(batch, modRevision) else committed(batch, modRevision)
+            if (wasTombstone) onTombstoneWritten(batch, modRevision) else committed(batch, modRevision)
         }
         return true
     }
@@ -218,15 +218,15 @@
         limits = limits.halved()
         if (unsettled == null || batch.records.isEmpty()) {
             unsettled = null
-            fence = null
+            tombstone = null
             context.lock.withLock { putBack(batch) }
         } else {
             val first = batch.records.first()
-            fence = SlottedRecord(first.slot, JournalRecord(first.number, ""))
+            tombstone = SlottedRecord(first.slot, JournalRecord(first.number, ""))
         }
     }
 
-    private fun fencing(empty: SlottedRecord): Transaction {
+    private fun tombstoneTransaction(empty: SlottedRecord): Transaction {
         val compares = listOf(
             Compare(Keys.LEADER, context.leaderModRevision),
             Compare(empty.key, context.journal.modRevisionOf(empty.slot)),
@@ -235,7 +235,7 @@
     }
 
     /** An empty record is in the first slot of [batch], which can be carried out no more. */
-    private fun fenced(batch: WriteBatch, modRevision: ModRevision) {
+    private fun onTombstoneWritten(batch: WriteBatch, modRevision: ModRevision) {
         journal.committed(listOf(batch.records.first()), modRevision)
         putBack(batch)
     }
@@ -249,7 +249,7 @@
         try {
             if (batch.records.isNotEmpty() && unsettled != null && wasCarriedOut(batch)) return true
             unsettled = null
-            fence = null
+            tombstone = null
             context.lock.withLock { putBack(batch) }
             failed.forEach(conflicts::resolve)
         } catch (e: StoreException) {
@@ -265,11 +265,11 @@
         val first = batch.records.first()
         val entry = store.get(first.key) ?: return false
         if (WireJson.decodeFromJsonElement<JournalRecord>(entry.value).number != first.number) return false
-        if (!isFence(entry)) fence = null
+        if (!isTombstone(entry)) tombstone = null
         return settled(batch, entry.modRevision)
     }
 
-    private fun isFence(entry: Entry) = fence?.let { WireJson.encodeToJsonElement(it.record) == entry.value } == true
+    private fun isTombstone(entry: Entry) = tombstone?.let { WireJson.encodeToJsonElement(it.record) == entry.value } == true
 
     private companion object {
         /** A job that is over is moved: one put and one delete. */
--- a/src/main/kotlin/mountmast/coordination/persistence/TermLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/TermLoader.kt
@@ -5,8 +5,8 @@
 import mountmast.coordination.state.StoredRecords
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineTypes
-import mountmast.protocol.MonotonicTime
 import mountmast.protocol.ModRevision
+import mountmast.protocol.MonotonicTime
 import mountmast.storage.Entry
 import mountmast.storage.FailingRecord
 import mountmast.storage.ImagesRecord
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -6,12 +6,12 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
 import mountmast.protocol.MachineId
+import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.ReportNumber
 import mountmast.protocol.Resources
 import mountmast.protocol.Session
 import mountmast.protocol.Shape
-import mountmast.protocol.ModRevision
 import mountmast.protocol.TaskState
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
--- a/src/main/kotlin/mountmast/coordination/state/Ledger.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Ledger.kt
@@ -1,17 +1,17 @@
 package mountmast.coordination.state
 
 import mountmast.protocol.Attempt
+import mountmast.protocol.FencingToken
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
 import mountmast.protocol.MachineTypes
+import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Resources
 import mountmast.protocol.Session
-import mountmast.protocol.ModRevision
 import mountmast.protocol.TeamId
-import mountmast.protocol.Term
 import mountmast.protocol.TypeId
 import mountmast.protocol.WallTime
 import mountmast.storage.JobRecord
@@ -55,8 +55,8 @@
     private var lastAttempt = 0uL
 
     /** Sets the term in which attempts are given. */
-    fun beginTerm(term: Term) {
-        lastAttempt = term.election shl ATTEMPT_BITS
+    fun beginTerm(token: FencingToken) {
+        lastAttempt = token.term shl ATTEMPT_BITS
     }
 
     /** Takes over the machine types as the cloud or the store has them. */
--- a/src/main/kotlin/mountmast/coordination/state/LiveJobs.kt
+++ b/src/main/kotlin/mountmast/coordination/state/LiveJobs.kt
@@ -2,17 +2,17 @@
 
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
+import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Revision
-import mountmast.protocol.ModRevision
 import mountmast.protocol.WallTime
 import mountmast.storage.Entry
-import mountmast.storage.WatchResult
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
+import mountmast.storage.WatchResult
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -94,13 +94,13 @@
     val mayStillStart = HashMap<Pair<String, Attempt>, Int>()
 
     /** By how much the token for this machine is above the term's first. */
-    var fences = 0
+    var tokenOffset = 0
 
     /**
      * Whether the worker has shown our term: from then on it drops what earlier leaders say, and what it reports is
      * no copy from before this term, which might be of a machine long gone.
      */
-    var hasSeenTerm = false
+    var hasShownCurrentTerm = false
 
     /** Reports in a row that show nothing of what the answers before them said. */
     var unacknowledgedReports = 0
@@ -130,7 +130,7 @@
     var quarantined = false
 
     fun usable(now: MonotonicTime) = state == MachineState.UP &&
-        hasSeenTerm &&
+        hasShownCurrentTerm &&
         unreachedSince == null &&
         !noticed &&
         !deleting &&
--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -1,7 +1,5 @@
 package mountmast.coordination.workers
 
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.Ledger
@@ -9,14 +7,16 @@
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
 import mountmast.coordination.state.UnknownTask
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
 import mountmast.protocol.Clock
+import mountmast.protocol.FencingToken
 import mountmast.protocol.MachineId
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Order
 import mountmast.protocol.OrdersMessage
 import mountmast.protocol.ReportNumber
 import mountmast.protocol.Session
-import mountmast.protocol.Term
 import mountmast.protocol.Verb
 import mountmast.protocol.WorkerReport
 import mountmast.transport.OrdersOutcome
@@ -47,25 +47,25 @@
     private val callQueue = LinkedHashSet<MachineId>()
 
     /** The token for [machine]. */
-    fun token(machine: Machine) = grant.term.fenced(machine.fences)
+    fun token(machine: Machine) = grant.token.advancedBy(machine.tokenOffset)
 
     /**
      * Commands without an answer may be executed minutes later, also when their job has long been cancelled. A higher token
      * makes the worker refuse them: once it shows that token, a task that it does not list can start no more.
      */
-    fun fenceOffStopped(machine: Machine) {
+    fun fenceOffStoppedTasks(machine: Machine) {
         for (assignment in machine.live.values) {
             if (assignment.stopGraceS == null || assignment.reported != null) continue
-            machine.fences = maxOf(machine.fences, (machine.mayStillStart[assignment.key] ?: continue) + 1)
+            machine.tokenOffset = maxOf(machine.tokenOffset, (machine.mayStillStart[assignment.key] ?: continue) + 1)
         }
     }
 
     /** Takes note of the token that a worker of this term shows. */
-    fun noteToken(machine: Machine, shown: Term) {
-        if (shown.election != grant.term.election) return
-        val fences = (shown.number - grant.term.number).toInt()
-        machine.fences = maxOf(machine.fences, fences)
-        machine.mayStillStart.values.removeIf { it < fences }
+    fun observeToken(machine: Machine, shown: FencingToken) {
+        if (shown.term != grant.token.term) return
+        val tokenOffset = (shown.number - grant.token.number).toInt()
+        machine.tokenOffset = maxOf(machine.tokenOffset, tokenOffset)
+        machine.mayStillStart.values.removeIf { it < tokenOffset }
     }
 
     /** Every command that the worker has not shown to have executed; [inHeartbeat] names the report they answer. */
@@ -136,7 +136,7 @@
             if (orders.isEmpty()) return true
             forStarts(machine, orders) { it.postsOut++ }
             machine.postInFlight = true
-            Command(machine, checkNotNull(machine.session), machine.fences, orders)
+            Command(machine, checkNotNull(machine.session), machine.tokenOffset, orders)
         }
         send(command)
         return true
@@ -151,17 +151,17 @@
             if (known.postInFlight || !needsCall(known, clock.now())) return true
             known.postInFlight = true
             known.calledAt = clock.now()
-            Command(known, known.session ?: known.live.values.firstOrNull()?.session ?: Session(1u), known.fences, emptyList())
+            Command(known, known.session ?: known.live.values.firstOrNull()?.session ?: Session(1u), known.tokenOffset, emptyList())
         }
         send(command)
         return true
     }
 
     /** Orders of one session: sent in any other, a start would run in a session that its assignment is not for. */
-    private class Command(val machine: Machine, val session: Session, val fences: Int, val orders: List<Order>)
+    private class Command(val machine: Machine, val session: Session, val tokenOffset: Int, val orders: List<Order>)
 
     private fun send(command: Command) {
-        val message = OrdersMessage(grant.term.fenced(command.fences), command.session, command.orders)
+        val message = OrdersMessage(grant.token.advancedBy(command.tokenOffset), command.session, command.orders)
         val outcome = workers.order(checkNotNull(command.machine.address), message)
         lock.withLock { posted(command, outcome) }
     }
@@ -172,7 +172,7 @@
      */
     private fun needsCall(machine: Machine, now: MonotonicTime) = machine.address != null &&
         !machine.deleting &&
-        !machine.hasSeenTerm &&
+        !machine.hasShownCurrentTerm &&
         machine.state != MachineState.EXPIRED &&
         machine.state != MachineState.BOOTING &&
         now - machine.calledAt > CALL_AFTER_MS
@@ -195,7 +195,7 @@
             OrdersOutcome.NotSent -> machine.postNotBefore = now + POST_PAUSE_MS
             OrdersOutcome.Unknown -> {
                 machine.postNotBefore = now + POST_PAUSE_MS
-                for (order in orders) if (order.verb == Verb.START) machine.mayStillStart[order.task to order.attempt] = command.fences
+                for (order in orders) if (order.verb == Verb.START) machine.mayStillStart[order.task to order.attempt] = command.tokenOffset
             }
         }
     }
--- a/src/main/kotlin/mountmast/coordination/workers/LeaseHelper.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaseHelper.kt
@@ -1,13 +1,13 @@
 package mountmast.coordination.workers
 
-import mountmast.coordination.election.Leadership
 import mountmast.coordination.membership.CancellationNotices
+import mountmast.coordination.election.Leadership
+import mountmast.protocol.FencingToken
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.MachineId
 import mountmast.protocol.Order
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
-import mountmast.protocol.Term
 import mountmast.protocol.Verb
 import mountmast.protocol.WorkerReport
 import mountmast.transport.HeartbeatOutcome
@@ -21,17 +21,17 @@
     private val helped = ConcurrentHashMap.newKeySet<MachineId>()
 
     @Volatile
-    private var helpedIn = Term(0u)
+    private var delegatedUnder = FencingToken(0u)
 
     /** Renews a worker's lease once for a leader just elected, or returns null; the worker's next report is sent there. */
     fun help(report: WorkerReport): HeartbeatOutcome? {
-        val term = leadership.helps() ?: return null
-        if (term != helpedIn) {
+        val token = leadership.delegatedToken() ?: return null
+        if (token != delegatedUnder) {
             helped.clear()
-            helpedIn = term
+            delegatedUnder = token
         }
-        if (report.term.election > term.election || helped.size >= MAX_HELPED || !helped.add(report.machine)) return null
-        return HeartbeatOutcome.Accepted(HeartbeatResponse(maxOf(term, report.term), stopsOf(report)))
+        if (report.token.term > token.term || helped.size >= MAX_HELPED || !helped.add(report.machine)) return null
+        return HeartbeatOutcome.Accepted(HeartbeatResponse(maxOf(token, report.token), stopsOf(report)))
     }
 
     /** What can be told all the same: to stop what other nodes said is cancelled. */
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -1,12 +1,12 @@
 package mountmast.coordination.workers
 
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.Ledger
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WorkerReport
 import org.slf4j.LoggerFactory
@@ -50,12 +50,12 @@
 
     private fun evidence(machine: Machine, report: WorkerReport, now: MonotonicTime): Evidence {
         val answered = machine.answeredReport
-        val isTokenLagging = answered != null && answered < report.reportNumber && report.term < grant.term
-        val outlivesLease = now - machine.sessionSince > timing.leaseOverMs && report.term.election == grant.term.election
+        val isTokenBehind = answered != null && answered < report.reportNumber && report.token < grant.token
+        val outlivesLease = now - machine.sessionSince > timing.leaseOverMs && report.token.term == grant.token.term
         val toldStarts = machine.live.values.filter { isToldBefore(it, report) }
         val (missing, shown) = toldStarts.partition { it.reported == null }
         for (assignment in shown) assignment.startedInHeartbeat = null
-        return Evidence(isTokenLagging || missing.isNotEmpty(), outlivesLease || shown.isNotEmpty())
+        return Evidence(isTokenBehind || missing.isNotEmpty(), outlivesLease || shown.isNotEmpty())
     }
 
     /** Whether the start of [assignment] was in the answer to a report of the same session before this one. */
--- a/src/main/kotlin/mountmast/coordination/workers/WorkerReports.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerReports.kt
@@ -1,7 +1,5 @@
 package mountmast.coordination.workers
 
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.Ledger
 import mountmast.coordination.state.LossCause
@@ -9,10 +7,12 @@
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
 import mountmast.coordination.state.TermSignals
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
 import mountmast.protocol.Clock
+import mountmast.protocol.FencingToken
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.Term
 import mountmast.protocol.WorkerReport
 import org.slf4j.LoggerFactory
 import java.util.concurrent.locks.ReentrantLock
@@ -75,7 +75,7 @@
         machine.answeredAt = now
         machine.answeredReport = report.reportNumber
         val orders = dispatch.outstanding(machine, inHeartbeat = report.reportNumber)
-        dispatch.fenceOffStopped(machine)
+        dispatch.fenceOffStoppedTasks(machine)
         return HeartbeatResponse(dispatch.token(machine), orders)
     }
 
@@ -90,9 +90,9 @@
             machine.unacknowledgedReports += lostAnswers
             machine.reportedAt = now
         }
-        val isOurs = report.term.election == grant.term.election
-        if (isOurs) machine.hasSeenTerm = true
-        dispatch.noteToken(machine, report.term)
+        val isOurs = report.token.term == grant.token.term
+        if (isOurs) machine.hasShownCurrentTerm = true
+        dispatch.observeToken(machine, report.token)
         if (isHeartbeat && isOurs) withdrawStopped(machine, report)
         if (ledger.unwritten.isNotEmpty()) signals.wakeWriter()
         if (!wasUsable && machine.usable(now)) signals.wakePlacement()
@@ -148,7 +148,7 @@
         val helpedUntil = maxOf(grant.electedAt + timing.helpMs, readyAt)
         if (ledUntil - maxOf(machine.answeredAt, helpedUntil) < timing.leaseOverMs) return false
         // Until the worker has shown our token, the leader before us may have answered it during its grace.
-        return machine.hasSeenTerm || ledUntil - readyAt >= timing.formerLeaderMs + timing.leaseOverMs
+        return machine.hasShownCurrentTerm || ledUntil - readyAt >= timing.formerLeaderMs + timing.leaseOverMs
     }
 
     /** A lease is called over only where no answer that may have renewed it left this node meanwhile. */
@@ -174,6 +174,6 @@
 
     private companion object {
         /** Bears no token, so that no worker takes it and no lease is renewed. */
-        val NOTHING_RENEWED = HeartbeatResponse(Term(0u), emptyList())
+        val NOTHING_RENEWED = HeartbeatResponse(FencingToken(0u), emptyList())
     }
 }
--- a/src/main/kotlin/mountmast/protocol/Ids.kt
+++ b/src/main/kotlin/mountmast/protocol/Ids.kt
@@ -105,25 +105,25 @@
  */
 @Serializable
 @JvmInline
-value class Term(val number: ULong) : Comparable<Term> {
-    override fun compareTo(other: Term) = number.compareTo(other.number)
+value class FencingToken(val number: ULong) : Comparable<FencingToken> {
+    override fun compareTo(other: FencingToken) = number.compareTo(other.number)
 
     /** Which term the token belongs to. */
-    val election: ULong get() = number / TOKENS
+    val term: ULong get() = number / TOKENS_PER_TERM
 
     /** The first token of its term. */
-    fun first() = Term(election * TOKENS)
+    fun firstOfTerm() = FencingToken(term * TOKENS_PER_TERM)
 
     /** The first token of the term after this one. */
-    fun next() = Term((election + 1u) * TOKENS)
+    fun firstOfNextTerm() = FencingToken((term + 1u) * TOKENS_PER_TERM)
 
-    /** The token after [fences] more, of the same term. */
-    fun fenced(fences: Int) = Term(number + fences.toUInt())
+    /** The token that is [steps] higher, of the same term. */
+    fun advancedBy(steps: Int) = FencingToken(number + steps.toUInt())
 
-    override fun toString() = if (number % TOKENS == 0uL) "$election" else "$election.${number % TOKENS}"
+    override fun toString() = if (number % TOKENS_PER_TERM == 0uL) "$term" else "$term.${number % TOKENS_PER_TERM}"
 
     private companion object {
-        const val TOKENS = 1_048_576uL
+        const val TOKENS_PER_TERM = 1_048_576uL
     }
 }
 
--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -11,10 +11,10 @@
 data class PeerHello(
     @ProtoNumber(1) val node: String,
     /** Highest term this node has seen. */
-    @ProtoNumber(2) val term: Long,
+    @ProtoNumber(2) val token: Long,
     /** Whether this node reaches the state service and knows the machine types. */
     @ProtoNumber(3) val serves: Boolean,
-    /** Whether this node leads in [term]. */
+    /** Whether this node leads in [token]. */
     @ProtoNumber(4) val leads: Boolean,
     /** Jobs whose cancellation the sender committed, as long as the receiver has not answered a greeting with them. */
     @ProtoNumber(5) val cancelled: List<String> = emptyList(),
--- a/src/main/kotlin/mountmast/protocol/Wire.kt
+++ b/src/main/kotlin/mountmast/protocol/Wire.kt
@@ -175,7 +175,7 @@
     @SerialName("loaners") val spot: Boolean = false,
     @SerialName("watch") val session: Session,
     @SerialName("tally") val reportNumber: ReportNumber,
-    @SerialName("helm") val term: Term = Term(0u),
+    @SerialName("helm") val token: FencingToken = FencingToken(0u),
     @SerialName("recallS") val noticeS: Double? = null,
     @SerialName("pieces") val tasks: List<ReportedTask> = emptyList(),
 )
@@ -204,7 +204,7 @@
 
 /** Answer to a worker's report. */
 @Serializable
-data class HeartbeatResponse(@SerialName("helm") val term: Term, @SerialName("orders") val orders: List<Order>)
+data class HeartbeatResponse(@SerialName("helm") val token: FencingToken, @SerialName("orders") val orders: List<Order>)
 
 /** Answer that sends a worker to another node. */
 @Serializable
@@ -213,7 +213,7 @@
 /** Commands sent directly to a worker. */
 @Serializable
 data class OrdersMessage(
-    @SerialName("helm") val term: Term,
+    @SerialName("helm") val token: FencingToken,
     @SerialName("watch") val session: Session,
     @SerialName("orders") val orders: List<Order>,
 )
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -7,10 +7,10 @@
 import kotlinx.serialization.decodeFromString
 import kotlinx.serialization.encodeToString
 import kotlinx.serialization.json.JsonElement
-import mountmast.protocol.StoreLeaseId
-import mountmast.protocol.Revision
 import mountmast.protocol.ModRevision
+import mountmast.protocol.Revision
 import mountmast.protocol.StateLimits
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.WireJson
 import mountmast.transport.HttpCaller
 import mountmast.transport.MetricNames
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
+import mountmast.protocol.FencingToken
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
@@ -9,7 +10,6 @@
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
 import mountmast.protocol.NodeId
-import mountmast.protocol.Term
 import mountmast.protocol.WallTime
 
 /**
@@ -74,7 +74,7 @@
     @SerialName("node") val node: NodeId,
     /** Drawn at each start of the process: a restarted node is another holder. */
     @SerialName("run") val run: String,
-    @SerialName("term") val term: Term,
+    @SerialName("term") val token: FencingToken,
     /** When its election began, for those who help it at first. */
     @SerialName("since") val since: WallTime = WallTime(0),
     /** The watermark of cancellations as it was found at the election. */
@@ -90,7 +90,7 @@
 
 /** The highest term ever taken; never deleted. */
 @Serializable
-data class TermRecord(@SerialName("term") val term: Term)
+data class TermRecord(@SerialName("term") val token: FencingToken)
 
 /** A job that is not over yet. */
 @Serializable
--- a/src/main/kotlin/mountmast/storage/StateStore.kt
+++ b/src/main/kotlin/mountmast/storage/StateStore.kt
@@ -1,9 +1,9 @@
 package mountmast.storage
 
 import kotlinx.serialization.json.JsonElement
-import mountmast.protocol.StoreLeaseId
-import mountmast.protocol.Revision
 import mountmast.protocol.ModRevision
+import mountmast.protocol.Revision
+import mountmast.protocol.StoreLeaseId
 
 /** The state service did not carry out what was asked. */
 open class StoreException(message: String) : Exception(message)
--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -11,26 +11,25 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.protobuf.ProtoBuf
 import mountmast.coordination.jobs.JobService
+import mountmast.protocol.FencingToken
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobId
 import mountmast.protocol.JobStatus
 import mountmast.protocol.MachineType
 import mountmast.protocol.MachineTypes
+import mountmast.protocol.ModRevision
 import mountmast.protocol.NodeId
 import mountmast.protocol.PeerHello
 import mountmast.protocol.RelayRequest
-import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
-import mountmast.protocol.Term
 import mountmast.protocol.TypeId
 import mountmast.protocol.WireJson
 import mountmast.protocol.Zone
 import mountmast.standin.StandInStore
 import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
-import mountmast.storage.TransactionResult
 import mountmast.storage.Compare
 import mountmast.storage.Keys
 import mountmast.storage.OverRecord
@@ -38,6 +37,7 @@
 import mountmast.storage.StateStore
 import mountmast.storage.StoreRequestRejectedException
 import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
 import mountmast.storage.TypesForm
 import mountmast.storage.Write
 import mountmast.transport.AdmissionLimit
@@ -82,7 +82,7 @@
 
     private val beats = HeartbeatService { report ->
         when (report.machine.text) {
-            "vm-1" -> HeartbeatOutcome.Accepted(HeartbeatResponse(Term(7u), emptyList()))
+            "vm-1" -> HeartbeatOutcome.Accepted(HeartbeatResponse(FencingToken(7u), emptyList()))
             "vm-2" -> HeartbeatOutcome.Elsewhere(NodeId("n-2"))
             else -> HeartbeatOutcome.Elsewhere(null)
         }
--- a/src/test/kotlin/mountmast/contract/SerializedExamples.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedExamples.kt
@@ -5,8 +5,8 @@
 import kotlinx.serialization.serializer
 import mountmast.protocol.Attempt
 import mountmast.protocol.ExitCause
+import mountmast.protocol.FencingToken
 import mountmast.protocol.HeartbeatResponse
-import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobAnswer
 import mountmast.protocol.JobId
@@ -19,6 +19,7 @@
 import mountmast.protocol.MachinePage
 import mountmast.protocol.MachineType
 import mountmast.protocol.MachineTypes
+import mountmast.protocol.ModRevision
 import mountmast.protocol.NodeId
 import mountmast.protocol.Order
 import mountmast.protocol.OrdersMessage
@@ -34,10 +35,9 @@
 import mountmast.protocol.Revision
 import mountmast.protocol.Session
 import mountmast.protocol.Shape
-import mountmast.protocol.ModRevision
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.TaskState
 import mountmast.protocol.TeamId
-import mountmast.protocol.Term
 import mountmast.protocol.TypeId
 import mountmast.protocol.Urgency
 import mountmast.protocol.Verb
@@ -166,7 +166,7 @@
         example("type-id", TypeId("large")),
         example("image-id", ImageId("img-9")),
         example("rental-id", RentalId("c-77")),
-        example("fencing-token", Term(ULong.MAX_VALUE)),
+        example("fencing-token", FencingToken(ULong.MAX_VALUE)),
         example("worker-epoch", Session(ULong.MAX_VALUE)),
         example("report-number", ReportNumber(ULong.MAX_VALUE)),
         example("attempt", Attempt(ULong.MAX_VALUE)),
@@ -214,7 +214,7 @@
                 spot = true,
                 session = Session(6u),
                 reportNumber = ReportNumber(901u),
-                term = Term(3_145_729u),
+                token = FencingToken(3_145_729u),
                 noticeS = 28.5,
                 tasks = listOf(fullTask, leastTask),
             ),
@@ -232,12 +232,12 @@
         ),
         example("command-full", fullOrder),
         example("command-least", leastOrder),
-        example("report-answer-full", HeartbeatResponse(Term(3_145_729u), listOf(fullOrder, leastOrder))),
-        example("report-answer-least", HeartbeatResponse(Term(0u), emptyList())),
+        example("report-answer-full", HeartbeatResponse(FencingToken(3_145_729u), listOf(fullOrder, leastOrder))),
+        example("report-answer-least", HeartbeatResponse(FencingToken(0u), emptyList())),
         example("redirect-full", Redirect(NodeId("node-2"))),
         example("redirect-least", Redirect()),
-        example("direct-commands-full", OrdersMessage(Term(3_145_729u), Session(6u), listOf(fullOrder, leastOrder))),
-        example("direct-commands-least", OrdersMessage(Term(0u), Session(0u), emptyList())),
+        example("direct-commands-full", OrdersMessage(FencingToken(3_145_729u), Session(6u), listOf(fullOrder, leastOrder))),
+        example("direct-commands-least", OrdersMessage(FencingToken(0u), Session(0u), emptyList())),
         example("machine-type-full", fullType),
         example("machine-type-least", leastType),
         example("machine-types-full", MachineTypes(listOf(fullType, leastType))),
@@ -263,11 +263,11 @@
     private val stored: List<Example<*>> = listOf(
         example(
             "stored-leader-full",
-            LeaderRecord(NodeId("node-2"), "r-4f", Term(3_145_728u), WallTime(1_700_000_000_001), WallTime(1_700_000_000_002)),
+            LeaderRecord(NodeId("node-2"), "r-4f", FencingToken(3_145_728u), WallTime(1_700_000_000_001), WallTime(1_700_000_000_002)),
         ),
-        example("stored-leader-least", LeaderRecord(NodeId("node-1"), "r-1", Term(0u))),
+        example("stored-leader-least", LeaderRecord(NodeId("node-1"), "r-1", FencingToken(0u))),
         example("stored-watermark", WatermarkRecord(WallTime(1_700_000_000_002))),
-        example("stored-term", TermRecord(Term(3_145_728u))),
+        example("stored-term", TermRecord(FencingToken(3_145_728u))),
         example("stored-job-full", fullRecord),
         example("stored-job-least", JobRecord(leastJob, WallTime(0))),
         example("stored-prerequisites-reference", PrerequisiteListRef("00ff00ff00ff00ff", 3)),
--- a/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
@@ -26,7 +26,7 @@
         spec.id
     }
 
-    private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.term }
+    private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }
 
     @Test
     fun `1700 machines are filled, all nodes end at once, and a third of the fleet is lost and made good`() {
@@ -61,7 +61,7 @@
         world.run(15_000, busy = false)
         assertTrue(world.rules.started <= ALL_TASKS, "${world.rules.started - started} starts, ${ALL_TASKS - started} were left")
         assertTrue(leader().ledger.machines.values.sumOf { it.live.size } in started..ALL_TASKS)
-        assertTrue(leader().ledger.machines.values.filter { it.live.isNotEmpty() }.all { it.hasSeenTerm })
+        assertTrue(leader().ledger.machines.values.filter { it.live.isNotEmpty() }.all { it.hasShownCurrentTerm })
 
         val hit = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 3 == 0 }
         for ((i, worker) in hit.withIndex()) if (i % 2 == 0) world.cloud.take(worker.id) else worker.cutUntil = world.time.now + 9000
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -22,7 +22,7 @@
         assertEquals(emptyList<JobId>(), ids.filter { poll(it) != JobStatus.DONE })
     }
 
-    private fun World.leader() = seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.term }
+    private fun World.leader() = seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }
 
     @Test
     fun `a poisoned job is backed off and evicts nobody, while others get done`() {
@@ -272,12 +272,12 @@
         leading.trouble.peersCutUntil = world.time.now + 40_000
         // The hold runs out, the successor waits a moment and calls the workers: well before the grace of 13 s.
         world.run(9000, busy = false)
-        val successor = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.term }
+        val successor = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }
         assertTrue(successor !== leading.controller?.leaderTerm())
         assertTrue(
             successor.ledger.machines.values.filter {
                 it.live.isNotEmpty()
-            }.all { it.hasSeenTerm },
+            }.all { it.hasShownCurrentTerm },
             "workers are still with the old leader",
         )
         world.expectDone(listOf(job), 80_000)
@@ -407,7 +407,7 @@
         val again = started.tasks.map { Order(Verb.START, it.task, it.attempt) }
         assertEquals(200, world.cancel(id))
         world.run(World.CANCEL_MS + 5000, busy = false)
-        worker.ordered(started.term, started.session, again)
+        worker.ordered(started.token, started.session, again)
         world.run(2000, busy = false)
         assertTrue(!worker.busy, "a cancelled task runs")
     }
--- a/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
@@ -9,7 +9,6 @@
 import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.standin.World
-import mountmast.storage.TransactionResult
 import mountmast.storage.Compare
 import mountmast.storage.Entry
 import mountmast.storage.JobRecord
@@ -17,6 +16,7 @@
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
 import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
 import mountmast.storage.Write
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -11,11 +11,11 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.protobuf.ProtoBuf
 import mountmast.coordination.controller.LeaderTerm
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
 import mountmast.coordination.scheduling.Policy
 import mountmast.coordination.state.Ledger
-import mountmast.protocol.StoreLeaseId
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
+import mountmast.protocol.FencingToken
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
@@ -23,6 +23,7 @@
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
 import mountmast.protocol.MachineTypes
+import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
 import mountmast.protocol.OrdersMessage
@@ -30,10 +31,9 @@
 import mountmast.protocol.RelayAnswer
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.Shape
-import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.TeamId
-import mountmast.protocol.Term
 import mountmast.protocol.TypeId
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
@@ -121,8 +121,8 @@
     @Test
     fun `the fields of production's records are taken for what they are`() {
         val elected = WallTime(1_700_000_000_110)
-        assertEquals(LeaderRecord(NodeId("node-0"), "254-0-0", Term(1_048_576u), elected, elected), stored<LeaderRecord>(Keys.LEADER))
-        assertEquals(TermRecord(Term(1_048_576u)), stored<TermRecord>(Keys.TERM))
+        assertEquals(LeaderRecord(NodeId("node-0"), "254-0-0", FencingToken(1_048_576u), elected, elected), stored<LeaderRecord>(Keys.LEADER))
+        assertEquals(TermRecord(FencingToken(1_048_576u)), stored<TermRecord>(Keys.TERM))
         assertEquals(WatermarkRecord(WallTime(1_700_000_080_881)), stored<WatermarkRecord>(Keys.WATERMARK))
         assertEquals(SnapshotRecord(generation = 1, upTo = 48, parts = 1), stored<SnapshotRecord>(Keys.SNAPSHOT))
         assertEquals(ImagesRecord(mapOf(MachineId("vm-000002") to mapOf(ImageId("i1") to 0.5))), stored<ImagesRecord>("images/0"))
@@ -322,7 +322,7 @@
     /** What a leader reads from [store]. */
     private fun loaded(store: StateStore): LeaderTerm {
         val clock = time.clock(0.0, 0)
-        val grant = LeadershipGrant(Term(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
+        val grant = LeadershipGrant(FencingToken(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
         val timing = Timing.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, reportS = 1.0)
         val lists = PrerequisiteLists(store, StateLimits(80.0, 30.0, 8.0, 16))
         return LeaderTerm(grant, store, NoWorkers, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
--- a/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
@@ -95,7 +95,7 @@
             return perKind
         }
 
-        private fun unwritten() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.term }.ledger.unwritten.size
+        private fun unwritten() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }.ledger.unwritten.size
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
@@ -3,9 +3,9 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
 import mountmast.protocol.JobStatus
+import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Shape
-import mountmast.protocol.ModRevision
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
 import mountmast.standin.World
--- a/src/test/kotlin/mountmast/coordination/state/LedgerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/LedgerTest.kt
@@ -4,16 +4,16 @@
 import mountmast.coordination.workers.ReportIntake
 import mountmast.protocol.Attempt
 import mountmast.protocol.ExitCause
+import mountmast.protocol.FencingToken
 import mountmast.protocol.MachineId
+import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.ReportNumber
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Session
 import mountmast.protocol.Shape
-import mountmast.protocol.ModRevision
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
-import mountmast.protocol.Term
 import mountmast.protocol.TypeId
 import mountmast.protocol.WallTime
 import mountmast.protocol.WorkerReport
@@ -36,7 +36,7 @@
             MachineId(
                 machine,
             ),
-            "127.0.0.1:1", TypeId("s"), Zone("a"), false, Session(session), ReportNumber(++reportNumber), Term(0u), null, tasks.toList(),
+            "127.0.0.1:1", TypeId("s"), Zone("a"), false, Session(session), ReportNumber(++reportNumber), FencingToken(0u), null, tasks.toList(),
         ),
         MonotonicTime(at),
     )
--- a/src/test/kotlin/mountmast/soak/StoreServer.kt
+++ b/src/test/kotlin/mountmast/soak/StoreServer.kt
@@ -9,21 +9,21 @@
 import kotlinx.serialization.json.jsonObject
 import kotlinx.serialization.json.jsonPrimitive
 import kotlinx.serialization.json.long
-import mountmast.protocol.StoreLeaseId
-import mountmast.protocol.Revision
 import mountmast.protocol.ModRevision
+import mountmast.protocol.Revision
+import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.WireJson
-import mountmast.storage.WatchEvent
-import mountmast.storage.TransactionResult
 import mountmast.storage.Compare
 import mountmast.storage.Entry
-import mountmast.storage.WatchResult
-import mountmast.storage.StoreLeaseExpiredException
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
+import mountmast.storage.StoreLeaseExpiredException
 import mountmast.storage.StoreRequestRejectedException
 import mountmast.storage.StoreTimeoutException
 import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
+import mountmast.storage.WatchEvent
+import mountmast.storage.WatchResult
 import mountmast.storage.Write
 import java.util.concurrent.ExecutorService
 
--- a/src/test/kotlin/mountmast/soak/WorkerFleet.kt
+++ b/src/test/kotlin/mountmast/soak/WorkerFleet.kt
@@ -120,7 +120,7 @@
             200 -> {
                 val answer = WireJson.decodeFromString<HeartbeatResponse>(reply.text)
                 noteStarts(answer.orders.filter { it.verb == Verb.START }.map { it.task })
-                worker.answered(answer.term, obeyed(answer.orders), sentAt, report.session)
+                worker.answered(answer.token, obeyed(answer.orders), sentAt, report.session)
             }
             421 -> {
                 val next = WireJson.decodeFromString<Redirect>(reply.text).reportTo?.text?.substringAfterLast('-')?.toIntOrNull()
@@ -155,11 +155,11 @@
             if (!worker.alive || worker.cut || worker.deaf) return@locked null
             val heldMs = if (worker.hanging) worker.hangUntil - clock.time.now else worker.commandsHeldMs
             if (worker.hanging || clock.time.now < worker.commandsHeldUntil) {
-                clock.time.later(heldMs) { if (worker.alive) worker.ordered(message.term, message.session, message.orders) }
+                clock.time.later(heldMs) { if (worker.alive) worker.ordered(message.token, message.session, message.orders) }
                 return@locked null
             }
             noteStarts(message.orders.filter { it.verb == Verb.START }.map { it.task })
-            val executed = worker.ordered(message.term, message.session, obeyed(message.orders))
+            val executed = worker.ordered(message.token, message.session, obeyed(message.orders))
             val report = reportOf(worker)
             StandInAnswer(if (executed) 200 else 409, WireJson.encodeToString(report))
         }
--- a/src/test/kotlin/mountmast/standin/Failures.kt
+++ b/src/test/kotlin/mountmast/standin/Failures.kt
@@ -1,6 +1,6 @@
 package mountmast.standin
 
-import mountmast.protocol.Term
+import mountmast.protocol.FencingToken
 
 /** Brings failures about in a [World], drawn from its seed. */
 class Failures(private val world: World) {
@@ -116,7 +116,7 @@
     }
 
     private fun leader() = seats.filter { it.controller?.leaderTerm() != null }.maxByOrNull {
-        it.controller?.leaderTerm()?.grant?.term ?: Term(0u)
+        it.controller?.leaderTerm()?.grant?.token ?: FencingToken(0u)
     }
 
     /** The state service refuses the leader alone, users cancel elsewhere at that moment, and then it is out for all. */
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/Network.kt
@@ -96,7 +96,7 @@
 
     private fun execute(worker: StandInWorker, message: OrdersMessage): OrdersOutcome {
         time.record { "worker ${worker.id.text} gets ${WireJson.encodeToString(message)}" }
-        return if (worker.ordered(message.term, message.session, message.orders)) {
+        return if (worker.ordered(message.token, message.session, message.orders)) {
             OrdersOutcome.Executed(worker.report())
         } else {
             OrdersOutcome.Rejected(worker.report())
@@ -227,7 +227,7 @@
                 if (isAnswerLost) {
                     worker.target = (worker.target + 1) % world.seats.size
                 } else if (random.nextDouble() >= seat.trouble.lossRate) {
-                    time.later(delay) { worker.answered(outcome.answer.term, outcome.answer.orders, sentAt, report.session) }
+                    time.later(delay) { worker.answered(outcome.answer.token, outcome.answer.orders, sentAt, report.session) }
                 }
             }
             is HeartbeatOutcome.Elsewhere -> {
--- a/src/test/kotlin/mountmast/standin/StandInWorker.kt
+++ b/src/test/kotlin/mountmast/standin/StandInWorker.kt
@@ -2,6 +2,7 @@
 
 import mountmast.protocol.Attempt
 import mountmast.protocol.ExitCause
+import mountmast.protocol.FencingToken
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
@@ -14,7 +15,6 @@
 import mountmast.protocol.Session
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
-import mountmast.protocol.Term
 import mountmast.protocol.Verb
 import mountmast.protocol.WorkerReport
 import mountmast.protocol.Zone
@@ -46,7 +46,7 @@
     private val results = HashSet<TaskId>()
     private var session = 1uL
     private var reportNumber = 0uL
-    private var helm = Term(0u)
+    private var helm = FencingToken(0u)
     private var answeredSentAt = time.now
     private var steppedAt = time.now
     private val place = Place(id, type.id, zone, spot)
@@ -160,17 +160,17 @@
     }
 
     /** Takes the answer to a report that was sent at [sentAt] in [ofSession]. */
-    fun answered(term: Term, orders: List<Order>, sentAt: Long, ofSession: Session) {
-        if (!alive || ofSession.number != session || term < helm || time.now - sentAt > 4000) return
-        helm = term
+    fun answered(token: FencingToken, orders: List<Order>, sentAt: Long, ofSession: Session) {
+        if (!alive || ofSession.number != session || token < helm || time.now - sentAt > 4000) return
+        helm = token
         answeredSentAt = sentAt
         orders.forEach(::execute)
     }
 
     /** Commands sent directly; null where they were rejected. */
-    fun ordered(term: Term, ofSession: Session, orders: List<Order>): Boolean {
-        if (term < helm || ofSession.number != session) return false
-        helm = term
+    fun ordered(token: FencingToken, ofSession: Session, orders: List<Order>): Boolean {
+        if (token < helm || ofSession.number != session) return false
+        helm = token
         orders.forEach(::execute)
         return true
     }
--- a/src/test/kotlin/mountmast/standin/production/ProductionStore.kt
+++ b/src/test/kotlin/mountmast/standin/production/ProductionStore.kt
@@ -3,15 +3,15 @@
 import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
-import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.Revision
-import mountmast.storage.WatchEvent
-import mountmast.storage.TransactionResult
+import mountmast.protocol.StoreLeaseId
 import mountmast.storage.Entry
 import mountmast.storage.EntryPage
-import mountmast.storage.WatchResult
 import mountmast.storage.StateStore
 import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
+import mountmast.storage.WatchEvent
+import mountmast.storage.WatchResult
 import mountmast.storage.Write
 import mountmast.storage.WriteBudget
 
--- a/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
+++ b/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
@@ -2,8 +2,8 @@
 
 import com.sun.net.httpserver.HttpServer
 import kotlinx.serialization.json.JsonPrimitive
-import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.StateLimits
+import mountmast.protocol.StoreLeaseId
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/mountmast/transport/RoutesTest.kt
+++ b/src/test/kotlin/mountmast/transport/RoutesTest.kt
@@ -1,8 +1,8 @@
 package mountmast.transport
 
+import mountmast.protocol.FencingToken
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.NodeId
-import mountmast.protocol.Term
 import mountmast.protocol.WorkerReport
 import org.http4k.core.Method
 import org.http4k.core.Request
@@ -36,7 +36,7 @@
         if (report.machine.text ==
             "vm-1"
         ) {
-            HeartbeatOutcome.Accepted(HeartbeatResponse(Term(7u), emptyList()))
+            HeartbeatOutcome.Accepted(HeartbeatResponse(FencingToken(7u), emptyList()))
         } else {
             HeartbeatOutcome.Elsewhere(NodeId("n-2"))
         }
