--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -4,7 +4,9 @@
 import mountmast.coordination.controller.OperatorSettings
 import mountmast.protocol.Attempt
 import mountmast.protocol.FencingToken
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
+import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.JobValidation
 import mountmast.protocol.MachineId
 import mountmast.protocol.Member
@@ -13,15 +15,13 @@
 import mountmast.protocol.OrdersMessage
 import mountmast.protocol.PeerHello
 import mountmast.protocol.RelayRequest
-import mountmast.protocol.ReportNumber
 import mountmast.protocol.ReportedTask
-import mountmast.protocol.Session
 import mountmast.protocol.Settings
 import mountmast.protocol.TaskState
 import mountmast.protocol.TypeId
 import mountmast.protocol.Verb
 import mountmast.protocol.WireJson
-import mountmast.protocol.WorkerReport
+import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import mountmast.transport.HttpCaller
 import mountmast.transport.HttpPeers
@@ -60,13 +60,13 @@
     private fun callSelf(port: Int) {
         val caller = HttpCaller()
         val self = InetSocketAddress("127.0.0.1", port)
-        val report = WorkerReport(
-            MachineId("vm-1"), "127.0.0.1:1", TypeId("t"), Zone("z"), false, Session(1u), ReportNumber(1u), FencingToken(0u), null,
+        val heartbeat = Heartbeat(
+            MachineId("vm-1"), "127.0.0.1:1", TypeId("t"), Zone("z"), false, WorkerIncarnation(1u), HeartbeatSequence(1u), FencingToken(0u), null,
             listOf(ReportedTask("j-1/0", Attempt(1u), TaskState.RUNNING)),
         )
         WireJson.encodeToString(HeartbeatResponse(FencingToken(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
         JobValidation.parse(JobValidation.parseObject(JOB))
-        val bodies = listOf("/agent/beat" to WireJson.encodeToString(report), "/v1/jobs" to JOB)
+        val bodies = listOf("/agent/beat" to WireJson.encodeToString(heartbeat), "/v1/jobs" to JOB)
         for ((path, body) in bodies) caller.call(self, "POST", path, body.encodeToByteArray(), CALL_MS)
         for (path in listOf("/ready", "/v1/jobs/j-1")) caller.call(self, "GET", path, null, CALL_MS)
     }
@@ -81,7 +81,7 @@
         val peers = HttpPeers()
         checkNotNull(peers.hello(member, PeerHello("warm-1", 0, serves = true, leads = false))) { "no greeting" }
         peers.relay(member, RelayRequest("GET", "/v1/jobs/j-1", ""))
-        HttpWorkers().order("127.0.0.1:$port", OrdersMessage(FencingToken(1u), Session(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
+        HttpWorkers().order("127.0.0.1:$port", OrdersMessage(FencingToken(1u), WorkerIncarnation(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
     }
 
     private fun settings(public: Int, peer: Int) = """
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineRentals.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineRentals.kt
@@ -1,8 +1,8 @@
 package mountmast.coordination.autoscaling
 
+import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
-import mountmast.coordination.election.Timing
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.RentalId
 import mountmast.protocol.RentalRequest
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineReturns.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineReturns.kt
@@ -1,8 +1,8 @@
 package mountmast.coordination.autoscaling
 
+import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
-import mountmast.coordination.election.Timing
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
@@ -75,7 +75,7 @@
             when (machine.state) {
                 // A machine that hung or was cut off comes back with its images, sooner than another one boots; one that is
                 // dead is listed as failed soon, and costs nothing.
-                MachineState.EXPIRED -> now - machine.expiredAt > timing.leaseOverMs
+                MachineState.EXPIRED -> now - machine.expiredAt > timing.leaseExpiryMs
                 MachineState.SILENT -> false
                 MachineState.BOOTING -> hasFailedToBoot(machine, type, now)
                 MachineState.UP -> isUnreachedForGood(machine, now) || (machine.live.isEmpty() && isUnneeded(machine, type, now))
--- a/src/main/kotlin/mountmast/coordination/autoscaling/RentalPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/RentalPlanner.kt
@@ -1,9 +1,9 @@
 package mountmast.coordination.autoscaling
 
+import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Job
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
-import mountmast.coordination.election.Timing
 import mountmast.protocol.MachineType
 import mountmast.protocol.MonotonicTime
 
@@ -92,13 +92,13 @@
         !machine.noticed &&
         when (machine.state) {
             MachineState.BOOTING ->
-                if (machine.listedRunning) now - machine.knownAt < firstReportMs else !history.isLate(machine, now)
-            MachineState.UP -> !machine.hasShownCurrentTerm && machine.live.isEmpty() && now - machine.sessionSince < firstReportMs
+                if (machine.listedRunning) now - machine.knownAt < firstHeartbeatMs else !history.isLate(machine, now)
+            MachineState.UP -> !machine.hasShownCurrentTerm && machine.live.isEmpty() && now - machine.incarnationSince < firstHeartbeatMs
             else -> false
         }
 
     /** A machine that was running when this leader came reports within this time, or never. */
-    private val firstReportMs get() = timing.quietMs + SLOW_NODE_MARGIN_MS
+    private val firstHeartbeatMs get() = timing.quietMs + SLOW_NODE_MARGIN_MS
 
     private class TypedOffer(val offer: Offer, val type: MachineType)
 
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -2,6 +2,8 @@
 
 import mountmast.coordination.autoscaling.Fleet
 import mountmast.coordination.autoscaling.FleetPolicy
+import mountmast.coordination.election.Leadership
+import mountmast.coordination.election.Timing
 import mountmast.coordination.jobs.JobService
 import mountmast.coordination.jobs.JobWatch
 import mountmast.coordination.membership.CancellationNotices
@@ -11,17 +13,15 @@
 import mountmast.coordination.scheduling.Policy
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.TaskLosses
-import mountmast.coordination.election.Leadership
-import mountmast.coordination.election.Timing
 import mountmast.coordination.workers.LeaseHelper
 import mountmast.protocol.Clock
 import mountmast.protocol.FencingToken
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobId
 import mountmast.protocol.NodeId
 import mountmast.protocol.PeerHello
 import mountmast.protocol.Settings
-import mountmast.protocol.WorkerReport
 import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
@@ -58,7 +58,7 @@
     metrics: Metrics = Metrics(),
 ) : HeartbeatService,
     PeerService {
-    private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.reportS)
+    private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.heartbeatIntervalS)
     private val losses = TaskLosses(metrics)
     private val invariants = Invariants(metrics)
     private val wakeLag = metrics.timing(MetricNames.WAKE_LAG)
@@ -105,7 +105,7 @@
         leadership.step()
         val leaderTerm = leaderComponents.get()?.leaderTerm
         // Cut off from the workers alone, in either direction, this node would renew for ever while their leases run out.
-        val why = leaderTerm?.reports?.unfit() ?: leaderTerm?.let(::whyUninformed)
+        val why = leaderTerm?.heartbeats?.unfit() ?: leaderTerm?.let(::whyUninformed)
         if (leaderTerm != null && why != null && peerStates.serving() > 0) leadership.resign(leaderTerm.grant, why)
         syncLeaderComponents()
         weighUsers()
@@ -193,7 +193,7 @@
     fun pass() {
         val leaderTerm = leaderTerm() ?: return
         leaderTerm.pass()
-        leadership.confirmedUntil(leaderTerm.grant)?.let { leaderTerm.reports.expireSilent(it) }
+        leadership.confirmedUntil(leaderTerm.grant)?.let { leaderTerm.heartbeats.expireSilent(it) }
     }
 
     /** Writes what the ledger changed; false where there was nothing to write. */
@@ -238,19 +238,19 @@
     /** Calls one worker that may still be with a former leader; false where there was none to call. */
     fun call(): Boolean = leaderTerm()?.dispatch?.callNext() ?: false
 
-    override fun heartbeat(report: WorkerReport): HeartbeatOutcome {
-        leadership.observeToken(report.token)
-        val grant = leadership.grant() ?: return helper.help(report) ?: HeartbeatOutcome.Elsewhere(leadership.leader())
+    override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome {
+        leadership.observeToken(heartbeat.token)
+        val grant = leadership.grant() ?: return helper.help(heartbeat) ?: HeartbeatOutcome.Elsewhere(leadership.leader())
         val leaderTerm = leaderComponents.get()?.leaderTerm
-        if (!leadership.mayAnswerWorkers() || report.token.term > grant.token.term) return HeartbeatOutcome.Elsewhere(null)
+        if (!leadership.mayAnswerWorkers() || heartbeat.token.term > grant.token.term) return HeartbeatOutcome.Elsewhere(null)
         if (leaderTerm == null || leaderTerm.grant !== grant || !leaderTerm.mayAnswerWorkers()) return HeartbeatOutcome.Elsewhere(null)
         val receivedAt = clock.now()
         val answer = if (leaderTerm.ready) {
-            leaderTerm.reports.heartbeat(report)
+            leaderTerm.heartbeats.onHeartbeat(heartbeat)
         } else {
-            HeartbeatResponse(maxOf(grant.token, report.token), helper.stopsOf(report))
+            HeartbeatResponse(maxOf(grant.token, heartbeat.token), helper.stopsOf(heartbeat))
         }
-        if (answer.token.number > 0u) leaderTerm.reports.answers.note(report.machine, receivedAt)
+        if (answer.token.number > 0u) leaderTerm.heartbeats.answers.note(heartbeat.machine, receivedAt)
         return HeartbeatOutcome.Accepted(answer)
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -1,6 +1,8 @@
 package mountmast.coordination.controller
 
 import mountmast.coordination.autoscaling.AutoscalingContext
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
 import mountmast.coordination.persistence.JournalState
 import mountmast.coordination.persistence.PersistenceContext
 import mountmast.coordination.persistence.TermLoader
@@ -14,11 +16,9 @@
 import mountmast.coordination.state.LiveJobsListener
 import mountmast.coordination.state.TaskLosses
 import mountmast.coordination.state.TermSignals
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
 import mountmast.coordination.workers.CommandDispatcher
+import mountmast.coordination.workers.HeartbeatHandler
 import mountmast.coordination.workers.ReachabilityMonitor
-import mountmast.coordination.workers.WorkerReports
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
@@ -67,37 +67,37 @@
     override var pendingTypes: MachineTypes? = null
 
     private val dependencies = JobDependencies(ledger)
-    val reports = WorkerReports(lock, ledger, grant, reachability, signals, timing, clock, invariants)
+    val heartbeats = HeartbeatHandler(lock, ledger, grant, reachability, signals, timing, clock, invariants)
     override val jobs = LiveJobs(lock, ledger, dependencies, signals, store, prerequisiteLists, clock, grant.watermark, JobsListener())
 
     /** Commands to the workers. */
     val dispatch = CommandDispatcher(lock, ledger, grant, workers, timing, clock, { now ->
         jobs.unknownForMs(now) < timing.ttlMs
-    }, invariants) { report, now -> reports.take(report, now, isHeartbeat = false) }
+    }, invariants) { heartbeat, now -> heartbeats.take(heartbeat, now, isHeartbeat = false) }
 
     private val snapshots = SchedulingSnapshots(ledger, dependencies, teams, timing, clock)
     private val passes = SchedulingPasses(ledger, snapshots, dispatch, signals, policy, clock)
     private val loader = TermLoader(lock, ledger, journal, jobs, store, clock)
 
     init {
-        reports.dispatch = dispatch
+        heartbeats.dispatch = dispatch
     }
 
     /** Whether what the leaders before wrote is read. */
-    val ready: Boolean get() = reports.takenFrom != null
+    val ready: Boolean get() = heartbeats.takenFrom != null
 
     /** Open tasks that found no machine in the last pass; the caller holds the lock. */
     override val waiting: List<Waiting> get() = passes.waiting
 
     /** How long a machine may hear nothing before it is returned. */
-    override val unreachedPatienceMs: Long get() = 2 * timing.leaseOverMs
+    override val unreachedPatienceMs: Long get() = 2 * timing.leaseExpiryMs
 
     /** Reads everything from the store, in two steps: first what is needed to go on, then hints. False once all is read. */
     fun load(): Boolean {
         if (ready) return loader.loadHints()
         loader.loadState()
         lock.withLock {
-            reports.takenFrom = clock.now()
+            heartbeats.takenFrom = clock.now()
             log.info(
                 "term {}: {} jobs, {} assignments on {} machines",
                 grant.token,
@@ -123,7 +123,7 @@
 
     /** One pass of the scheduler. */
     fun pass() = lock.withLock {
-        reports.takenFrom?.let(passes::run)
+        heartbeats.takenFrom?.let(passes::run)
     }
 
     override val leaderModRevision: ModRevision get() = grant.modRevision
--- a/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
@@ -1,9 +1,9 @@
 package mountmast.coordination.controller
 
+import mountmast.coordination.election.Leadership
 import mountmast.coordination.state.LossCause
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.TaskLosses
-import mountmast.coordination.election.Leadership
 import mountmast.protocol.Clock
 import mountmast.transport.MetricNames
 import mountmast.transport.Metrics
@@ -24,9 +24,9 @@
     private val leaderTerm: () -> LeaderTerm?,
     private val clock: Clock,
 ) {
-    private val answered = metrics.counter(MetricNames.REPORTS_ANSWERED)
-    private val refused = metrics.counter(MetricNames.REPORTS_REFUSED)
-    private val reportWait = metrics.timing(MetricNames.REPORT_WAIT)
+    private val answered = metrics.counter(MetricNames.HEARTBEATS_ANSWERED)
+    private val refused = metrics.counter(MetricNames.HEARTBEATS_REFUSED)
+    private val heartbeatWait = metrics.timing(MetricNames.HEARTBEAT_WAIT)
     private val requestWait = metrics.timing(MetricNames.REQUEST_WAIT)
     private val storeCalls = metrics.timing(MetricNames.STORE_CALLS)
     private val storeFailures = metrics.counter(MetricNames.STORE_FAILURES)
@@ -62,7 +62,7 @@
         val now = clock.now()
         val totals = Totals(answered.value, refused.value, storeCalls.count, storeFailures.value)
         val seconds = maxOf(1L, (now - toldAt) / MS_PER_S)
-        val load = "load: " + listOf(workLine(), reportsLine(totals, seconds), storeLine(totals, seconds), processLine()).joinToString("; ")
+        val load = "load: " + listOf(workLine(), heartbeatsLine(totals, seconds), storeLine(totals, seconds), processLine()).joinToString("; ")
         toldAt = now
         told = totals
         if (leaderTerm() != null) log.info(load) else log.debug(load)
@@ -74,10 +74,10 @@
         return "$machines machines up, $assignments assignments, ${metrics.gaugeValue(MetricNames.JOBS)} jobs"
     }
 
-    private fun reportsLine(totals: Totals, seconds: Long): String {
+    private fun heartbeatsLine(totals: Totals, seconds: Long): String {
         val rate = (totals.answered - told.answered) / seconds
-        val waiting = metrics.gaugeValue(MetricNames.REPORTS_WAITING)
-        return "$rate reports/s waited up to ${reportWait.takeLongestMs()} ms, ${totals.refused - told.refused} refused, $waiting wait; " +
+        val waiting = metrics.gaugeValue(MetricNames.HEARTBEATS_WAITING)
+        return "$rate reports/s waited up to ${heartbeatWait.takeLongestMs()} ms, ${totals.refused - told.refused} refused, $waiting wait; " +
             "requests waited up to ${requestWait.takeLongestMs()} ms, ${metrics.gaugeValue(MetricNames.REQUESTS_WAITING)} wait"
     }
 
@@ -91,7 +91,7 @@
     }
 
     private fun processLine(): String {
-        val lost = LossCause.entries.joinToString { "${losses.of(it)} ${it.name.lowercase()}" }
+        val lost = LossCause.entries.joinToString { "${losses.of(it)} ${it.label}" }
         return "woke up to ${wakeLag.takeLongestMs()} ms late, heap ${heapUsedMb()} MB; tasks lost so far: $lost"
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -40,7 +40,7 @@
         val admission = AdmissionLimits(operators.admission.limit(), operators.admission.limit())
         // When all workers connect at once, after an election, users would wait behind hundreds of reports.
         val lanes = listOf(
-            RequestLane.forReports(reportQueueMetrics()),
+            RequestLane.forHeartbeats(heartbeatQueueMetrics()),
             RequestLane.forOthers(USER_THREADS, sockets.waiting, requestQueueMetrics()),
         )
         publicRoutes(controller.users, controller, admission, metrics)
@@ -50,9 +50,9 @@
             .asServer(BoundedServer(settings.peerListen, "peer", PEER_THREADS, PEER_WAITING)).start()
     }
 
-    private fun reportQueueMetrics() =
-        QueueMetrics(metrics.timing(MetricNames.REPORT_WAIT), metrics.counter(MetricNames.REPORTS_REFUSED)) { size ->
-            metrics.gauge(MetricNames.REPORTS_WAITING, size)
+    private fun heartbeatQueueMetrics() =
+        QueueMetrics(metrics.timing(MetricNames.HEARTBEAT_WAIT), metrics.counter(MetricNames.HEARTBEATS_REFUSED)) { size ->
+            metrics.gauge(MetricNames.HEARTBEATS_WAITING, size)
         }
 
     private fun requestQueueMetrics() =
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingSnapshots.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingSnapshots.kt
@@ -1,5 +1,6 @@
 package mountmast.coordination.controller
 
+import mountmast.coordination.election.Timing
 import mountmast.coordination.scheduling.JobView
 import mountmast.coordination.scheduling.MachineIndex
 import mountmast.coordination.scheduling.MachineView
@@ -11,7 +12,6 @@
 import mountmast.coordination.state.Ledger
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.Phase
-import mountmast.coordination.election.Timing
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
@@ -62,7 +62,7 @@
         val machines = ArrayList<MachineView>(ledger.machines.size)
         for (machine in ledger.machines.values) {
             // Whoever reaches no controller loses its tasks with its lease, although direct commands may still reach it.
-            if (!machine.usable(now) || now - machine.reportedAt > timing.quietMs) continue
+            if (!machine.usable(now) || now - machine.lastHeartbeatAt > timing.quietMs) continue
             machines += currentView(machine) ?: continue
         }
         if (keptViews.size > machines.size) dropUnused()
--- a/src/main/kotlin/mountmast/coordination/election/Timing.kt
+++ b/src/main/kotlin/mountmast/coordination/election/Timing.kt
@@ -8,7 +8,7 @@
     val graceMs: Long,
     val leaseMs: Long,
     val clockOffMs: Long,
-    val reportMs: Long,
+    val heartbeatIntervalMs: Long,
     /**
      * For how long after the last moment up to which every cancellation is known workers may be answered: the lease that
      * an answer renews must run out before a cancellation that came just after that moment has to be carried out.
@@ -16,17 +16,17 @@
     val informedMs: Long,
 ) {
     /** After this long without an answer from a leader a worker has given up its tasks, drift included. */
-    val leaseOverMs: Long get() = drifted(leaseMs) + MARGIN_MS
+    val leaseExpiryMs: Long get() = drifted(leaseMs) + MARGIN_MS
 
     /**
      * A worker that was silent for so long has left out a report: two of the longest intervals, and the pause before it
      * tries another node. A leader that no worker reaches resigns after as long; where leases are short a longer time would leave
      * its successor none to renew them in.
      */
-    val quietMs: Long get() = (reportMs * QUIET_REPORTS).toLong() + RETRY_MS
+    val quietMs: Long get() = (heartbeatIntervalMs * QUIET_HEARTBEATS).toLong() + RETRY_MS
 
     /** How long a cancellation that another node told of is kept in mind: until all tasks of the job are gone for certain. */
-    val noticesMs: Long get() = 2 * (informedMs + leaseOverMs)
+    val noticesMs: Long get() = 2 * (informedMs + leaseExpiryMs)
 
     /** For this long after its election a leader must suppose that the one before still answers workers. */
     val formerLeaderMs: Long get() = drifted(graceMs) + MARGIN_MS
@@ -47,7 +47,7 @@
         private const val MARGIN_MS = 500L
         private const val MAX_HELP_MS = 8000L
         private const val RETRY_MS = 1000L
-        private const val QUIET_REPORTS = 2.5
+        private const val QUIET_HEARTBEATS = 2.5
         private const val TTL_LEASE_SHARE = 0.35
         private const val MIN_TTL_MS = 2000L
         private const val MAX_TTL_MS = 5000L
@@ -63,7 +63,7 @@
          * The grace ends early enough that a task which only a cut-off leader can reach is gone within
          * `cancel_s` of its cancellation: the hold, the grace and the worker's lease run out one after another.
          */
-        fun of(leaseS: Double, cancelS: Double, clockOffMs: Double, reportS: Double): Timing {
+        fun of(leaseS: Double, cancelS: Double, clockOffMs: Double, heartbeatIntervalS: Double): Timing {
             val lease = (leaseS * 1000).toLong()
             // A successor must be found, and be found by the workers, well before their leases run out.
             val ttl = (lease * TTL_LEASE_SHARE).toLong().coerceIn(MIN_TTL_MS, MAX_TTL_MS)
@@ -73,7 +73,7 @@
                 (informed - ttl).coerceIn(0, MAX_GRACE_MS),
                 lease,
                 Math.ceil(clockOffMs).toLong(),
-                (reportS * 1000).toLong(),
+                (heartbeatIntervalS * 1000).toLong(),
                 maxOf(informed, ttl),
             )
         }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
@@ -9,8 +9,8 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.Session
 import mountmast.protocol.TaskId
+import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import mountmast.storage.JournalReader
 import mountmast.storage.Ranges
@@ -34,7 +34,7 @@
         ledger.jobs[task.job]?.evictions?.put(task.index, times)
     }
 
-    override fun started(task: TaskId, machine: MachineId, session: Session, attempt: Attempt, zone: Zone) {
+    override fun started(task: TaskId, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone) {
         // A job that is over by now has no record any more, and nothing of it runs.
         val job = ledger.jobs[task.job] ?: return
         if (task.index >= job.spec.tasks || job.done.get(task.index)) return
@@ -48,7 +48,7 @@
                 heardAt = now
             }
         }
-        val assignment = Assignment(job, task.index, machine, session, attempt, zone, Phase.COMMITTED, now)
+        val assignment = Assignment(job, task.index, machine, incarnation, attempt, zone, Phase.COMMITTED, now)
         assignment.written = true
         if (job.cancelled) assignment.stopGraceS = 0.0
         ledger.place(assignment, known)
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -74,7 +74,7 @@
                     return false
                 }
                 assignment.beingWritten = true
-                text.started(assignment.taskName, assignment.machine, assignment.session, assignment.attempt, assignment.zone)
+                text.started(assignment.taskName, assignment.machine, assignment.incarnation, assignment.attempt, assignment.zone)
             }
             is Unwritten.Ended -> text.ended(change.assignment.taskName, endOf(change.assignment))
             is Unwritten.Reserved -> text.reserved(change.machine, change.job, change.victims)
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -3,18 +3,18 @@
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import mountmast.protocol.Attempt
+import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
 import mountmast.protocol.MachineId
 import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.ReportNumber
 import mountmast.protocol.Resources
-import mountmast.protocol.Session
 import mountmast.protocol.Shape
 import mountmast.protocol.TaskState
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
+import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import java.util.BitSet
 
@@ -38,7 +38,7 @@
     val job: Job,
     val index: Int,
     val machine: MachineId,
-    val session: Session,
+    val incarnation: WorkerIncarnation,
     val attempt: Attempt,
     val zone: Zone,
     var phase: Phase,
@@ -70,7 +70,7 @@
     var postsOut = 0
 
     /** Latest report that was answered with its start; the next report shows whether that was executed. */
-    var startedInHeartbeat: ReportNumber? = null
+    var startedInHeartbeat: HeartbeatSequence? = null
 }
 
 /** A job that is not over. */
--- a/src/main/kotlin/mountmast/coordination/state/Ledger.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Ledger.kt
@@ -10,10 +10,10 @@
 import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Resources
-import mountmast.protocol.Session
 import mountmast.protocol.TeamId
 import mountmast.protocol.TypeId
 import mountmast.protocol.WallTime
+import mountmast.protocol.WorkerIncarnation
 import mountmast.storage.JobRecord
 import mountmast.storage.JournalText
 import mountmast.storage.Ranges
@@ -98,7 +98,7 @@
         for (job in jobs.values) {
             for (ranges in Ranges.encode(job.done, LONGEST_RANGES)) text.done(job.id, ranges)
             for (times in job.evictions.int2IntEntrySet()) text.evictedBefore("${job.id}/${times.intKey}", times.intValue)
-            for (it in job.live.values) if (it.written) text.started(it.taskName, it.machine, it.session, it.attempt, it.zone)
+            for (it in job.live.values) if (it.written) text.started(it.taskName, it.machine, it.incarnation, it.attempt, it.zone)
         }
         return text.take()
     }
@@ -109,7 +109,7 @@
             job,
             index,
             machine.id,
-            checkNotNull(machine.session),
+            checkNotNull(machine.incarnation),
             Attempt(++lastAttempt),
             checkNotNull(machine.zone),
             Phase.INTENDED,
@@ -175,10 +175,10 @@
         finishing.remove(job)
     }
 
-    /** Ends every assignment on [machine] that belongs to a session before [session], or all where it is null. */
-    fun endSession(machine: Machine, session: Session?, cause: LossCause) {
+    /** Ends every assignment on [machine] that belongs to a session before [incarnation], or all where it is null. */
+    fun endIncarnation(machine: Machine, incarnation: WorkerIncarnation?, cause: LossCause) {
         for (assignment in machine.live.values) {
-            val isOver = session == null || assignment.session < session
+            val isOver = incarnation == null || assignment.incarnation < incarnation
             if (!isOver || assignment.phase >= Phase.ENDED) continue
             losses.note(cause)
             end(assignment, completed = false)
@@ -189,7 +189,7 @@
     fun markDeleted(id: MachineId, now: MonotonicTime) {
         tombstones[id] = now
         val machine = machines[id] ?: return
-        endSession(machine, null, LossCause.MACHINE_DELETED)
+        endIncarnation(machine, null, LossCause.MACHINE_DELETED)
         if (machine.live.isEmpty()) machines.remove(id) else machine.deleting = true
     }
 
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -1,14 +1,14 @@
 package mountmast.coordination.state
 
 import mountmast.protocol.Attempt
+import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.ReportNumber
 import mountmast.protocol.Resources
-import mountmast.protocol.Session
 import mountmast.protocol.TypeId
+import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 
 /** What the ledger knows of a machine's condition. */
@@ -29,16 +29,16 @@
 /** A rented machine. */
 class Machine(val id: MachineId, val type: TypeId?, val zone: Zone?, val spot: Boolean, var state: MachineState) {
     var address: String? = null
-    var session: Session? = null
-    var reportNumber = ReportNumber(0u)
+    var incarnation: WorkerIncarnation? = null
+    var sequence = HeartbeatSequence(0u)
 
     var heardAt = MonotonicTime(0)
 
     /** The highest report of this session that was answered as a heartbeat, not as the answer to a command. */
-    var heartbeatNumber = ReportNumber(0u)
+    var answeredHeartbeatSequence = HeartbeatSequence(0u)
 
     /** When it last reported by itself: one that only answers commands hears nothing of its reports' answers. */
-    var reportedAt = MonotonicTime(0)
+    var lastHeartbeatAt = MonotonicTime(0)
 
     /** When its lease was found to be over. */
     var expiredAt = MonotonicTime(0)
@@ -47,7 +47,7 @@
     var answeredAt = MonotonicTime(0)
 
     /** The report that this leader answered last, if any. */
-    var answeredReport: ReportNumber? = null
+    var answeredSequence: HeartbeatSequence? = null
     var rentedAt = MonotonicTime(0)
 
     /** When this leader first knew of it. */
@@ -103,11 +103,11 @@
     var hasShownCurrentTerm = false
 
     /** Reports in a row that show nothing of what the answers before them said. */
-    var unacknowledgedReports = 0
+    var unacknowledgedHeartbeats = 0
 
     /** Since when answers and commands seem not to reach the worker although its reports arrive. */
     var unreachedSince: MonotonicTime? = null
-    var sessionSince = MonotonicTime(0)
+    var incarnationSince = MonotonicTime(0)
     var postInFlight = false
 
     /** When it was last called away from a former leader. */
@@ -135,7 +135,7 @@
         !noticed &&
         !deleting &&
         !quarantined &&
-        session != null &&
+        incarnation != null &&
         now >= notBefore
 
     /** Takes over what was known of this machine before its kind was. */
--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -1,5 +1,7 @@
 package mountmast.coordination.workers
 
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.Ledger
@@ -7,18 +9,16 @@
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
 import mountmast.coordination.state.UnknownTask
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
 import mountmast.protocol.Clock
 import mountmast.protocol.FencingToken
+import mountmast.protocol.Heartbeat
+import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.MachineId
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Order
 import mountmast.protocol.OrdersMessage
-import mountmast.protocol.ReportNumber
-import mountmast.protocol.Session
 import mountmast.protocol.Verb
-import mountmast.protocol.WorkerReport
+import mountmast.protocol.WorkerIncarnation
 import mountmast.transport.OrdersOutcome
 import mountmast.transport.Workers
 import java.util.concurrent.TimeUnit
@@ -38,7 +38,7 @@
     private val isInformed: (MonotonicTime) -> Boolean,
     private val invariants: Invariants = Invariants(),
     /** Takes the report with which a worker answers a command; called with the lock held. */
-    private val onReport: (WorkerReport, MonotonicTime) -> Unit,
+    private val onHeartbeat: (Heartbeat, MonotonicTime) -> Unit,
 ) {
     private val postQueue = LinkedHashSet<MachineId>()
     private val postable: Condition = lock.newCondition()
@@ -69,12 +69,12 @@
     }
 
     /** Every command that the worker has not shown to have executed; [inHeartbeat] names the report they answer. */
-    fun outstanding(machine: Machine, inHeartbeat: ReportNumber?): List<Order> {
+    fun outstanding(machine: Machine, inHeartbeat: HeartbeatSequence?): List<Order> {
         val orders = ArrayList<Order>()
         // A job may have been cancelled since the jobs were last read, and nothing of it may start then.
         val mayStart = isInformed(clock.now())
         for (assignment in machine.live.values) {
-            if (assignment.phase != Phase.COMMITTED || assignment.session != machine.session) continue
+            if (assignment.phase != Phase.COMMITTED || assignment.incarnation != machine.incarnation) continue
             val grace = assignment.stopGraceS
             if (grace == null && assignment.reported == null && mayStart && isStartable(assignment)) {
                 orders += Order(Verb.START, assignment.taskName, assignment.attempt)
@@ -128,7 +128,7 @@
             } ?: return false
             postQueue -= id
             val machine = ledger.machines[id] ?: return true
-            if (machine.state != MachineState.UP || machine.session == null || machine.deleting) return true
+            if (machine.state != MachineState.UP || machine.incarnation == null || machine.deleting) return true
             // A host behind a cut holds a poster until its deadline, and with a fifth of the fleet cut the commands to all
             // the others waited. Whoever is silent gets them in the answer to its next report.
             if (now - machine.heardAt > timing.quietMs) return true
@@ -136,7 +136,7 @@
             if (orders.isEmpty()) return true
             forStarts(machine, orders) { it.postsOut++ }
             machine.postInFlight = true
-            Command(machine, checkNotNull(machine.session), machine.tokenOffset, orders)
+            Command(machine, checkNotNull(machine.incarnation), machine.tokenOffset, orders)
         }
         send(command)
         return true
@@ -151,17 +151,17 @@
             if (known.postInFlight || !needsCall(known, clock.now())) return true
             known.postInFlight = true
             known.calledAt = clock.now()
-            Command(known, known.session ?: known.live.values.firstOrNull()?.session ?: Session(1u), known.tokenOffset, emptyList())
+            Command(known, known.incarnation ?: known.live.values.firstOrNull()?.incarnation ?: WorkerIncarnation(1u), known.tokenOffset, emptyList())
         }
         send(command)
         return true
     }
 
     /** Orders of one session: sent in any other, a start would run in a session that its assignment is not for. */
-    private class Command(val machine: Machine, val session: Session, val tokenOffset: Int, val orders: List<Order>)
+    private class Command(val machine: Machine, val incarnation: WorkerIncarnation, val tokenOffset: Int, val orders: List<Order>)
 
     private fun send(command: Command) {
-        val message = OrdersMessage(grant.token.advancedBy(command.tokenOffset), command.session, command.orders)
+        val message = OrdersMessage(grant.token.advancedBy(command.tokenOffset), command.incarnation, command.orders)
         val outcome = workers.order(checkNotNull(command.machine.address), message)
         lock.withLock { posted(command, outcome) }
     }
@@ -179,7 +179,7 @@
 
     /** Has those workers called that have not shown our token although this node has led since [readyAt]. */
     fun callWorkers(readyAt: MonotonicTime, now: MonotonicTime) {
-        if (now - readyAt !in CALL_AFTER_MS..timing.formerLeaderMs + timing.leaseOverMs) return
+        if (now - readyAt !in CALL_AFTER_MS..timing.formerLeaderMs + timing.leaseExpiryMs) return
         for (machine in ledger.machines.values) if (needsCall(machine, now)) callQueue += machine.id
     }
 
@@ -190,8 +190,8 @@
         machine.postInFlight = false
         forStarts(machine, orders) { it.postsOut-- }
         when (outcome) {
-            is OrdersOutcome.Executed -> onReport(outcome.report, now)
-            is OrdersOutcome.Rejected -> onReport(outcome.report, now)
+            is OrdersOutcome.Executed -> onHeartbeat(outcome.heartbeat, now)
+            is OrdersOutcome.Rejected -> onHeartbeat(outcome.heartbeat, now)
             OrdersOutcome.NotSent -> machine.postNotBefore = now + POST_PAUSE_MS
             OrdersOutcome.Unknown -> {
                 machine.postNotBefore = now + POST_PAUSE_MS
--- a/src/main/kotlin/mountmast/coordination/workers/WorkerReports.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -1,5 +1,7 @@
 package mountmast.coordination.workers
 
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.Ledger
 import mountmast.coordination.state.LossCause
@@ -7,13 +9,11 @@
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
 import mountmast.coordination.state.TermSignals
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
 import mountmast.protocol.Clock
 import mountmast.protocol.FencingToken
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.WorkerReport
 import org.slf4j.LoggerFactory
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
@@ -21,7 +21,7 @@
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
 /** Takes workers' reports, and tells whose lease is over. Guarded by [lock]. */
-class WorkerReports(
+class HeartbeatHandler(
     private val lock: ReentrantLock,
     private val ledger: Ledger,
     private val grant: LeadershipGrant,
@@ -31,7 +31,7 @@
     private val clock: Clock,
     private val invariants: Invariants = Invariants(),
 ) {
-    private val intake = ReportIntake(ledger)
+    private val reconciler = HeartbeatReconciler(ledger)
 
     /** The answers that left this node in this term. */
     val answers = AnswerRecord()
@@ -44,56 +44,56 @@
     var takenFrom: MonotonicTime? = null
 
     /** Takes a worker's report and tells the worker what is outstanding. */
-    fun heartbeat(report: WorkerReport): HeartbeatResponse = lock.withLock {
+    fun onHeartbeat(heartbeat: Heartbeat): HeartbeatResponse = lock.withLock {
         val now = clock.now()
         val readyAt = takenFrom ?: return NOTHING_RENEWED
-        val isNews = take(report, now, isHeartbeat = true)
-        val machine = ledger.machines[report.machine] ?: return NOTHING_RENEWED
+        val isNews = take(heartbeat, now, isHeartbeat = true)
+        val machine = ledger.machines[heartbeat.machine] ?: return NOTHING_RENEWED
         if (isNews) {
-            if (reachability.note(machine, report, now, readyAt)) signals.wakePlacement()
-        } else if (!isOvertaken(machine, report)) {
+            if (reachability.note(machine, heartbeat, now, readyAt)) signals.wakePlacement()
+        } else if (!isOvertaken(machine, heartbeat)) {
             // A copy that comes late: whoever sent it has long dropped the answer, and could not take this one.
             return NOTHING_RENEWED
         }
-        renew(machine, report, now)
+        renew(machine, heartbeat, now)
     }
 
     /**
      * Whether a report that is no news may still be awaited by its worker: while it waited here, the answer to a command came,
      * which bears a higher number. At a busy node that may happen to every report of a machine.
      */
-    private fun isOvertaken(machine: Machine, report: WorkerReport) = machine.session == report.session &&
+    private fun isOvertaken(machine: Machine, heartbeat: Heartbeat) = machine.incarnation == heartbeat.incarnation &&
         machine.id !in ledger.tombstones &&
-        report.reportNumber > machine.heartbeatNumber
+        heartbeat.sequence > machine.answeredHeartbeatSequence
 
     /**
      * The one place that answers a report so that its worker's lease is renewed. The lease is noted first: a renewal that this
      * leader did not know of had it call a living worker dead, and start its tasks a second time (inc 4000-machines).
      */
-    private fun renew(machine: Machine, report: WorkerReport, now: MonotonicTime): HeartbeatResponse {
-        machine.heartbeatNumber = report.reportNumber
+    private fun renew(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): HeartbeatResponse {
+        machine.answeredHeartbeatSequence = heartbeat.sequence
         machine.answeredAt = now
-        machine.answeredReport = report.reportNumber
-        val orders = dispatch.outstanding(machine, inHeartbeat = report.reportNumber)
+        machine.answeredSequence = heartbeat.sequence
+        val orders = dispatch.outstanding(machine, inHeartbeat = heartbeat.sequence)
         dispatch.fenceOffStoppedTasks(machine)
         return HeartbeatResponse(dispatch.token(machine), orders)
     }
 
     /** Takes a report, sent by itself or as the answer to a command; false where it is no news. The caller holds the lock. */
-    fun take(report: WorkerReport, now: MonotonicTime, isHeartbeat: Boolean): Boolean {
-        val before = ledger.machines[report.machine]
+    fun take(heartbeat: Heartbeat, now: MonotonicTime, isHeartbeat: Boolean): Boolean {
+        val before = ledger.machines[heartbeat.machine]
         val wasUsable = before?.usable(now) == true
-        val lostAnswers = before?.let { unacknowledgedAnswers(it, report, now) } ?: 0
-        if (!intake.take(report, now)) return false
-        val machine = ledger.machines[report.machine] ?: return false
+        val lostAnswers = before?.let { unacknowledgedAnswers(it, heartbeat, now) } ?: 0
+        if (!reconciler.take(heartbeat, now)) return false
+        val machine = ledger.machines[heartbeat.machine] ?: return false
         if (isHeartbeat) {
-            machine.unacknowledgedReports += lostAnswers
-            machine.reportedAt = now
+            machine.unacknowledgedHeartbeats += lostAnswers
+            machine.lastHeartbeatAt = now
         }
-        val isOurs = report.token.term == grant.token.term
+        val isOurs = heartbeat.token.term == grant.token.term
         if (isOurs) machine.hasShownCurrentTerm = true
-        dispatch.observeToken(machine, report.token)
-        if (isHeartbeat && isOurs) withdrawStopped(machine, report)
+        dispatch.observeToken(machine, heartbeat.token)
+        if (isHeartbeat && isOurs) withdrawStopped(machine, heartbeat)
         if (ledger.unwritten.isNotEmpty()) signals.wakeWriter()
         if (!wasUsable && machine.usable(now)) signals.wakePlacement()
         return true
@@ -103,23 +103,23 @@
      * For how many unacknowledged reports a new session counts: a worker that is answered keeps its session, so a new one after
      * an answer means that it did not arrive.
      */
-    private fun unacknowledgedAnswers(machine: Machine, report: WorkerReport, now: MonotonicTime): Int {
-        val session = machine.session ?: return 0
-        if (report.session <= session || machine.answeredReport == null) return 0
-        return if (now - machine.answeredAt < timing.leaseMs) ReachabilityMonitor.MAX_UNACKNOWLEDGED_REPORTS else 1
+    private fun unacknowledgedAnswers(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): Int {
+        val incarnation = machine.incarnation ?: return 0
+        if (heartbeat.incarnation <= incarnation || machine.answeredSequence == null) return 0
+        return if (now - machine.answeredAt < timing.leaseMs) ReachabilityMonitor.MAX_UNACKNOWLEDGED_HEARTBEATS else 1
     }
 
     /**
      * Ends assignments that are to be stopped and never got to the worker: its report under our token lacks them,
      * and no start of them can be under way any more.
      */
-    private fun withdrawStopped(machine: Machine, report: WorkerReport) {
+    private fun withdrawStopped(machine: Machine, heartbeat: Heartbeat) {
         for (assignment in machine.live.values) {
             if (assignment.phase != Phase.COMMITTED || assignment.stopGraceS == null || assignment.reported != null) continue
             val inHeartbeat = assignment.startedInHeartbeat
             val mayArrive = assignment.postsOut > 0 ||
                 assignment.key in machine.mayStillStart ||
-                (inHeartbeat != null && report.reportNumber <= inHeartbeat)
+                (inHeartbeat != null && heartbeat.sequence <= inHeartbeat)
             // What the report lists has been noted as reported by now.
             if (!mayArrive) ledger.end(assignment, completed = false)
         }
@@ -133,28 +133,28 @@
         val readyAt = takenFrom ?: return
         val now = clock.now()
         for (machine in ledger.machines.values) {
-            if (!isLeaseOver(machine, ledUntil, readyAt) || !isUnanswered(machine, ledUntil)) continue
+            if (!isLeaseExpired(machine, ledUntil, readyAt) || !isUnanswered(machine, ledUntil)) continue
             log.info("machine {} silent: its lease is over, {} tasks lost", machine.id, machine.live.size)
-            ledger.endSession(machine, null, LossCause.LEASE_OVER)
+            ledger.endIncarnation(machine, null, LossCause.LEASE_EXPIRED)
             machine.state = MachineState.EXPIRED
             machine.expiredAt = now
             signals.wakeWriter()
         }
     }
 
-    private fun isLeaseOver(machine: Machine, ledUntil: MonotonicTime, readyAt: MonotonicTime): Boolean {
+    private fun isLeaseExpired(machine: Machine, ledUntil: MonotonicTime, readyAt: MonotonicTime): Boolean {
         if (machine.state != MachineState.UP && machine.state != MachineState.SILENT) return false
         // Others may have answered in our name until then, and so did this node before it knew the machines.
         val helpedUntil = maxOf(grant.electedAt + timing.helpMs, readyAt)
-        if (ledUntil - maxOf(machine.answeredAt, helpedUntil) < timing.leaseOverMs) return false
+        if (ledUntil - maxOf(machine.answeredAt, helpedUntil) < timing.leaseExpiryMs) return false
         // Until the worker has shown our token, the leader before us may have answered it during its grace.
-        return machine.hasShownCurrentTerm || ledUntil - readyAt >= timing.formerLeaderMs + timing.leaseOverMs
+        return machine.hasShownCurrentTerm || ledUntil - readyAt >= timing.formerLeaderMs + timing.leaseExpiryMs
     }
 
     /** A lease is called over only where no answer that may have renewed it left this node meanwhile. */
     private fun isUnanswered(machine: Machine, ledUntil: MonotonicTime): Boolean {
         val answeredAt = answers.lastAnswer(machine.id) ?: return true
-        return invariants.check(ledUntil - answeredAt >= timing.leaseOverMs) {
+        return invariants.check(ledUntil - answeredAt >= timing.leaseExpiryMs) {
             "the lease of ${machine.id} was to be called over ${ledUntil - answeredAt} ms after an answer that the ledger does not know of"
         }
     }
--- a/src/main/kotlin/mountmast/coordination/workers/ReportIntake.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -8,11 +8,11 @@
 import mountmast.coordination.state.Phase
 import mountmast.coordination.state.UnknownTask
 import mountmast.protocol.ExitCause
+import mountmast.protocol.Heartbeat
+import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.ReportNumber
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.TaskState
-import mountmast.protocol.WorkerReport
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("mountmast.ledger")
@@ -21,51 +21,51 @@
  * Brings what workers report into [ledger]. What a report says of exits and sessions is final, so it needs no proof of being
  * recent. Guarded as the ledger is.
  */
-class ReportIntake(private val ledger: Ledger) {
+class HeartbeatReconciler(private val ledger: Ledger) {
     /** Returns false where the report is older than what is known already. */
-    fun take(report: WorkerReport, now: MonotonicTime): Boolean {
-        if (report.machine in ledger.tombstones) return false
-        val machine = knownMachine(report, now)
-        if (!isNews(machine, report)) return false
-        if (machine.session.let { it == null || report.session > it }) beginSession(machine, report, now)
+    fun take(heartbeat: Heartbeat, now: MonotonicTime): Boolean {
+        if (heartbeat.machine in ledger.tombstones) return false
+        val machine = knownMachine(heartbeat, now)
+        if (!isNews(machine, heartbeat)) return false
+        if (machine.incarnation.let { it == null || heartbeat.incarnation > it }) beginIncarnation(machine, heartbeat, now)
         if (machine.state != MachineState.UP) {
             machine.state = MachineState.UP
             machine.idleSince = now
         }
-        machine.reportNumber = report.reportNumber
-        machine.address = report.address
+        machine.sequence = heartbeat.sequence
+        machine.address = heartbeat.address
         machine.heardAt = now
-        report.noticeS?.let { takeNotice(machine, it) }
-        readTasks(machine, report, now)
+        heartbeat.noticeS?.let { takeNotice(machine, it) }
+        readTasks(machine, heartbeat, now)
         return true
     }
 
     /** The machine that reports; one that was known only by name gets its kind from the report. */
-    private fun knownMachine(report: WorkerReport, now: MonotonicTime): Machine {
-        val before = ledger.machines[report.machine]
+    private fun knownMachine(heartbeat: Heartbeat, now: MonotonicTime): Machine {
+        val before = ledger.machines[heartbeat.machine]
         if (before?.type != null) return before
-        val machine = Machine(report.machine, report.type, report.zone, report.spot, MachineState.UP)
+        val machine = Machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, MachineState.UP)
         machine.rentedAt = before?.rentedAt ?: now
         machine.knownAt = before?.knownAt ?: now
         machine.idleSince = now
         before?.let(machine::takeOver)
-        ledger.recalledImages.remove(report.machine)?.let(machine::recallImages)
-        ledger.machines[report.machine] = machine
+        ledger.recalledImages.remove(heartbeat.machine)?.let(machine::recallImages)
+        ledger.machines[heartbeat.machine] = machine
         return machine
     }
 
-    private fun isNews(machine: Machine, report: WorkerReport): Boolean {
-        val session = machine.session ?: return true
-        return report.session > session || (report.session == session && report.reportNumber > machine.reportNumber)
+    private fun isNews(machine: Machine, heartbeat: Heartbeat): Boolean {
+        val incarnation = machine.incarnation ?: return true
+        return heartbeat.incarnation > incarnation || (heartbeat.incarnation == incarnation && heartbeat.sequence > machine.sequence)
     }
 
-    private fun beginSession(machine: Machine, report: WorkerReport, now: MonotonicTime) {
-        ledger.endSession(machine, report.session, LossCause.NEW_SESSION)
+    private fun beginIncarnation(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) {
+        ledger.endIncarnation(machine, heartbeat.incarnation, LossCause.NEW_INCARNATION)
         machine.mayStillStart.clear()
-        machine.session = report.session
-        machine.sessionSince = now
-        machine.answeredReport = null
-        machine.heartbeatNumber = ReportNumber(0u)
+        machine.incarnation = heartbeat.incarnation
+        machine.incarnationSince = now
+        machine.answeredSequence = null
+        machine.answeredHeartbeatSequence = HeartbeatSequence(0u)
         // A session that nobody answered yet lives a full lease from its beginning, which may have been just now.
         machine.answeredAt = now
     }
@@ -77,10 +77,10 @@
         log.info("machine {} will be taken in {} s", machine.id, noticeS)
     }
 
-    private fun readTasks(machine: Machine, report: WorkerReport, now: MonotonicTime) {
+    private fun readTasks(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) {
         val unknownTasks = ArrayList<UnknownTask>()
-        for (reported in report.tasks) {
-            val assignment = machine.live[reported.task]?.takeIf { it.attempt == reported.attempt && it.session == report.session }
+        for (reported in heartbeat.tasks) {
+            val assignment = machine.live[reported.task]?.takeIf { it.attempt == reported.attempt && it.incarnation == heartbeat.incarnation }
             if (assignment == null) unknownTasks += unknown(reported) else readTask(machine, assignment, reported, now)
         }
         machine.unknownTasks = unknownTasks
--- a/src/main/kotlin/mountmast/coordination/workers/LeaseHelper.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaseHelper.kt
@@ -1,15 +1,15 @@
 package mountmast.coordination.workers
 
-import mountmast.coordination.membership.CancellationNotices
 import mountmast.coordination.election.Leadership
+import mountmast.coordination.membership.CancellationNotices
 import mountmast.protocol.FencingToken
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.MachineId
 import mountmast.protocol.Order
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
 import mountmast.protocol.Verb
-import mountmast.protocol.WorkerReport
 import mountmast.transport.HeartbeatOutcome
 import java.util.concurrent.ConcurrentHashMap
 
@@ -24,18 +24,18 @@
     private var delegatedUnder = FencingToken(0u)
 
     /** Renews a worker's lease once for a leader just elected, or returns null; the worker's next report is sent there. */
-    fun help(report: WorkerReport): HeartbeatOutcome? {
+    fun help(heartbeat: Heartbeat): HeartbeatOutcome? {
         val token = leadership.delegatedToken() ?: return null
         if (token != delegatedUnder) {
             helped.clear()
             delegatedUnder = token
         }
-        if (report.token.term > token.term || helped.size >= MAX_HELPED || !helped.add(report.machine)) return null
-        return HeartbeatOutcome.Accepted(HeartbeatResponse(maxOf(token, report.token), stopsOf(report)))
+        if (heartbeat.token.term > token.term || helped.size >= MAX_HELPED || !helped.add(heartbeat.machine)) return null
+        return HeartbeatOutcome.Accepted(HeartbeatResponse(maxOf(token, heartbeat.token), stopsOf(heartbeat)))
     }
 
     /** What can be told all the same: to stop what other nodes said is cancelled. */
-    fun stopsOf(report: WorkerReport): List<Order> = report.tasks.mapNotNull { reported ->
+    fun stopsOf(heartbeat: Heartbeat): List<Order> = heartbeat.tasks.mapNotNull { reported ->
         val job = TaskId.parse(reported.task)?.job
         if (reported.state == TaskState.EXITED || job == null || job !in notices) {
             null
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -1,14 +1,14 @@
 package mountmast.coordination.workers
 
+import mountmast.coordination.election.LeadershipGrant
+import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.Ledger
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.WorkerReport
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
@@ -21,26 +21,26 @@
     private class Evidence(val isEffectMissing: Boolean, val isEffectShown: Boolean)
 
     /**
-     * Takes note of [report], which this leader is about to answer; true where the machine is reached again and may have work.
+     * Takes note of [heartbeat], which this leader is about to answer; true where the machine is reached again and may have work.
      *
      * An answer did not arrive if the worker's token lags behind ours, or a start that it told is not shown; the caller counts
-     * sessions that rise although the worker was answered. A machine with [MAX_UNACKNOWLEDGED_REPORTS] such reports in a row gets no more
+     * sessions that rise although the worker was answered. A machine with [MAX_UNACKNOWLEDGED_HEARTBEATS] such reports in a row gets no more
      * work, and is returned if that lasts. A report that shows an answer's effect clears it.
      */
-    fun note(machine: Machine, report: WorkerReport, now: MonotonicTime, readyAt: MonotonicTime): Boolean {
-        val evidence = evidence(machine, report, now)
+    fun note(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime, readyAt: MonotonicTime): Boolean {
+        val evidence = evidence(machine, heartbeat, now)
         when {
             // A node that has just begun answers so slowly that workers drop its answers: that says nothing of them.
-            now - readyAt < SETTLING_MS -> machine.unacknowledgedReports = 0
-            evidence.isEffectMissing -> machine.unacknowledgedReports++
-            evidence.isEffectShown -> machine.unacknowledgedReports = 0
+            now - readyAt < SETTLING_MS -> machine.unacknowledgedHeartbeats = 0
+            evidence.isEffectMissing -> machine.unacknowledgedHeartbeats++
+            evidence.isEffectShown -> machine.unacknowledgedHeartbeats = 0
         }
-        if (machine.unacknowledgedReports >= MAX_UNACKNOWLEDGED_REPORTS && machine.unreachedSince == null) {
+        if (machine.unacknowledgedHeartbeats >= MAX_UNACKNOWLEDGED_HEARTBEATS && machine.unreachedSince == null) {
             machine.unreachedSince = now
             log.info("machine {} reports, but nothing seems to reach it", machine.id)
             return false
         }
-        val isReachedAgain = machine.unacknowledgedReports == 0 && machine.unreachedSince != null
+        val isReachedAgain = machine.unacknowledgedHeartbeats == 0 && machine.unreachedSince != null
         if (isReachedAgain) {
             machine.unreachedSince = null
             log.info("machine {} is reached again", machine.id)
@@ -48,20 +48,20 @@
         return isReachedAgain
     }
 
-    private fun evidence(machine: Machine, report: WorkerReport, now: MonotonicTime): Evidence {
-        val answered = machine.answeredReport
-        val isTokenBehind = answered != null && answered < report.reportNumber && report.token < grant.token
-        val outlivesLease = now - machine.sessionSince > timing.leaseOverMs && report.token.term == grant.token.term
-        val toldStarts = machine.live.values.filter { isToldBefore(it, report) }
+    private fun evidence(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): Evidence {
+        val answered = machine.answeredSequence
+        val isTokenBehind = answered != null && answered < heartbeat.sequence && heartbeat.token < grant.token
+        val outlivesLease = now - machine.incarnationSince > timing.leaseExpiryMs && heartbeat.token.term == grant.token.term
+        val toldStarts = machine.live.values.filter { isToldBefore(it, heartbeat) }
         val (missing, shown) = toldStarts.partition { it.reported == null }
         for (assignment in shown) assignment.startedInHeartbeat = null
         return Evidence(isTokenBehind || missing.isNotEmpty(), outlivesLease || shown.isNotEmpty())
     }
 
     /** Whether the start of [assignment] was in the answer to a report of the same session before this one. */
-    private fun isToldBefore(assignment: Assignment, report: WorkerReport): Boolean {
+    private fun isToldBefore(assignment: Assignment, heartbeat: Heartbeat): Boolean {
         val answered = assignment.startedInHeartbeat ?: return false
-        return assignment.phase == Phase.COMMITTED && assignment.session == report.session && report.reportNumber > answered
+        return assignment.phase == Phase.COMMITTED && assignment.incarnation == heartbeat.incarnation && heartbeat.sequence > answered
     }
 
     /** Whether so many workers hear nothing that it must be this node, which cannot send. The caller holds the lock. */
@@ -73,7 +73,7 @@
 
     companion object {
         /** Reports in a row that show nothing of the answers before them. */
-        const val MAX_UNACKNOWLEDGED_REPORTS = 2
+        const val MAX_UNACKNOWLEDGED_HEARTBEATS = 2
 
         /** Of so few machines nothing can be told about the node itself. */
         const val MIN_MACHINES_TO_JUDGE_NODE = 3
--- a/src/main/kotlin/mountmast/protocol/Ids.kt
+++ b/src/main/kotlin/mountmast/protocol/Ids.kt
@@ -130,16 +130,16 @@
 /** Session of a worker; it rises each time the worker's lease expires. */
 @Serializable
 @JvmInline
-value class Session(val number: ULong) : Comparable<Session> {
-    override fun compareTo(other: Session) = number.compareTo(other.number)
+value class WorkerIncarnation(val number: ULong) : Comparable<WorkerIncarnation> {
+    override fun compareTo(other: WorkerIncarnation) = number.compareTo(other.number)
     override fun toString() = number.toString()
 }
 
 /** Counts the messages of a worker within and across its sessions. */
 @Serializable
 @JvmInline
-value class ReportNumber(val number: ULong) : Comparable<ReportNumber> {
-    override fun compareTo(other: ReportNumber) = number.compareTo(other.number)
+value class HeartbeatSequence(val number: ULong) : Comparable<HeartbeatSequence> {
+    override fun compareTo(other: HeartbeatSequence) = number.compareTo(other.number)
     override fun toString() = number.toString()
 }
 
--- a/src/main/kotlin/mountmast/protocol/Settings.kt
+++ b/src/main/kotlin/mountmast/protocol/Settings.kt
@@ -38,7 +38,7 @@
     val teams: Map<TeamId, TeamQuota>,
     /** How far any node's time of day may be off. */
     val clockOffMs: Double,
-    val reportS: Double,
+    val heartbeatIntervalS: Double,
     val leaseS: Double,
     val cancelS: Double,
     /** What this node keeps to: the lower of what holds now and what is announced. */
@@ -92,9 +92,9 @@
             val teams = tables(toml, "deployment.teams").mapIndexed { i, team -> quota(team, "deployment.teams[$i].") }
             if (teams.isEmpty()) throw InvalidSettingsException("deployment.teams: missing")
             if (teams.distinctBy { it.id }.size != teams.size) throw InvalidSettingsException("deployment.teams: a team is named twice")
-            val report = positive(toml, "deployment.workers.report_s")
+            val heartbeat = positive(toml, "deployment.workers.report_s")
             val lease = positive(toml, "deployment.workers.lease_s")
-            if (lease <= report) throw InvalidSettingsException("deployment.workers.lease_s: not longer than report_s")
+            if (lease <= heartbeat) throw InvalidSettingsException("deployment.workers.lease_s: not longer than report_s")
             return Settings(
                 node = node,
                 zone = zone(toml),
@@ -111,7 +111,7 @@
                 } else {
                     amount(toml, "deployment.clock_off_ms")
                 },
-                reportS = report,
+                heartbeatIntervalS = heartbeat,
                 leaseS = lease,
                 cancelS = positive(toml, "deployment.workers.cancel_s"),
                 stateLimits = stateLimits(),
--- a/src/main/kotlin/mountmast/protocol/Wire.kt
+++ b/src/main/kotlin/mountmast/protocol/Wire.kt
@@ -167,14 +167,14 @@
 
 /** A worker's report. */
 @Serializable
-data class WorkerReport(
+data class Heartbeat(
     @SerialName("host") val machine: MachineId,
     @SerialName("address") val address: String,
     @SerialName("hull") val type: TypeId,
     @SerialName("yard") val zone: Zone,
     @SerialName("loaners") val spot: Boolean = false,
-    @SerialName("watch") val session: Session,
-    @SerialName("tally") val reportNumber: ReportNumber,
+    @SerialName("watch") val incarnation: WorkerIncarnation,
+    @SerialName("tally") val sequence: HeartbeatSequence,
     @SerialName("helm") val token: FencingToken = FencingToken(0u),
     @SerialName("recallS") val noticeS: Double? = null,
     @SerialName("pieces") val tasks: List<ReportedTask> = emptyList(),
@@ -208,13 +208,13 @@
 
 /** Answer that sends a worker to another node. */
 @Serializable
-data class Redirect(@SerialName("bridge") val reportTo: NodeId? = null)
+data class Redirect(@SerialName("bridge") val leader: NodeId? = null)
 
 /** Commands sent directly to a worker. */
 @Serializable
 data class OrdersMessage(
     @SerialName("helm") val token: FencingToken,
-    @SerialName("watch") val session: Session,
+    @SerialName("watch") val incarnation: WorkerIncarnation,
     @SerialName("orders") val orders: List<Order>,
 )
 
--- a/src/main/kotlin/mountmast/storage/JournalText.kt
+++ b/src/main/kotlin/mountmast/storage/JournalText.kt
@@ -3,8 +3,8 @@
 import mountmast.protocol.Attempt
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
-import mountmast.protocol.Session
 import mountmast.protocol.TaskId
+import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import java.util.BitSet
 
@@ -24,7 +24,7 @@
 interface JournalReader {
     fun done(job: JobId, ranges: String)
     fun evictedBefore(task: TaskId, times: Int)
-    fun started(task: TaskId, machine: MachineId, session: Session, attempt: Attempt, zone: Zone)
+    fun started(task: TaskId, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone)
     fun ended(task: TaskId, end: TaskEnd)
     fun reserved(machine: MachineId, job: JobId, victims: List<TaskId>)
 }
@@ -45,8 +45,8 @@
     fun evictedBefore(task: String, times: Int) =
         entry(EVICTED_BEFORE).append(task).append(FIELD_END).append(times).append(ENTRY_END).done()
 
-    fun started(task: String, machine: MachineId, session: Session, attempt: Attempt, zone: Zone) =
-        entry(STARTED).append(task).append(FIELD_END).append(machine.text).append(FIELD_END).append(session.number.toString())
+    fun started(task: String, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone) =
+        entry(STARTED).append(task).append(FIELD_END).append(machine.text).append(FIELD_END).append(incarnation.number.toString())
             .append(FIELD_END).append(attempt.number.toString()).append(FIELD_END).append(zone.text).append(ENTRY_END).done()
 
     fun ended(task: String, end: TaskEnd) = entry(end.mark).append(task).append(ENTRY_END).done()
@@ -106,7 +106,7 @@
                     reader.started(
                         TaskId.parse(fields[0]) ?: return false,
                         MachineId(fields[1]),
-                        Session(fields[2].toULongOrNull() ?: return false),
+                        WorkerIncarnation(fields[2].toULongOrNull() ?: return false),
                         Attempt(fields[3].toULongOrNull() ?: return false),
                         Zone(fields[4]),
                     )
--- a/src/main/kotlin/mountmast/transport/Api.kt
+++ b/src/main/kotlin/mountmast/transport/Api.kt
@@ -1,9 +1,9 @@
 package mountmast.transport
 
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.NodeId
 import mountmast.protocol.PeerHello
-import mountmast.protocol.WorkerReport
 
 /** An answer to a user, as plain as HTTP needs it. */
 data class UserAnswer(val status: Int, val body: String, val retryAfterS: Int = 0)
@@ -29,7 +29,7 @@
 
 /** Takes workers' reports. */
 fun interface HeartbeatService {
-    fun heartbeat(report: WorkerReport): HeartbeatOutcome
+    fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome
 }
 
 /** Takes the greetings of other nodes and answers with this node's own. */
--- a/src/main/kotlin/mountmast/transport/BoundedServer.kt
+++ b/src/main/kotlin/mountmast/transport/BoundedServer.kt
@@ -40,20 +40,20 @@
 
     companion object {
         /** A report is answered from memory, under the ledger's lock: more threads than these only wait for one another. */
-        private const val REPORT_THREADS = 4
+        private const val HEARTBEAT_THREADS = 4
 
         /** Workers wait for four seconds; the rest is for the network, and for reading and answering. */
-        private const val REPORT_PATIENCE_MS = 3000L
+        private const val HEARTBEAT_PATIENCE_MS = 3000L
 
         /**
          * Reports are bounded by how long they wait, not by their number: each worker has one in flight, and one that is refused
          * comes back sooner than one that is answered, at hardly less cost. This many only bound the memory.
          */
-        private const val MAX_REPORTS_WAITING = 16_384
+        private const val MAX_HEARTBEATS_WAITING = 16_384
 
         /** The lane of workers' reports. */
-        fun forReports(metrics: QueueMetrics = QueueMetrics.NONE) =
-            RequestLane(HEARTBEAT_PATH, REPORT_THREADS, MAX_REPORTS_WAITING, metrics, REPORT_PATIENCE_MS)
+        fun forHeartbeats(metrics: QueueMetrics = QueueMetrics.NONE) =
+            RequestLane(HEARTBEAT_PATH, HEARTBEAT_THREADS, MAX_HEARTBEATS_WAITING, metrics, HEARTBEAT_PATIENCE_MS)
 
         /** The lane of all that no other lane takes. */
         fun forOthers(threads: Int, waiting: Int, metrics: QueueMetrics = QueueMetrics.NONE) = RequestLane("/", threads, waiting, metrics)
--- a/src/main/kotlin/mountmast/transport/Metrics.kt
+++ b/src/main/kotlin/mountmast/transport/Metrics.kt
@@ -77,10 +77,10 @@
 
 /** Names of the metrics that more than one place needs. */
 object MetricNames {
-    const val REPORTS_ANSWERED = "reports_answered"
-    const val REPORTS_REFUSED = "reports_refused"
-    const val REPORTS_WAITING = "reports_waiting"
-    const val REPORT_WAIT = "report_wait"
+    const val HEARTBEATS_ANSWERED = "reports_answered"
+    const val HEARTBEATS_REFUSED = "reports_refused"
+    const val HEARTBEATS_WAITING = "reports_waiting"
+    const val HEARTBEAT_WAIT = "report_wait"
     const val REQUESTS_WAITING = "requests_waiting"
     const val REQUEST_WAIT = "request_wait"
     const val REQUESTS_REFUSED = "requests_refused"
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -2,9 +2,9 @@
 
 import kotlinx.serialization.decodeFromString
 import kotlinx.serialization.encodeToString
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.Redirect
 import mountmast.protocol.WireJson
-import mountmast.protocol.WorkerReport
 import org.http4k.core.HttpHandler
 import org.http4k.core.Method
 import org.http4k.core.Request
@@ -27,8 +27,8 @@
 
 /** Everything served to users, workers and health checks. */
 fun publicRoutes(users: UserService, beats: HeartbeatService, admission: AdmissionLimits, metrics: Metrics = Metrics()): HttpHandler {
-    val answeredReports = metrics.counter(MetricNames.REPORTS_ANSWERED)
-    return timed(guarded { request -> route(request, users, beats, admission, metrics, answeredReports) })
+    val answeredHeartbeats = metrics.counter(MetricNames.HEARTBEATS_ANSWERED)
+    return timed(guarded { request -> route(request, users, beats, admission, metrics, answeredHeartbeats) })
 }
 
 private fun route(
@@ -37,13 +37,13 @@
     beats: HeartbeatService,
     admission: AdmissionLimits,
     metrics: Metrics,
-    answeredReports: Counter,
+    answeredHeartbeats: Counter,
 ): Response {
     val path = request.uri.path
     return when {
         path == HEARTBEAT_PATH -> request.only(Method.POST) {
-            answeredReports.add()
-            heartbeat(request, beats)
+            answeredHeartbeats.add()
+            onHeartbeat(request, beats)
         }
         path == "/ready" -> request.only(Method.GET) {
             if (users.ready()) json(200, "ready") else json(503, "not ready", retryAfterS = 1)
@@ -63,15 +63,15 @@
     }
 }
 
-private fun heartbeat(request: Request, beats: HeartbeatService): Response {
+private fun onHeartbeat(request: Request, beats: HeartbeatService): Response {
     val body = request.boundedBody() ?: return json(400, refusal("body: over 64 KiB"))
-    val report = try {
-        WireJson.decodeFromString<WorkerReport>(body)
+    val heartbeat = try {
+        WireJson.decodeFromString<Heartbeat>(body)
     } catch (e: IllegalArgumentException) {
         log.warn("malformed report: {}", e.message?.lineSequence()?.firstOrNull())
         return json(400, refusal("malformed report"))
     }
-    return when (val outcome = beats.heartbeat(report)) {
+    return when (val outcome = beats.onHeartbeat(heartbeat)) {
         is HeartbeatOutcome.Accepted -> json(200, WireJson.encodeToString(outcome.answer))
         is HeartbeatOutcome.Elsewhere -> json(421, WireJson.encodeToString(Redirect(outcome.node)))
     }
--- a/src/main/kotlin/mountmast/transport/Workers.kt
+++ b/src/main/kotlin/mountmast/transport/Workers.kt
@@ -2,17 +2,17 @@
 
 import kotlinx.serialization.decodeFromString
 import kotlinx.serialization.encodeToString
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.OrdersMessage
 import mountmast.protocol.WireJson
-import mountmast.protocol.WorkerReport
 import java.net.InetSocketAddress
 
 /** What became of commands sent to a worker. */
 sealed interface OrdersOutcome {
-    data class Executed(val report: WorkerReport) : OrdersOutcome
+    data class Executed(val heartbeat: Heartbeat) : OrdersOutcome
 
     /** Nothing was executed: a higher token, or another session. */
-    data class Rejected(val report: WorkerReport) : OrdersOutcome
+    data class Rejected(val heartbeat: Heartbeat) : OrdersOutcome
 
     /** The request never left this node. */
     data object NotSent : OrdersOutcome
@@ -33,8 +33,8 @@
         try {
             val reply = caller.call(to, "POST", "/orders", WireJson.encodeToString(message).encodeToByteArray(), WAIT_MS)
             return when (reply.status) {
-                200 -> OrdersOutcome.Executed(WireJson.decodeFromString<WorkerReport>(reply.text))
-                409 -> OrdersOutcome.Rejected(WireJson.decodeFromString<WorkerReport>(reply.text))
+                200 -> OrdersOutcome.Executed(WireJson.decodeFromString<Heartbeat>(reply.text))
+                409 -> OrdersOutcome.Rejected(WireJson.decodeFromString<Heartbeat>(reply.text))
                 else -> OrdersOutcome.Unknown
             }
         } catch (e: NoAnswerException) {
--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -80,8 +80,8 @@
         "expectedS":240.0,"markEveryS":30.0,"markCostS":4.0,"dueS":900.0}""",
     ) as JsonObject
 
-    private val beats = HeartbeatService { report ->
-        when (report.machine.text) {
+    private val beats = HeartbeatService { heartbeat ->
+        when (heartbeat.machine.text) {
             "vm-1" -> HeartbeatOutcome.Accepted(HeartbeatResponse(FencingToken(7u), emptyList()))
             "vm-2" -> HeartbeatOutcome.Elsewhere(NodeId("n-2"))
             else -> HeartbeatOutcome.Elsewhere(null)
@@ -151,7 +151,7 @@
         storeFaults()
         routeFaults()
         readiness()
-        reports()
+        heartbeats()
         metrics()
         betweenNodes()
         fixture.assertUnchanged()
@@ -306,16 +306,16 @@
         routes(service(isReady = false)).call("not ready", Method.GET, "/ready")
     }
 
-    private fun reports() = with(routes(service())) {
-        fun report(machine: String) = """{"host":"$machine","address":"127.0.0.1:1","hull":"s","yard":"a","loaners":false,""" +
+    private fun heartbeats() = with(routes(service())) {
+        fun heartbeat(machine: String) = """{"host":"$machine","address":"127.0.0.1:1","hull":"s","yard":"a","loaners":false,""" +
             """"watch":1,"tally":1,"helm":0,"pieces":[]}"""
         fun send(name: String, body: String) = call("report, $name", Method.POST, "/agent/beat", body)
-        send("accepted", report("vm-1"))
-        send("redirected", report("vm-2"))
-        send("redirected without a known node", report("vm-3"))
+        send("accepted", heartbeat("vm-1"))
+        send("redirected", heartbeat("vm-2"))
+        send("redirected without a known node", heartbeat("vm-3"))
         send("empty", "")
         send("field missing", "{}")
-        send("number out of range", report("vm-1").replace("\"watch\":1", "\"watch\":-1"))
+        send("number out of range", heartbeat("vm-1").replace("\"watch\":1", "\"watch\":-1"))
         send("body too large", "x".repeat(MAX_BODY_BYTES + 1))
     }
 
--- a/src/test/kotlin/mountmast/contract/SerializedExamples.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedExamples.kt
@@ -6,7 +6,9 @@
 import mountmast.protocol.Attempt
 import mountmast.protocol.ExitCause
 import mountmast.protocol.FencingToken
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
+import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobAnswer
 import mountmast.protocol.JobId
@@ -30,10 +32,8 @@
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.RentalId
 import mountmast.protocol.RentalRequest
-import mountmast.protocol.ReportNumber
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Revision
-import mountmast.protocol.Session
 import mountmast.protocol.Shape
 import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.TaskState
@@ -42,7 +42,7 @@
 import mountmast.protocol.Urgency
 import mountmast.protocol.Verb
 import mountmast.protocol.WallTime
-import mountmast.protocol.WorkerReport
+import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.FailingJob
@@ -167,8 +167,8 @@
         example("image-id", ImageId("img-9")),
         example("rental-id", RentalId("c-77")),
         example("fencing-token", FencingToken(ULong.MAX_VALUE)),
-        example("worker-epoch", Session(ULong.MAX_VALUE)),
-        example("report-number", ReportNumber(ULong.MAX_VALUE)),
+        example("worker-epoch", WorkerIncarnation(ULong.MAX_VALUE)),
+        example("report-number", HeartbeatSequence(ULong.MAX_VALUE)),
         example("attempt", Attempt(ULong.MAX_VALUE)),
         example("key-version", ModRevision(ULong.MAX_VALUE)),
         example("store-revision", Revision(ULong.MAX_VALUE)),
@@ -206,14 +206,14 @@
         example("reported-task-least", leastTask),
         example(
             "report-full",
-            WorkerReport(
+            Heartbeat(
                 machine = MachineId("vm-12"),
                 address = "10.0.0.4:7070",
                 type = TypeId("large"),
                 zone = Zone("north"),
                 spot = true,
-                session = Session(6u),
-                reportNumber = ReportNumber(901u),
+                incarnation = WorkerIncarnation(6u),
+                sequence = HeartbeatSequence(901u),
                 token = FencingToken(3_145_729u),
                 noticeS = 28.5,
                 tasks = listOf(fullTask, leastTask),
@@ -221,13 +221,13 @@
         ),
         example(
             "report-least",
-            WorkerReport(
+            Heartbeat(
                 machine = MachineId("vm-13"),
                 address = "10.0.0.5:7070",
                 type = TypeId("small"),
                 zone = Zone("south"),
-                session = Session(1u),
-                reportNumber = ReportNumber(0u),
+                incarnation = WorkerIncarnation(1u),
+                sequence = HeartbeatSequence(0u),
             ),
         ),
         example("command-full", fullOrder),
@@ -236,8 +236,8 @@
         example("report-answer-least", HeartbeatResponse(FencingToken(0u), emptyList())),
         example("redirect-full", Redirect(NodeId("node-2"))),
         example("redirect-least", Redirect()),
-        example("direct-commands-full", OrdersMessage(FencingToken(3_145_729u), Session(6u), listOf(fullOrder, leastOrder))),
-        example("direct-commands-least", OrdersMessage(FencingToken(0u), Session(0u), emptyList())),
+        example("direct-commands-full", OrdersMessage(FencingToken(3_145_729u), WorkerIncarnation(6u), listOf(fullOrder, leastOrder))),
+        example("direct-commands-least", OrdersMessage(FencingToken(0u), WorkerIncarnation(0u), emptyList())),
         example("machine-type-full", fullType),
         example("machine-type-least", leastType),
         example("machine-types-full", MachineTypes(listOf(fullType, leastType))),
--- a/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
@@ -13,12 +13,12 @@
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.ModRevision
 import mountmast.protocol.Revision
-import mountmast.protocol.Session
 import mountmast.protocol.StateLimits
 import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.TaskId
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
+import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import mountmast.standin.StandInStore
 import mountmast.standin.Trouble
@@ -209,8 +209,8 @@
             entries += listOf("evicted before", task, times)
         }
 
-        override fun started(task: TaskId, machine: MachineId, session: Session, attempt: Attempt, zone: Zone) {
-            entries += listOf("started", task, machine, session, attempt, zone)
+        override fun started(task: TaskId, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone) {
+            entries += listOf("started", task, machine, incarnation, attempt, zone)
         }
 
         override fun ended(task: TaskId, end: TaskEnd) {
@@ -234,8 +234,8 @@
             Triple("evicted-before", written { evictedBefore("j-000412/3", 2) }, listOf("evicted before", task, 2)),
             Triple(
                 "started",
-                written { started("j-000412/3", machine, Session(6u), Attempt(5u), Zone("north 1")) },
-                listOf("started", task, machine, Session(6u), Attempt(5u), Zone("north 1")),
+                written { started("j-000412/3", machine, WorkerIncarnation(6u), Attempt(5u), Zone("north 1")) },
+                listOf("started", task, machine, WorkerIncarnation(6u), Attempt(5u), Zone("north 1")),
             ),
             Triple("ended-done", written { ended("j-000412/3", TaskEnd.DONE) }, listOf("ended", task, TaskEnd.DONE)),
             Triple("ended-undone", written { ended("j-000412/3", TaskEnd.UNDONE) }, listOf("ended", task, TaskEnd.UNDONE)),
--- a/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
@@ -119,13 +119,13 @@
 
     @Test
     fun `a report held back until a new leader has acted ends and revives nothing`() = meeting {
-        val held = world.cloud.workers.filter { it.busy }.map { it.report() }
+        val held = world.cloud.workers.filter { it.busy }.map { it.heartbeat() }
         leading.crash(20_000)
         world.cloud.workers.filter { it.busy }.take(1).forEach { it.reboot() }
         world.run(9000, busy = false)
         val successor = world.seats.first { it.controller?.leaderTerm() != null }
         val started = world.rules.started
-        held.forEach { successor.controller!!.heartbeat(it) }
+        held.forEach { successor.controller!!.onHeartbeat(it) }
         world.run(10_000, busy = false)
         assertTrue(world.rules.started - started <= 4, "${world.rules.started - started} tasks were started again")
         jobs.forEach { assertEquals(4, runningOf(it)) }
@@ -257,10 +257,10 @@
         confirm(jobs.first())
         world.run(3 * World.LEASE_MS, busy = false)
         assertEquals(0, runningOf(jobs.first()))
-        val before = mute.sumOf { it.report().tasks.size }
+        val before = mute.sumOf { it.heartbeat().tasks.size }
         val more = world.accept(world.longJob(50) { it.copy(estimateS = 3.0) })
         world.run(12_000, busy = false)
-        assertTrue(mute.sumOf { it.report().tasks.size } <= before, "a machine that loses all with its lease gets work")
+        assertTrue(mute.sumOf { it.heartbeat().tasks.size } <= before, "a machine that loses all with its lease gets work")
         world.run(40_000, busy = false)
         world.expectDone(listOf(more), 60_000)
     }
@@ -269,7 +269,7 @@
     fun `a machine that has left out two reports gets no work while its lease still runs`() = meeting(jobs = 2) {
         fun tiny(number: Int) =
             world.longJob(number) { it.copy(tasks = 1, cpus = 0.05, memoryGb = 0.05, image = ImageId("probe"), imageGb = 0.1) }
-        fun StandInWorker.has(id: JobId) = report().tasks.any { it.task.startsWith(id.text) }
+        fun StandInWorker.has(id: JobId) = heartbeat().tasks.any { it.task.startsWith(id.text) }
         val probe = world.accept(tiny(60))
         repeat(400) { if (world.rules.startsOf(probe) == 0) world.run(100, busy = false) }
         // It holds the image, so another of the same goes there as well.
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -354,7 +354,7 @@
         // Each held a poster until its deadline, and with a part of the fleet cut all other commands waited behind them.
         val world = World(seed, quietNetwork = true, perOffer = 30)
         // A report from before the cut that arrives only now is news, so the machine would not count as silent.
-        world.network.holdsReports = false
+        world.network.delaysHeartbeats = false
         world.accept(world.plainJob(1) { it.copy(tasks = 120, estimateS = 30.0, team = TeamId("free"), spotAllowed = false) })
         world.run(30_000, busy = false)
         val cut = world.cloud.workers.filter { it.alive }.take(20).onEach { it.cutUntil = world.time.now + 60_000 }
@@ -403,11 +403,11 @@
         val id = world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(15_000, busy = false)
         val worker = world.cloud.workers.first { it.busy }
-        val started = worker.report()
+        val started = worker.heartbeat()
         val again = started.tasks.map { Order(Verb.START, it.task, it.attempt) }
         assertEquals(200, world.cancel(id))
         world.run(World.CANCEL_MS + 5000, busy = false)
-        worker.ordered(started.token, started.session, again)
+        worker.ordered(started.token, started.incarnation, again)
         world.run(2000, busy = false)
         assertTrue(!worker.busy, "a cancelled task runs")
     }
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -11,10 +11,10 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.protobuf.ProtoBuf
 import mountmast.coordination.controller.LeaderTerm
-import mountmast.coordination.scheduling.Policy
-import mountmast.coordination.state.Ledger
 import mountmast.coordination.election.LeadershipGrant
 import mountmast.coordination.election.Timing
+import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.state.Ledger
 import mountmast.protocol.FencingToken
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
@@ -242,7 +242,7 @@
         val leaderTerm = loaded(world.store.View(Random(1), Trouble(world.time)))
         val byProduction = replayedByProduction(written)
         val ours = leaderTerm.ledger.jobs.values.flatMap { job ->
-            job.live.values.map { "${it.taskName} ${it.machine} ${it.session} ${it.attempt} ${it.zone}" }
+            job.live.values.map { "${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone}" }
         }
         val theirs = byProduction.placed.filterKeys { JobId(it.job.text) in leaderTerm.ledger.jobs }
             .map { (task, at) -> "$task ${at.machine} ${at.session} ${at.attempt} ${at.zone}" }
@@ -323,7 +323,7 @@
     private fun loaded(store: StateStore): LeaderTerm {
         val clock = time.clock(0.0, 0)
         val grant = LeadershipGrant(FencingToken(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
-        val timing = Timing.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, reportS = 1.0)
+        val timing = Timing.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, heartbeatIntervalS = 1.0)
         val lists = PrerequisiteLists(store, StateLimits(80.0, 30.0, 8.0, 16))
         return LeaderTerm(grant, store, NoWorkers, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
     }
@@ -337,7 +337,7 @@
             for (it in job.evictions.int2IntEntrySet().sortedBy { it.intKey }) lines += "evicted ${job.id}/${it.intKey} ${it.intValue}"
             for (it in job.live.values.sortedBy { it.index }) {
                 val end = "evicted ${it.evicted} stop ${it.stopGraceS}"
-                lines += "live ${it.taskName} ${it.machine} ${it.session} ${it.attempt} ${it.zone} $end"
+                lines += "live ${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone} $end"
             }
         }
         return lines
--- a/src/test/kotlin/mountmast/coordination/state/LedgerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/LedgerTest.kt
@@ -1,22 +1,22 @@
 package mountmast.coordination.state
 
 import mountmast.coordination.persistence.JournalReplay
-import mountmast.coordination.workers.ReportIntake
+import mountmast.coordination.workers.HeartbeatReconciler
 import mountmast.protocol.Attempt
 import mountmast.protocol.ExitCause
 import mountmast.protocol.FencingToken
+import mountmast.protocol.Heartbeat
+import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.MachineId
 import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.ReportNumber
 import mountmast.protocol.ReportedTask
-import mountmast.protocol.Session
 import mountmast.protocol.Shape
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
 import mountmast.protocol.TypeId
 import mountmast.protocol.WallTime
-import mountmast.protocol.WorkerReport
+import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import mountmast.standin.World
 import mountmast.storage.JobRecord
@@ -29,14 +29,14 @@
     private val ledger = Ledger(0.7)
     private val spec = World(1).job(1) { it.copy(shape = Shape.ARRAY, tasks = 20, estimateS = 1.0) }
     private val job = ledger.putJob(JobRecord(spec, WallTime(0)), ModRevision(1u), MonotonicTime(0))
-    private var reportNumber = 0uL
+    private var sequence = 0uL
 
-    private fun report(machine: String, at: Long, vararg tasks: ReportedTask, session: ULong = 1u): Boolean = ReportIntake(ledger).take(
-        WorkerReport(
+    private fun heartbeat(machine: String, at: Long, vararg tasks: ReportedTask, incarnation: ULong = 1u): Boolean = HeartbeatReconciler(ledger).take(
+        Heartbeat(
             MachineId(
                 machine,
             ),
-            "127.0.0.1:1", TypeId("s"), Zone("a"), false, Session(session), ReportNumber(++reportNumber), FencingToken(0u), null, tasks.toList(),
+            "127.0.0.1:1", TypeId("s"), Zone("a"), false, WorkerIncarnation(incarnation), HeartbeatSequence(++sequence), FencingToken(0u), null, tasks.toList(),
         ),
         MonotonicTime(at),
     )
@@ -51,20 +51,20 @@
 
     @Test
     fun `a report that lacks a task, or is old, ends nothing`() {
-        report("vm-1", 0)
+        heartbeat("vm-1", 0)
         val assignment = place(0, "vm-1", 0)
-        assertTrue(report("vm-1", 100))
+        assertTrue(heartbeat("vm-1", 100))
         assertEquals(Phase.COMMITTED, assignment.phase)
-        reportNumber = 0u
-        assertFalse(report("vm-1", 200, assignment.shown(TaskState.EXITED, ExitCause.DONE)))
+        sequence = 0u
+        assertFalse(heartbeat("vm-1", 200, assignment.shown(TaskState.EXITED, ExitCause.DONE)))
         assertEquals(Phase.COMMITTED, assignment.phase)
     }
 
     @Test
     fun `what ended counts until the store has it`() {
-        report("vm-1", 0)
+        heartbeat("vm-1", 0)
         val assignment = place(0, "vm-1", 0)
-        report("vm-1", 100, assignment.shown(TaskState.EXITED, ExitCause.STOPPED))
+        heartbeat("vm-1", 100, assignment.shown(TaskState.EXITED, ExitCause.STOPPED))
         assertEquals(Phase.ENDED, assignment.phase)
         assertEquals(spec.cpus, ledger.use(spec.team).cpus)
         assertFalse(job.open.get(0))
@@ -77,18 +77,18 @@
     @Test
     fun `a new session ends the tasks of the one before and has a lease of its own`() {
         // A worker once told of its next session in the answer to a direct command, and was called dead too early.
-        report("vm-1", 0)
+        heartbeat("vm-1", 0)
         val assignment = place(0, "vm-1", 0)
-        report("vm-1", 50_000, session = 2u)
+        heartbeat("vm-1", 50_000, incarnation = 2u)
         assertEquals(Phase.ENDED, assignment.phase)
         assertEquals(MonotonicTime(50_000), ledger.machines.getValue(MachineId("vm-1")).answeredAt)
     }
 
     @Test
     fun `a deleted machine is not brought back by a late report`() {
-        report("vm-1", 0)
+        heartbeat("vm-1", 0)
         ledger.markDeleted(MachineId("vm-1"), MonotonicTime(100))
-        assertFalse(report("vm-1", 200))
+        assertFalse(heartbeat("vm-1", 200))
         assertTrue(ledger.machines.isEmpty())
     }
 
@@ -96,10 +96,10 @@
     fun `a job that finds every machine slow has only two of them replaced`() {
         fun runOn(machine: String, index: Int, ms: Long) {
             val from = index * 100_000L
-            report(machine, from)
+            heartbeat(machine, from)
             val assignment = place(index, machine, from)
-            report(machine, from, assignment.shown(TaskState.RUNNING))
-            report(machine, from + ms, assignment.shown(TaskState.EXITED, ExitCause.DONE))
+            heartbeat(machine, from, assignment.shown(TaskState.RUNNING))
+            heartbeat(machine, from + ms, assignment.shown(TaskState.EXITED, ExitCause.DONE))
             ledger.release(assignment, MonotonicTime(from + ms))
         }
         repeat(2) { runOn("vm-0", it, 1000) }
@@ -110,9 +110,9 @@
     @Test
     fun `an attempt that fails everywhere is the job's fault, not the machine's`() {
         for (number in 1..4) {
-            report("vm-$number", number * 1000L)
+            heartbeat("vm-$number", number * 1000L)
             val assignment = place(number, "vm-$number", number * 1000L)
-            report("vm-$number", number * 1000L + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
+            heartbeat("vm-$number", number * 1000L + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
         }
         assertTrue(job.poisoned)
         assertTrue(job.notBefore > MonotonicTime(4000))
@@ -124,16 +124,16 @@
     fun `to a leader just elected a late copy of a report proves nothing`() {
         // It has heard nobody yet, so it cannot tell a copy from news: nothing may hang on which one it is.
         val replay = JournalReplay(ledger, MonotonicTime(0))
-        replay.started(TaskId(spec.id, 3), MachineId("vm-7"), Session(3u), Attempt(9u), Zone("a"))
-        assertTrue(report("vm-7", 100, session = 2u))
+        replay.started(TaskId(spec.id, 3), MachineId("vm-7"), WorkerIncarnation(3u), Attempt(9u), Zone("a"))
+        assertTrue(heartbeat("vm-7", 100, incarnation = 2u))
         val assignment = job.live.get(3)
         assertEquals(Phase.COMMITTED, assignment.phase, "a copy from an older session ended a newer one's task")
         val machine = ledger.machines.getValue(MachineId("vm-7"))
         assertFalse(machine.usable(MonotonicTime(200)), "a machine that may be long gone would get work")
-        assertTrue(report("vm-7", 300, assignment.shown(TaskState.RUNNING), session = 3u))
+        assertTrue(heartbeat("vm-7", 300, assignment.shown(TaskState.RUNNING), incarnation = 3u))
         assertEquals(Phase.COMMITTED, assignment.phase)
-        assertFalse(report("vm-7", 400, session = 2u), "a copy is no news once the machine was heard")
-        assertEquals(Session(3u), machine.session)
+        assertFalse(heartbeat("vm-7", 400, incarnation = 2u), "a copy is no news once the machine was heard")
+        assertEquals(WorkerIncarnation(3u), machine.incarnation)
     }
 
     @Test
@@ -151,13 +151,13 @@
             )
         }
         fun fails(of: Job, index: Int, machine: String, at: Long) {
-            report(machine, at)
+            heartbeat(machine, at)
             val assignment = ledger.assign(of, index, ledger.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
                 phase =
                     Phase.COMMITTED
                 written = true
             }
-            report(machine, at + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
+            heartbeat(machine, at + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
             ledger.release(assignment, MonotonicTime(at + 20))
         }
         for ((i, machine) in listOf("vm-1", "vm-2", "vm-3").withIndex()) fails(job, i, machine, i * 5000L)
--- a/src/test/kotlin/mountmast/coordination/workers/LeaseRenewalTest.kt
+++ b/src/test/kotlin/mountmast/coordination/workers/LeaseRenewalTest.kt
@@ -18,7 +18,7 @@
             val long = world.accept(world.plainJob(1) { it.copy(tasks = 1, estimateS = 120.0) })
             world.run(15_000, busy = false)
             assertEquals(1, world.rules.runningOf(long), "seed $seed")
-            world.network.reportsWaitMs = 1800
+            world.network.heartbeatsWaitMs = 1800
             repeat(80) {
                 world.cloud.workers.filter { it.busy }.forEach { answerCommand(world, it) }
                 world.run(250, busy = false)
@@ -32,6 +32,6 @@
     private fun answerCommand(world: World, worker: StandInWorker) {
         val leader = world.seats.firstNotNullOf { it.controller?.leaderTerm() }
         val now = MonotonicTime(1_000_000 + world.time.now)
-        leader.lock.withLock { leader.reports.take(worker.report(), now, isHeartbeat = false) }
+        leader.lock.withLock { leader.heartbeats.take(worker.heartbeat(), now, isHeartbeat = false) }
     }
 }
--- a/src/test/kotlin/mountmast/soak/SoakRun.kt
+++ b/src/test/kotlin/mountmast/soak/SoakRun.kt
@@ -159,17 +159,17 @@
             FaultKind.LATE_WRITES -> clock.locked { trouble.lateWritesUntil = until }
             FaultKind.PEERS_HELD -> cut(linksOf(node), Cut.BOTH, fault.forMs)
             FaultKind.PEERS_REFUSED -> cut(linksOf(node), Cut.REFUSED, fault.forMs)
-            FaultKind.REPORTS_LOST -> {
-                fleet.links[node].reportsLost = true
-                after(fault.forMs) { fleet.links[node].reportsLost = false }
+            FaultKind.HEARTBEATS_LOST -> {
+                fleet.links[node].heartbeatsLost = true
+                after(fault.forMs) { fleet.links[node].heartbeatsLost = false }
             }
-            FaultKind.REPORT_ANSWERS_LOST -> {
+            FaultKind.HEARTBEAT_ANSWERS_LOST -> {
                 fleet.links[node].answersLost = true
                 after(fault.forMs) { fleet.links[node].answersLost = false }
             }
-            FaultKind.REPORT_COPIES -> {
-                fleet.copiesReports = true
-                after(fault.forMs) { fleet.copiesReports = false }
+            FaultKind.HEARTBEAT_COPIES -> {
+                fleet.copiesHeartbeats = true
+                after(fault.forMs) { fleet.copiesHeartbeats = false }
             }
             FaultKind.CLOUD_OUT -> clock.locked { cloud.outage(fault.forMs) }
             else -> clock.locked { machinesFail(fault.kind, fault.forMs) }
--- a/src/test/kotlin/mountmast/soak/SoakSite.kt
+++ b/src/test/kotlin/mountmast/soak/SoakSite.kt
@@ -16,7 +16,7 @@
  */
 object SoakSite {
     const val NODES = 3
-    const val REPORT_MS = 1000L
+    const val HEARTBEAT_MS = 1000L
     const val LEASE_MS = 6000L
     const val CANCEL_MS = 24_000L
 
@@ -54,7 +54,7 @@
             appendLine("gpus = ${team.gpus}\ngpus_max = ${team.gpusMax}")
         }
         appendLine(
-            "[deployment.workers]\nreport_s = ${seconds(REPORT_MS)}\nlease_s = ${seconds(LEASE_MS)}\ncancel_s = ${seconds(CANCEL_MS)}",
+            "[deployment.workers]\nreport_s = ${seconds(HEARTBEAT_MS)}\nlease_s = ${seconds(LEASE_MS)}\ncancel_s = ${seconds(CANCEL_MS)}",
         )
         appendLine("[deployment.state]\nrps = ${limits.requestsPerSecond}\nwrite_rps = ${limits.writesPerSecond}")
         appendLine("value_kb = ${limits.valueKb}\ntxn_ops = ${limits.transactionOps}")
--- a/src/test/kotlin/mountmast/soak/WorkerFleet.kt
+++ b/src/test/kotlin/mountmast/soak/WorkerFleet.kt
@@ -3,6 +3,7 @@
 import kotlinx.serialization.decodeFromString
 import kotlinx.serialization.encodeToString
 import mountmast.protocol.ExitCause
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.MachineId
 import mountmast.protocol.Order
@@ -12,7 +13,6 @@
 import mountmast.protocol.TaskState
 import mountmast.protocol.Verb
 import mountmast.protocol.WireJson
-import mountmast.protocol.WorkerReport
 import mountmast.standin.StandInWorker
 import mountmast.transport.HttpCaller
 import mountmast.transport.NoAnswerException
@@ -36,12 +36,12 @@
 
     /** A share of the reports is copied and comes again, seconds later. */
     @Volatile
-    var copiesReports = false
+    var copiesHeartbeats = false
 
     /** How a controller and the workers reach each other. */
     class WorkerLink {
         @Volatile
-        var reportsLost = false
+        var heartbeatsLost = false
 
         @Volatile
         var answersLost = false
@@ -54,21 +54,21 @@
     fun step() {
         for (worker in run.cloud.workers) {
             worker.step()
-            if (!worker.alive || worker.hanging || clock.time.now < worker.nextReportAt || !reporting.add(worker.id)) continue
+            if (!worker.alive || worker.hanging || clock.time.now < worker.nextHeartbeatAt || !reporting.add(worker.id)) continue
             servers.computeIfAbsent(worker.id) { StandInServer(executor) { request -> command(worker, request) } }
-            val report = reportOf(worker)
+            val heartbeat = heartbeatOf(worker)
             val sentAt = clock.time.now
-            worker.nextReportAt = sentAt + SoakSite.REPORT_MS * random.nextLong(75, 125) / 100
-            if (copiesReports && random.nextInt(COPIED_ONE_IN) == 0) copyLate(report)
-            submit { report(worker, report, sentAt) }
+            worker.nextHeartbeatAt = sentAt + SoakSite.HEARTBEAT_MS * random.nextLong(75, 125) / 100
+            if (copiesHeartbeats && random.nextInt(COPIED_ONE_IN) == 0) copyLate(heartbeat)
+            submit { heartbeat(worker, heartbeat, sentAt) }
         }
     }
 
-    private fun reportOf(worker: StandInWorker): WorkerReport {
-        val report = worker.report().copy(address = checkNotNull(addressOf(worker.id)))
-        if (run.breakage != Breakage.DONE_TOO_EARLY) return report
-        return report.copy(
-            tasks = report.tasks.map {
+    private fun heartbeatOf(worker: StandInWorker): Heartbeat {
+        val heartbeat = worker.heartbeat().copy(address = checkNotNull(addressOf(worker.id)))
+        if (run.breakage != Breakage.DONE_TOO_EARLY) return heartbeat
+        return heartbeat.copy(
+            tasks = heartbeat.tasks.map {
                 if (it.state ==
                     TaskState.RUNNING
                 ) {
@@ -91,22 +91,22 @@
         }
     }
 
-    private fun report(worker: StandInWorker, report: WorkerReport, sentAt: Long) {
+    private fun heartbeat(worker: StandInWorker, heartbeat: Heartbeat, sentAt: Long) {
         try {
             val target = worker.target
             val link = links[target]
-            val reply = if (worker.cut || worker.mute || link.reportsLost) null else post(target, report)
+            val reply = if (worker.cut || worker.mute || link.heartbeatsLost) null else post(target, heartbeat)
             val isLost = reply == null || worker.cut || worker.deaf || link.answersLost
-            clock.locked { if (isLost || !isWhole(reply)) tryNext(worker) else take(worker, report, sentAt, checkNotNull(reply)) }
+            clock.locked { if (isLost || !isWhole(reply)) tryNext(worker) else take(worker, heartbeat, sentAt, checkNotNull(reply)) }
         } finally {
-            reporting -= report.machine
+            reporting -= heartbeat.machine
         }
     }
 
-    private fun post(target: Int, report: WorkerReport): Reply? {
+    private fun post(target: Int, heartbeat: Heartbeat): Reply? {
         val to = InetSocketAddress(InetAddress.getLoopbackAddress(), run.publicPorts[target])
         return try {
-            caller.call(to, "POST", "/agent/beat", WireJson.encodeToString(report).encodeToByteArray(), ANSWER_MS)
+            caller.call(to, "POST", "/agent/beat", WireJson.encodeToString(heartbeat).encodeToByteArray(), ANSWER_MS)
         } catch (e: NoAnswerException) {
             null
         }
@@ -115,18 +115,18 @@
     /** A controller that ends in the middle of an answer may leave an empty one. */
     private fun isWhole(reply: Reply?) = reply != null && (reply.status !in setOf(200, 421) || reply.bytes.isNotEmpty())
 
-    private fun take(worker: StandInWorker, report: WorkerReport, sentAt: Long, reply: Reply) {
+    private fun take(worker: StandInWorker, heartbeat: Heartbeat, sentAt: Long, reply: Reply) {
         when (reply.status) {
             200 -> {
                 val answer = WireJson.decodeFromString<HeartbeatResponse>(reply.text)
                 noteStarts(answer.orders.filter { it.verb == Verb.START }.map { it.task })
-                worker.answered(answer.token, obeyed(answer.orders), sentAt, report.session)
+                worker.answered(answer.token, obeyed(answer.orders), sentAt, heartbeat.incarnation)
             }
             421 -> {
-                val next = WireJson.decodeFromString<Redirect>(reply.text).reportTo?.text?.substringAfterLast('-')?.toIntOrNull()
+                val next = WireJson.decodeFromString<Redirect>(reply.text).leader?.text?.substringAfterLast('-')?.toIntOrNull()
                 if (next == null || next == worker.target) return tryNext(worker)
                 worker.target = next
-                worker.nextReportAt = clock.time.now + random.nextLong(0, REDIRECT_MS)
+                worker.nextHeartbeatAt = clock.time.now + random.nextLong(0, REDIRECT_MS)
             }
             else -> tryNext(worker)
         }
@@ -134,16 +134,16 @@
 
     private fun tryNext(worker: StandInWorker) {
         worker.target = (worker.target + 1) % SoakSite.NODES
-        worker.nextReportAt = clock.time.now + RETRY_MS
+        worker.nextHeartbeatAt = clock.time.now + RETRY_MS
     }
 
     private fun noteStarts(tasks: List<String>) {
         for (task in tasks) TaskId.parse(task)?.let { run.rules.startCommanded(it.job, clock.time.now) }
     }
 
-    private fun copyLate(report: WorkerReport) {
+    private fun copyLate(heartbeat: Heartbeat) {
         val target = random.nextInt(SoakSite.NODES)
-        clock.time.later(random.nextLong(1000, 2 * SoakSite.LEASE_MS)) { submit { post(target, report) } }
+        clock.time.later(random.nextLong(1000, 2 * SoakSite.LEASE_MS)) { submit { post(target, heartbeat) } }
     }
 
     /** A direct command: lost, held up, or carried out at once. */
@@ -155,13 +155,13 @@
             if (!worker.alive || worker.cut || worker.deaf) return@locked null
             val heldMs = if (worker.hanging) worker.hangUntil - clock.time.now else worker.commandsHeldMs
             if (worker.hanging || clock.time.now < worker.commandsHeldUntil) {
-                clock.time.later(heldMs) { if (worker.alive) worker.ordered(message.token, message.session, message.orders) }
+                clock.time.later(heldMs) { if (worker.alive) worker.ordered(message.token, message.incarnation, message.orders) }
                 return@locked null
             }
             noteStarts(message.orders.filter { it.verb == Verb.START }.map { it.task })
-            val executed = worker.ordered(message.token, message.session, obeyed(message.orders))
-            val report = reportOf(worker)
-            StandInAnswer(if (executed) 200 else 409, WireJson.encodeToString(report))
+            val executed = worker.ordered(message.token, message.incarnation, obeyed(message.orders))
+            val heartbeat = heartbeatOf(worker)
+            StandInAnswer(if (executed) 200 else 409, WireJson.encodeToString(heartbeat))
         }
     }
 
--- a/src/test/kotlin/mountmast/standin/ControllerSeat.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerSeat.kt
@@ -49,7 +49,7 @@
     private fun settings() = Settings(
         name, zone, local(1), local(2),
         (0 until World.NODES).filter { it != number }.map { Member(NodeId("node-$it"), world.zones[it % world.zones.size], local(2)) },
-        local(3), local(4), world.teams, 20.0, World.REPORT_MS / 1000.0, World.LEASE_MS / 1000.0, World.CANCEL_MS / 1000.0,
+        local(3), local(4), world.teams, 20.0, World.HEARTBEAT_MS / 1000.0, World.LEASE_MS / 1000.0, World.CANCEL_MS / 1000.0,
         version.limits(world.limits), 5.0, 3.0, 100,
     )
 
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/Network.kt
@@ -5,6 +5,7 @@
 import kotlinx.serialization.encodeToString
 import kotlinx.serialization.protobuf.ProtoBuf
 import mountmast.coordination.controller.Controller
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.Member
 import mountmast.protocol.Order
 import mountmast.protocol.OrdersMessage
@@ -14,7 +15,6 @@
 import mountmast.protocol.TaskId
 import mountmast.protocol.Verb
 import mountmast.protocol.WireJson
-import mountmast.protocol.WorkerReport
 import mountmast.protocol.Zone
 import mountmast.transport.HeartbeatOutcome
 import mountmast.transport.OrdersOutcome
@@ -30,10 +30,10 @@
     private var cutZoneUntil = 0L
 
     /** Whether a report that does not get through may be held up and arrive late. */
-    var holdsReports = true
+    var delaysHeartbeats = true
 
     /** How long a report waits at its node before it is looked at, while commands and their answers go on. */
-    var reportsWaitMs = 0L
+    var heartbeatsWaitMs = 0L
 
     /** Commands sent to workers so far, how many of them to workers that nobody reaches, and how many were held up. */
     var ordersSent = 0
@@ -67,8 +67,8 @@
     }
 
     private fun text(outcome: OrdersOutcome) = when (outcome) {
-        is OrdersOutcome.Executed -> "executed ${WireJson.encodeToString(outcome.report)}"
-        is OrdersOutcome.Rejected -> "rejected ${WireJson.encodeToString(outcome.report)}"
+        is OrdersOutcome.Executed -> "executed ${WireJson.encodeToString(outcome.heartbeat)}"
+        is OrdersOutcome.Rejected -> "rejected ${WireJson.encodeToString(outcome.heartbeat)}"
         OrdersOutcome.NotSent -> "not sent"
         OrdersOutcome.Unknown -> "unknown"
     }
@@ -96,10 +96,10 @@
 
     private fun execute(worker: StandInWorker, message: OrdersMessage): OrdersOutcome {
         time.record { "worker ${worker.id.text} gets ${WireJson.encodeToString(message)}" }
-        return if (worker.ordered(message.token, message.session, message.orders)) {
-            OrdersOutcome.Executed(worker.report())
+        return if (worker.ordered(message.token, message.incarnation, message.orders)) {
+            OrdersOutcome.Executed(worker.heartbeat())
         } else {
-            OrdersOutcome.Rejected(worker.report())
+            OrdersOutcome.Rejected(worker.heartbeat())
         }
     }
 
@@ -154,11 +154,11 @@
     }
 
     /** Has [worker] report, if that is due. */
-    fun heartbeat(worker: StandInWorker) {
-        if (!worker.alive || worker.hanging || time.now < worker.nextReportAt) return
-        worker.nextReportAt = time.now + World.REPORT_MS * random.nextLong(75, 125) / 100
-        val report = worker.report()
-        if (!world.quietNetwork && random.nextInt(15) == 0) copyLate(report)
+    fun onHeartbeat(worker: StandInWorker) {
+        if (!worker.alive || worker.hanging || time.now < worker.nextHeartbeatAt) return
+        worker.nextHeartbeatAt = time.now + World.HEARTBEAT_MS * random.nextLong(75, 125) / 100
+        val heartbeat = worker.heartbeat()
+        if (!world.quietNetwork && random.nextInt(15) == 0) copyLate(heartbeat)
         val seat = world.seats[worker.target]
         val controller = seat.controller
         if (controller == null ||
@@ -167,58 +167,58 @@
             isUnreachable(worker, seat.trouble) ||
             random.nextDouble() < seat.trouble.lossRate
         ) {
-            return tryNext(worker, report)
+            return tryNext(worker, heartbeat)
         }
         val sentAt = time.now
-        if (reportsWaitMs == 0L) {
-            seat.guarded { answered(worker, seat, report, sentAt, deliver(seat, controller, report)) }
+        if (heartbeatsWaitMs == 0L) {
+            seat.guarded { answered(worker, seat, heartbeat, sentAt, deliver(seat, controller, heartbeat)) }
         } else {
-            answerLater(worker, seat, report, sentAt)
+            answerLater(worker, seat, heartbeat, sentAt)
         }
     }
 
     /** The report waits for a thread of its node; the worker sends no other meanwhile. */
-    private fun answerLater(worker: StandInWorker, seat: ControllerSeat, report: WorkerReport, sentAt: Long) {
+    private fun answerLater(worker: StandInWorker, seat: ControllerSeat, heartbeat: Heartbeat, sentAt: Long) {
         val process = seat.trouble
-        worker.nextReportAt += reportsWaitMs
-        time.later(reportsWaitMs) {
+        worker.nextHeartbeatAt += heartbeatsWaitMs
+        time.later(heartbeatsWaitMs) {
             val controller = seat.controller?.takeIf { seat.trouble === process }
-            if (controller != null) seat.guarded { answered(worker, seat, report, sentAt, deliver(seat, controller, report)) }
+            if (controller != null) seat.guarded { answered(worker, seat, heartbeat, sentAt, deliver(seat, controller, heartbeat)) }
         }
     }
 
-    /** Has [controller], which runs at [seat], take [report]. */
-    private fun deliver(seat: ControllerSeat, controller: Controller, report: WorkerReport): HeartbeatOutcome {
-        time.record { "heartbeat ${seat.number} ${WireJson.encodeToString(report)}" }
-        return controller.heartbeat(report).also { outcome ->
+    /** Has [controller], which runs at [seat], take [heartbeat]. */
+    private fun deliver(seat: ControllerSeat, controller: Controller, heartbeat: Heartbeat): HeartbeatOutcome {
+        time.record { "heartbeat ${seat.number} ${WireJson.encodeToString(heartbeat)}" }
+        return controller.onHeartbeat(heartbeat).also { outcome ->
             time.record {
                 val answer = when (outcome) {
                     is HeartbeatOutcome.Accepted -> WireJson.encodeToString(outcome.answer)
                     is HeartbeatOutcome.Elsewhere -> "elsewhere ${outcome.node?.text}"
                 }
-                "heartbeat ${seat.number} ${report.machine.text} answered $answer"
+                "heartbeat ${seat.number} ${heartbeat.machine.text} answered $answer"
             }
         }
     }
 
     /** A copy comes late, from seconds to well over a lease, at any node, whatever became of the machine. */
-    private fun copyLate(report: WorkerReport) {
+    private fun copyLate(heartbeat: Heartbeat) {
         val seat = world.seats.random(random)
-        time.later(random.nextLong(1000, 40_000)) { seat.controller?.let { late -> seat.guarded { deliver(seat, late, report) } } }
+        time.later(random.nextLong(1000, 40_000)) { seat.controller?.let { late -> seat.guarded { deliver(seat, late, heartbeat) } } }
     }
 
-    private fun tryNext(worker: StandInWorker, report: WorkerReport) {
+    private fun tryNext(worker: StandInWorker, heartbeat: Heartbeat) {
         // A cut may hold a report and deliver it long after its worker has given up on it.
-        if (random.nextInt(3) == 0 && holdsReports) {
+        if (random.nextInt(3) == 0 && delaysHeartbeats) {
             time.later(random.nextLong(500, 40_000)) {
                 val seat = world.seats[worker.target]
-                seat.controller?.let { late -> seat.guarded { deliver(seat, late, report) } }
+                seat.controller?.let { late -> seat.guarded { deliver(seat, late, heartbeat) } }
             }
         }
         worker.target = (worker.target + 1) % world.seats.size
     }
 
-    private fun answered(worker: StandInWorker, seat: ControllerSeat, report: WorkerReport, sentAt: Long, outcome: HeartbeatOutcome) {
+    private fun answered(worker: StandInWorker, seat: ControllerSeat, heartbeat: Heartbeat, sentAt: Long, outcome: HeartbeatOutcome) {
         val isAnswerLost = worker.deaf || seat.trouble.sendsNothing()
         when (outcome) {
             is HeartbeatOutcome.Accepted -> {
@@ -227,7 +227,7 @@
                 if (isAnswerLost) {
                     worker.target = (worker.target + 1) % world.seats.size
                 } else if (random.nextDouble() >= seat.trouble.lossRate) {
-                    time.later(delay) { worker.answered(outcome.answer.token, outcome.answer.orders, sentAt, report.session) }
+                    time.later(delay) { worker.answered(outcome.answer.token, outcome.answer.orders, sentAt, heartbeat.incarnation) }
                 }
             }
             is HeartbeatOutcome.Elsewhere -> {
--- a/src/test/kotlin/mountmast/standin/StandInWorker.kt
+++ b/src/test/kotlin/mountmast/standin/StandInWorker.kt
@@ -3,20 +3,20 @@
 import mountmast.protocol.Attempt
 import mountmast.protocol.ExitCause
 import mountmast.protocol.FencingToken
+import mountmast.protocol.Heartbeat
+import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
 import mountmast.protocol.Order
-import mountmast.protocol.ReportNumber
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Resources
-import mountmast.protocol.Session
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
 import mountmast.protocol.Verb
-import mountmast.protocol.WorkerReport
+import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 
 /** A worker as PROTOCOL describes it, in virtual time. */
@@ -44,8 +44,8 @@
 
     /** Tasks that completed here: started again, they exit as soon as they have their image. */
     private val results = HashSet<TaskId>()
-    private var session = 1uL
-    private var reportNumber = 0uL
+    private var incarnation = 1uL
+    private var sequence = 0uL
     private var helm = FencingToken(0u)
     private var answeredSentAt = time.now
     private var steppedAt = time.now
@@ -73,7 +73,7 @@
     var deafUntil = 0L
     var noticeEndsAt: Long? = null
     var alive = true
-    var nextReportAt = time.now
+    var nextHeartbeatAt = time.now
     var target = 0
 
     val busy get() = alive && tasks.values.any { it.onMachine }
@@ -83,10 +83,10 @@
     val mute get() = time.now < muteUntil
     val wellFor get() = time.now - maxOf(cutUntil, hangUntil, deafUntil, muteUntil)
 
-    fun report(): WorkerReport {
-        reportNumber++
-        return WorkerReport(
-            id, address, type.id, zone, spot, Session(session), ReportNumber(reportNumber), helm,
+    fun heartbeat(): Heartbeat {
+        sequence++
+        return Heartbeat(
+            id, address, type.id, zone, spot, WorkerIncarnation(incarnation), HeartbeatSequence(sequence), helm,
             noticeEndsAt?.let { (it - time.now) / 1000.0 },
             tasks.map { (task, it) -> ReportedTask(task.toString(), it.attempt, it.state, it.cause, it.stored) },
         )
@@ -138,14 +138,14 @@
     private fun expire() {
         vanish()
         tasks.clear()
-        session++
+        incarnation++
         answeredSentAt = time.now
     }
 
     /** The machine is back at once, without its tasks, in a new session and at a new address. */
     fun reboot() {
         expire()
-        address = "$id:${9000 + session.toInt()}"
+        address = "$id:${9000 + incarnation.toInt()}"
     }
 
     private fun vanish() {
@@ -159,17 +159,17 @@
         tasks.clear()
     }
 
-    /** Takes the answer to a report that was sent at [sentAt] in [ofSession]. */
-    fun answered(token: FencingToken, orders: List<Order>, sentAt: Long, ofSession: Session) {
-        if (!alive || ofSession.number != session || token < helm || time.now - sentAt > 4000) return
+    /** Takes the answer to a report that was sent at [sentAt] in [ofIncarnation]. */
+    fun answered(token: FencingToken, orders: List<Order>, sentAt: Long, ofIncarnation: WorkerIncarnation) {
+        if (!alive || ofIncarnation.number != incarnation || token < helm || time.now - sentAt > 4000) return
         helm = token
         answeredSentAt = sentAt
         orders.forEach(::execute)
     }
 
     /** Commands sent directly; null where they were rejected. */
-    fun ordered(token: FencingToken, ofSession: Session, orders: List<Order>): Boolean {
-        if (token < helm || ofSession.number != session) return false
+    fun ordered(token: FencingToken, ofIncarnation: WorkerIncarnation, orders: List<Order>): Boolean {
+        if (token < helm || ofIncarnation.number != incarnation) return false
         helm = token
         orders.forEach(::execute)
         return true
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/World.kt
@@ -65,7 +65,7 @@
             cloud.step()
             for (worker in cloud.workers) {
                 worker.step()
-                network.heartbeat(worker)
+                network.onHeartbeat(worker)
             }
             seats.shuffled(random).forEach { it.step() }
             users.step(busy)
@@ -130,7 +130,7 @@
     companion object {
         const val NODES = 3
         const val LEASE_MS = 6000L
-        const val REPORT_MS = 1000L
+        const val HEARTBEAT_MS = 1000L
         const val CANCEL_MS = 24_000L
     }
 }
--- a/src/test/kotlin/mountmast/transport/ReportLoad.kt
+++ b/src/test/kotlin/mountmast/transport/HeartbeatLoad.kt
@@ -8,7 +8,7 @@
  * by [readers] threads; whether a report may wait, and whether it is answered, is [lane]'s to say. A worker that is refused or not
  * answered in time asks the next node, which sends it back.
  */
-class ReportLoad(seed: Long, workers: Int, private val readers: Int, private val lane: RequestLane) {
+class HeartbeatLoad(seed: Long, workers: Int, private val readers: Int, private val lane: RequestLane) {
     private class Worker(var answeredSentAt: Long = 0, var awaited: Request? = null)
 
     private class Request(val worker: Worker, val sentAt: Long, var queuedAt: Long = 0)
@@ -34,7 +34,7 @@
 
     init {
         val all = List(workers) { Worker() }
-        for (worker in all) later(random.nextLong(REPORT_MICROS)) { send(worker) }
+        for (worker in all) later(random.nextLong(HEARTBEAT_MICROS)) { send(worker) }
         checkLeases(all)
     }
 
@@ -131,7 +131,7 @@
         worker.answeredSentAt = request.sentAt
         answeredInTime++
         // Every fourth report tells of a change, the others are due.
-        val next = if (random.nextInt(CHANGES_ONE_IN) == 0) CHANGE_MICROS else REPORT_MICROS * random.nextLong(75, 125) / 100
+        val next = if (random.nextInt(CHANGES_ONE_IN) == 0) CHANGE_MICROS else HEARTBEAT_MICROS * random.nextLong(75, 125) / 100
         later(next) { send(worker) }
     }
 
@@ -140,7 +140,7 @@
         const val MICROS_PER_S = 1_000_000L
 
         /** What a worker does, by the settings of the largest sites. */
-        const val REPORT_MICROS = 5 * MICROS_PER_S
+        const val HEARTBEAT_MICROS = 5 * MICROS_PER_S
         const val CHANGE_MICROS = 500 * MICROS_PER_MS
         const val CHANGES_ONE_IN = 4
         const val LEASE_MICROS = 26_500 * MICROS_PER_MS
--- a/src/test/kotlin/mountmast/transport/ReportOverloadTest.kt
+++ b/src/test/kotlin/mountmast/transport/HeartbeatOverloadTest.kt
@@ -9,9 +9,9 @@
  * which all of them give up and come back at once, it must serve them all again. The figures are those of a fleet of 4,000 machines
  * on a quarter of a core: what a report costs, and what a refused one costs, were measured.
  */
-class ReportOverloadTest {
-    private fun play(seed: Long, stopMs: Long): ReportLoad {
-        val load = ReportLoad(seed, WORKERS, BoundedServer.PUBLIC_READERS, RequestLane.forReports())
+class HeartbeatOverloadTest {
+    private fun play(seed: Long, stopMs: Long): HeartbeatLoad {
+        val load = HeartbeatLoad(seed, WORKERS, BoundedServer.PUBLIC_READERS, RequestLane.forHeartbeats())
         load.run(20_000)
         assertEquals(0, load.leasesLost, "leases lost before the stop, seed $seed")
         load.stop(stopMs)
--- a/src/test/kotlin/mountmast/transport/RoutesTest.kt
+++ b/src/test/kotlin/mountmast/transport/RoutesTest.kt
@@ -1,9 +1,9 @@
 package mountmast.transport
 
 import mountmast.protocol.FencingToken
+import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.NodeId
-import mountmast.protocol.WorkerReport
 import org.http4k.core.Method
 import org.http4k.core.Request
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -32,8 +32,8 @@
         override fun ready() = true
     }
 
-    private val beats = HeartbeatService { report: WorkerReport ->
-        if (report.machine.text ==
+    private val beats = HeartbeatService { heartbeat: Heartbeat ->
+        if (heartbeat.machine.text ==
             "vm-1"
         ) {
             HeartbeatOutcome.Accepted(HeartbeatResponse(FencingToken(7u), emptyList()))
@@ -45,7 +45,7 @@
 
     private fun call(method: Method, path: String, body: String = "") = routes(Request(method, path).body(body))
 
-    private fun report(machine: String) = """{"host":"$machine","address":"127.0.0.1:1","hull":"s","yard":"a","loaners":false,""" +
+    private fun heartbeat(machine: String) = """{"host":"$machine","address":"127.0.0.1:1","hull":"s","yard":"a","loaners":false,""" +
         """"watch":1,"tally":1,"helm":0,"pieces":[],"more":1}"""
 
     @Test
@@ -62,15 +62,15 @@
 
     @Test
     fun `reports are answered, redirected, or refused where they make no sense`() {
-        assertEquals("""{"helm":7,"orders":[]}""", call(Method.POST, "/agent/beat", report("vm-1")).bodyString())
-        val elsewhere = call(Method.POST, "/agent/beat", report("vm-2"))
+        assertEquals("""{"helm":7,"orders":[]}""", call(Method.POST, "/agent/beat", heartbeat("vm-1")).bodyString())
+        val elsewhere = call(Method.POST, "/agent/beat", heartbeat("vm-2"))
         assertEquals(421 to """{"bridge":"n-2"}""", elsewhere.status.code to elsewhere.bodyString())
         for (absurd in listOf(
             "",
             "[]",
             "{}",
-            report("vm-1").replace("\"watch\":1", "\"watch\":-1"),
-            report("vm-1").replace("\"watch\":1", "\"watch\":\"x\""),
+            heartbeat("vm-1").replace("\"watch\":1", "\"watch\":-1"),
+            heartbeat("vm-1").replace("\"watch\":1", "\"watch\":\"x\""),
         )) {
             assertEquals(400, call(Method.POST, "/agent/beat", absurd).status.code, absurd)
         }
@@ -85,7 +85,7 @@
         assertEquals("1", refused.header("Retry-After"))
         assertEquals(200, call(Method.GET, "/ready").status.code)
         assertEquals(200, call(Method.POST, "/v1/jobs/j-1/cancel").status.code)
-        assertEquals(200, call(Method.POST, "/agent/beat", report("vm-1")).status.code)
+        assertEquals(200, call(Method.POST, "/agent/beat", heartbeat("vm-1")).status.code)
         blocked.countDown()
         busy.forEach { it.join() }
         assertEquals(201, call(Method.POST, "/v1/jobs", "{}").status.code)
