--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -8,7 +8,7 @@
 import mountmast.storage.HttpStateStore
 import mountmast.transport.HttpCloud
 import mountmast.transport.HttpPeers
-import mountmast.transport.HttpWorkers
+import mountmast.transport.HttpWorkerClient
 import mountmast.transport.Metrics
 import mountmast.transport.Sockets
 import java.security.SecureRandom
@@ -45,7 +45,7 @@
     val store = HttpStateStore(settings.state, settings.stateLimits, settings.nodes, metrics = metrics)
     store.setRole(leader = false)
     val controller = Controller(
-        settings, operators.policy, operators.fleet, store, HttpCloud(settings.cloud, settings.cloudRps), HttpWorkers(),
+        settings, operators.policy, operators.fleet, store, HttpCloud(settings.cloud, settings.cloudRps), HttpWorkerClient(),
         HttpPeers(), SystemClock, run, metrics,
     )
     Node(settings, operators, controller, metrics).start()
--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -3,6 +3,8 @@
 import kotlinx.serialization.encodeToString
 import mountmast.coordination.controller.OperatorSettings
 import mountmast.protocol.Attempt
+import mountmast.protocol.CommandRequest
+import mountmast.protocol.CommandType
 import mountmast.protocol.FencingToken
 import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
@@ -11,21 +13,19 @@
 import mountmast.protocol.MachineId
 import mountmast.protocol.Member
 import mountmast.protocol.NodeId
-import mountmast.protocol.Order
-import mountmast.protocol.OrdersMessage
 import mountmast.protocol.PeerHello
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Settings
 import mountmast.protocol.TaskState
 import mountmast.protocol.TypeId
-import mountmast.protocol.Verb
 import mountmast.protocol.WireJson
+import mountmast.protocol.WorkerCommand
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import mountmast.transport.HttpCaller
 import mountmast.transport.HttpPeers
-import mountmast.transport.HttpWorkers
+import mountmast.transport.HttpWorkerClient
 import java.io.File
 import java.net.InetSocketAddress
 import java.net.ServerSocket
@@ -64,7 +64,7 @@
             MachineId("vm-1"), "127.0.0.1:1", TypeId("t"), Zone("z"), false, WorkerIncarnation(1u), HeartbeatSequence(1u), FencingToken(0u), null,
             listOf(ReportedTask("j-1/0", Attempt(1u), TaskState.RUNNING)),
         )
-        WireJson.encodeToString(HeartbeatResponse(FencingToken(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
+        WireJson.encodeToString(HeartbeatResponse(FencingToken(1u), listOf(WorkerCommand(CommandType.START, "j-1/0", Attempt(1u)))))
         JobValidation.parse(JobValidation.parseObject(JOB))
         val bodies = listOf("/agent/beat" to WireJson.encodeToString(heartbeat), "/v1/jobs" to JOB)
         for ((path, body) in bodies) caller.call(self, "POST", path, body.encodeToByteArray(), CALL_MS)
@@ -81,7 +81,8 @@
         val peers = HttpPeers()
         checkNotNull(peers.hello(member, PeerHello("warm-1", 0, serves = true, leads = false))) { "no greeting" }
         peers.relay(member, RelayRequest("GET", "/v1/jobs/j-1", ""))
-        HttpWorkers().order("127.0.0.1:$port", OrdersMessage(FencingToken(1u), WorkerIncarnation(1u), listOf(Order(Verb.START, "j-1/0", Attempt(1u)))))
+        val command = WorkerCommand(CommandType.START, "j-1/0", Attempt(1u))
+        HttpWorkerClient().send("127.0.0.1:$port", CommandRequest(FencingToken(1u), WorkerIncarnation(1u), listOf(command)))
     }
 
     private fun settings(public: Int, peer: Int) = """
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -34,7 +34,7 @@
 import mountmast.transport.PeerService
 import mountmast.transport.Peers
 import mountmast.transport.UserService
-import mountmast.transport.Workers
+import mountmast.transport.WorkerClient
 import org.slf4j.LoggerFactory
 import java.util.concurrent.atomic.AtomicReference
 
@@ -50,7 +50,7 @@
     private val fleetPolicy: FleetPolicy,
     private val store: StateStore,
     private val cloud: Cloud,
-    private val workers: Workers,
+    private val workers: WorkerClient,
     private val peers: Peers,
     private val clock: Clock,
     /** Drawn at each start, so that no two processes are ever taken for one another. */
@@ -233,10 +233,10 @@
     }
 
     /** Sends commands to one worker; false where there were none to send. */
-    fun post(waitMs: Long): Boolean = leaderTerm()?.dispatch?.postNext(waitMs) ?: false
+    fun deliverCommands(waitMs: Long): Boolean = leaderTerm()?.dispatch?.deliverNext(waitMs) ?: false
 
     /** Calls one worker that may still be with a former leader; false where there was none to call. */
-    fun call(): Boolean = leaderTerm()?.dispatch?.callNext() ?: false
+    fun announceLeader(): Boolean = leaderTerm()?.dispatch?.announceNext() ?: false
 
     override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome {
         leadership.observeToken(heartbeat.token)
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -29,7 +29,7 @@
 import mountmast.storage.JobRecord
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
-import mountmast.transport.Workers
+import mountmast.transport.WorkerClient
 import org.slf4j.LoggerFactory
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
@@ -40,7 +40,7 @@
 class LeaderTerm(
     val grant: LeadershipGrant,
     store: StateStore,
-    workers: Workers,
+    workers: WorkerClient,
     teams: Map<TeamId, TeamQuota>,
     policy: Policy,
     private val timing: Timing,
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -102,8 +102,8 @@
             controller.manageFleet()
             FLEET_MS
         }
-        repeat(CALLERS) { number -> whileLeading("caller-$number") { if (controller.call()) 0 else CALL_GAP_MS } }
-        repeat(sockets.posters) { number -> whileLeading("poster-$number") { if (controller.post(POST_WAIT_MS)) 0 else POST_GAP_MS } }
+        repeat(ANNOUNCER_THREADS) { number -> whileLeading("caller-$number") { if (controller.announceLeader()) 0 else ANNOUNCE_GAP_MS } }
+        repeat(sockets.deliveryThreads) { number -> whileLeading("poster-$number") { if (controller.deliverCommands(DELIVERY_WAIT_MS)) 0 else DELIVERY_GAP_MS } }
     }
 
     /** Runs a pass and waits until the next is due or asked for; returns how long to pause at least. */
@@ -144,8 +144,8 @@
         const val USER_THREADS = 56
         const val PEER_THREADS = 4
         const val PEER_WAITING = 256
-        const val CALLERS = 8
-        const val CALL_GAP_MS = 500L
+        const val ANNOUNCER_THREADS = 8
+        const val ANNOUNCE_GAP_MS = 500L
         const val STACK_BYTES = 256L * 1024
         const val LEADERSHIP_MS = 700L
         const val LEADERSHIP_GAP_MS = 50L
@@ -168,8 +168,8 @@
         const val WATCH_GAP_MS = 250L
         const val FLEET_MS = 1000L
         const val PREREQUISITES_MS = 200L
-        const val POST_WAIT_MS = 1000L
-        const val POST_GAP_MS = 50L
+        const val DELIVERY_WAIT_MS = 1000L
+        const val DELIVERY_GAP_MS = 50L
         const val IDLE_MS = 250L
         const val FAILED_MS = 1000L
     }
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingPasses.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingPasses.kt
@@ -80,7 +80,7 @@
         emptyNoticed(now)
         ledger.health.noticeSlow(now)
         emptyQuarantined()
-        dispatch.callWorkers(readyAt, now)
+        dispatch.announceToWorkers(readyAt, now)
         delays.tellStalls(waiting, now)
         delays.tellLate { job -> snapshots.untilS(job.ownDue) }
     }
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -67,7 +67,7 @@
     var calledSlow = false
 
     /** Direct commands with its start that wait for their answer. */
-    var postsOut = 0
+    var deliveriesInFlight = 0
 
     /** Latest report that was answered with its start; the next report shows whether that was executed. */
     var startedInHeartbeat: HeartbeatSequence? = null
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -108,11 +108,11 @@
     /** Since when answers and commands seem not to reach the worker although its reports arrive. */
     var unreachedSince: MonotonicTime? = null
     var incarnationSince = MonotonicTime(0)
-    var postInFlight = false
+    var deliveryInFlight = false
 
     /** When it was last called away from a former leader. */
-    var calledAt = MonotonicTime(0)
-    var postNotBefore = MonotonicTime(Long.MIN_VALUE)
+    var announcedAt = MonotonicTime(0)
+    var deliverNotBefore = MonotonicTime(Long.MIN_VALUE)
 
     /** The job that this machine is being emptied for. */
     var reservedFor: JobId? = null
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -74,9 +74,9 @@
         machine.answeredHeartbeatSequence = heartbeat.sequence
         machine.answeredAt = now
         machine.answeredSequence = heartbeat.sequence
-        val orders = dispatch.outstanding(machine, inHeartbeat = heartbeat.sequence)
+        val commands = dispatch.outstanding(machine, inHeartbeat = heartbeat.sequence)
         dispatch.fenceOffStoppedTasks(machine)
-        return HeartbeatResponse(dispatch.token(machine), orders)
+        return HeartbeatResponse(dispatch.token(machine), commands)
     }
 
     /** Takes a report, sent by itself or as the answer to a command; false where it is no news. The caller holds the lock. */
@@ -117,7 +117,7 @@
         for (assignment in machine.live.values) {
             if (assignment.phase != Phase.COMMITTED || assignment.stopGraceS == null || assignment.reported != null) continue
             val inHeartbeat = assignment.startedInHeartbeat
-            val mayArrive = assignment.postsOut > 0 ||
+            val mayArrive = assignment.deliveriesInFlight > 0 ||
                 assignment.key in machine.mayStillStart ||
                 (inHeartbeat != null && heartbeat.sequence <= inHeartbeat)
             // What the report lists has been noted as reported by now.
--- a/src/main/kotlin/mountmast/coordination/workers/LeaseHelper.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaseHelper.kt
@@ -2,14 +2,14 @@
 
 import mountmast.coordination.election.Leadership
 import mountmast.coordination.membership.CancellationNotices
+import mountmast.protocol.CommandType
 import mountmast.protocol.FencingToken
 import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.MachineId
-import mountmast.protocol.Order
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
-import mountmast.protocol.Verb
+import mountmast.protocol.WorkerCommand
 import mountmast.transport.HeartbeatOutcome
 import java.util.concurrent.ConcurrentHashMap
 
@@ -35,12 +35,12 @@
     }
 
     /** What can be told all the same: to stop what other nodes said is cancelled. */
-    fun stopsOf(heartbeat: Heartbeat): List<Order> = heartbeat.tasks.mapNotNull { reported ->
+    fun stopsOf(heartbeat: Heartbeat): List<WorkerCommand> = heartbeat.tasks.mapNotNull { reported ->
         val job = TaskId.parse(reported.task)?.job
         if (reported.state == TaskState.EXITED || job == null || job !in notices) {
             null
         } else {
-            Order(Verb.STOP, reported.task, reported.attempt, 0.0)
+            WorkerCommand(CommandType.STOP, reported.task, reported.attempt, 0.0)
         }
     }
 
--- a/src/main/kotlin/mountmast/protocol/Wire.kt
+++ b/src/main/kotlin/mountmast/protocol/Wire.kt
@@ -182,7 +182,7 @@
 
 /** What a command tells a worker to do. */
 @Serializable
-enum class Verb {
+enum class CommandType {
     @SerialName("start")
     START,
 
@@ -195,8 +195,8 @@
 
 /** A command to a worker. */
 @Serializable
-data class Order(
-    @SerialName("verb") val verb: Verb,
+data class WorkerCommand(
+    @SerialName("verb") val type: CommandType,
     @SerialName("piece") val task: String,
     @SerialName("try") val attempt: Attempt,
     @SerialName("windDownS") val graceS: Double? = null,
@@ -204,7 +204,7 @@
 
 /** Answer to a worker's report. */
 @Serializable
-data class HeartbeatResponse(@SerialName("helm") val token: FencingToken, @SerialName("orders") val orders: List<Order>)
+data class HeartbeatResponse(@SerialName("helm") val token: FencingToken, @SerialName("orders") val commands: List<WorkerCommand>)
 
 /** Answer that sends a worker to another node. */
 @Serializable
@@ -212,10 +212,10 @@
 
 /** Commands sent directly to a worker. */
 @Serializable
-data class OrdersMessage(
+data class CommandRequest(
     @SerialName("helm") val token: FencingToken,
     @SerialName("watch") val incarnation: WorkerIncarnation,
-    @SerialName("orders") val orders: List<Order>,
+    @SerialName("orders") val commands: List<WorkerCommand>,
 )
 
 /** A machine type with the current prices. It is stored in this form, so its serial names are the contract between versions. */
--- a/src/main/kotlin/mountmast/transport/Sockets.kt
+++ b/src/main/kotlin/mountmast/transport/Sockets.kt
@@ -13,7 +13,7 @@
     /** Requests that wait for a thread at most. */
     val waiting: Int,
     /** Commands sent to workers at once. */
-    val posters: Int,
+    val deliveryThreads: Int,
 ) {
     companion object {
         /** The shares of [most] sockets. */
@@ -24,7 +24,7 @@
                 accepted,
                 accepted,
                 (most / WAITING_SHARE).coerceIn(MIN_WAITING, MAX_WAITING),
-                (most / PER_POSTER).coerceIn(MIN_POSTERS, MAX_POSTERS),
+                (most / CONNECTIONS_PER_DELIVERY_THREAD).coerceIn(MIN_DELIVERY_THREADS, MAX_DELIVERY_THREADS),
             )
         }
 
@@ -33,8 +33,8 @@
         private const val WAITING_SHARE = 4
         private const val MIN_WAITING = 64
         private const val MAX_WAITING = 4096
-        private const val PER_POSTER = 150
-        private const val MIN_POSTERS = 4
-        private const val MAX_POSTERS = 16
+        private const val CONNECTIONS_PER_DELIVERY_THREAD = 150
+        private const val MIN_DELIVERY_THREADS = 4
+        private const val MAX_DELIVERY_THREADS = 16
     }
 }
--- a/src/main/kotlin/mountmast/transport/Workers.kt
+++ b/src/main/kotlin/mountmast/transport/WorkerClient.kt
@@ -2,45 +2,45 @@
 
 import kotlinx.serialization.decodeFromString
 import kotlinx.serialization.encodeToString
+import mountmast.protocol.CommandRequest
 import mountmast.protocol.Heartbeat
-import mountmast.protocol.OrdersMessage
 import mountmast.protocol.WireJson
 import java.net.InetSocketAddress
 
 /** What became of commands sent to a worker. */
-sealed interface OrdersOutcome {
-    data class Executed(val heartbeat: Heartbeat) : OrdersOutcome
+sealed interface CommandOutcome {
+    data class Executed(val heartbeat: Heartbeat) : CommandOutcome
 
     /** Nothing was executed: a higher token, or another session. */
-    data class Rejected(val heartbeat: Heartbeat) : OrdersOutcome
+    data class Rejected(val heartbeat: Heartbeat) : CommandOutcome
 
     /** The request never left this node. */
-    data object NotSent : OrdersOutcome
+    data object NotSent : CommandOutcome
 
     /** They may be executed now, later, or never. */
-    data object Unknown : OrdersOutcome
+    data object Unknown : CommandOutcome
 }
 
 /** Direct commands to workers. */
-fun interface Workers {
-    fun order(address: String, message: OrdersMessage): OrdersOutcome
+fun interface WorkerClient {
+    fun send(address: String, message: CommandRequest): CommandOutcome
 }
 
 /** Workers over HTTP. */
-class HttpWorkers(private val caller: HttpCaller = HttpCaller(connectMs = 700)) : Workers {
-    override fun order(address: String, message: OrdersMessage): OrdersOutcome {
-        val to = parse(address) ?: return OrdersOutcome.NotSent
+class HttpWorkerClient(private val caller: HttpCaller = HttpCaller(connectMs = 700)) : WorkerClient {
+    override fun send(address: String, message: CommandRequest): CommandOutcome {
+        val to = parse(address) ?: return CommandOutcome.NotSent
         try {
             val reply = caller.call(to, "POST", "/orders", WireJson.encodeToString(message).encodeToByteArray(), WAIT_MS)
             return when (reply.status) {
-                200 -> OrdersOutcome.Executed(WireJson.decodeFromString<Heartbeat>(reply.text))
-                409 -> OrdersOutcome.Rejected(WireJson.decodeFromString<Heartbeat>(reply.text))
-                else -> OrdersOutcome.Unknown
+                200 -> CommandOutcome.Executed(WireJson.decodeFromString<Heartbeat>(reply.text))
+                409 -> CommandOutcome.Rejected(WireJson.decodeFromString<Heartbeat>(reply.text))
+                else -> CommandOutcome.Unknown
             }
         } catch (e: NoAnswerException) {
-            return if (e.mayBeCarriedOut) OrdersOutcome.Unknown else OrdersOutcome.NotSent
+            return if (e.mayBeCarriedOut) CommandOutcome.Unknown else CommandOutcome.NotSent
         } catch (e: IllegalArgumentException) {
-            return OrdersOutcome.Unknown
+            return CommandOutcome.Unknown
         }
     }
 
--- a/src/test/kotlin/mountmast/contract/SerializedExamples.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedExamples.kt
@@ -4,6 +4,8 @@
 import kotlinx.serialization.builtins.ListSerializer
 import kotlinx.serialization.serializer
 import mountmast.protocol.Attempt
+import mountmast.protocol.CommandRequest
+import mountmast.protocol.CommandType
 import mountmast.protocol.ExitCause
 import mountmast.protocol.FencingToken
 import mountmast.protocol.Heartbeat
@@ -23,8 +25,6 @@
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.ModRevision
 import mountmast.protocol.NodeId
-import mountmast.protocol.Order
-import mountmast.protocol.OrdersMessage
 import mountmast.protocol.PeerHello
 import mountmast.protocol.Redirect
 import mountmast.protocol.Refusal
@@ -40,8 +40,8 @@
 import mountmast.protocol.TeamId
 import mountmast.protocol.TypeId
 import mountmast.protocol.Urgency
-import mountmast.protocol.Verb
 import mountmast.protocol.WallTime
+import mountmast.protocol.WorkerCommand
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import mountmast.storage.FORMAT_VERSION
@@ -149,8 +149,8 @@
     private val fullTask =
         ReportedTask("j-000412/3", Attempt(5u), TaskState.EXITED, ExitCause.NO_ROOM, saved = true)
     private val leastTask = ReportedTask("j-1/0", Attempt(1u), TaskState.RUNNING)
-    private val fullOrder = Order(Verb.STOP, "j-000412/3", Attempt(5u), graceS = 2.5)
-    private val leastOrder = Order(Verb.START, "j-1/0", Attempt(1u))
+    private val fullCommand = WorkerCommand(CommandType.STOP, "j-000412/3", Attempt(5u), graceS = 2.5)
+    private val leastCommand = WorkerCommand(CommandType.START, "j-1/0", Attempt(1u))
     private val fullListed =
         ListedMachine(MachineId("vm-12"), "10.0.0.4:7070", TypeId("large"), Zone("north"), spot = true, ListedState.RUNNING, ageS = 12.5)
     private val leastListed =
@@ -192,7 +192,7 @@
             ExitCause.PEERS,
             ExitCause.ALONE,
         ),
-        enumExample("verbs", Verb.START, Verb.STOP, Verb.FORGET),
+        enumExample("verbs", CommandType.START, CommandType.STOP, CommandType.FORGET),
         enumExample("listed-states", ListedState.BOOTING, ListedState.RUNNING, ListedState.FAILED),
     )
 
@@ -230,14 +230,14 @@
                 sequence = HeartbeatSequence(0u),
             ),
         ),
-        example("command-full", fullOrder),
-        example("command-least", leastOrder),
-        example("report-answer-full", HeartbeatResponse(FencingToken(3_145_729u), listOf(fullOrder, leastOrder))),
+        example("command-full", fullCommand),
+        example("command-least", leastCommand),
+        example("report-answer-full", HeartbeatResponse(FencingToken(3_145_729u), listOf(fullCommand, leastCommand))),
         example("report-answer-least", HeartbeatResponse(FencingToken(0u), emptyList())),
         example("redirect-full", Redirect(NodeId("node-2"))),
         example("redirect-least", Redirect()),
-        example("direct-commands-full", OrdersMessage(FencingToken(3_145_729u), WorkerIncarnation(6u), listOf(fullOrder, leastOrder))),
-        example("direct-commands-least", OrdersMessage(FencingToken(0u), WorkerIncarnation(0u), emptyList())),
+        example("direct-commands-full", CommandRequest(FencingToken(3_145_729u), WorkerIncarnation(6u), listOf(fullCommand, leastCommand))),
+        example("direct-commands-least", CommandRequest(FencingToken(0u), WorkerIncarnation(0u), emptyList())),
         example("machine-type-full", fullType),
         example("machine-type-least", leastType),
         example("machine-types-full", MachineTypes(listOf(fullType, leastType))),
--- a/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
@@ -38,21 +38,21 @@
         assertTrue(machines in 1550..1704, "$machines machines")
         assertTrue(started in 7500..8400, "$started starts")
         // A command holds all starts of a machine that one pass decided on.
-        assertTrue(world.network.ordersSent <= started, "${world.network.ordersSent} commands for $started starts")
+        assertTrue(world.network.commandsSent <= started, "${world.network.commandsSent} commands for $started starts")
         // Hundreds of starts share a record, and polls of what is not final cost one request each.
         assertTrue(world.store.writes < 3000, "${world.store.writes} writes")
         assertTrue(world.store.mostOps <= 8, "${world.store.mostOps} in one transaction")
         assertTrue(world.store.largestValue < 2 * 1024)
 
         // Once all is placed, what is written and asked no longer depends on how much runs.
-        val (requests, writes, orders) = Triple(world.store.requests, world.store.writes, world.network.ordersSent)
+        val (requests, writes, commands) = Triple(world.store.requests, world.store.writes, world.network.commandsSent)
         val idle = world.cloud.workers.filter { !it.busy }.toSet()
         world.run(10_000, busy = false)
         assertTrue(world.store.requests - requests < 400, "${world.store.requests - requests} requests in 10 s")
         assertTrue(world.store.writes - writes < 150, "${world.store.writes - writes} writes in 10 s")
         // A machine that came up only now gets its first command; no other machine gets any.
         val newlyUsed = world.cloud.workers.count { it.busy && it in idle }
-        assertEquals(orders + newlyUsed, world.network.ordersSent)
+        assertEquals(commands + newlyUsed, world.network.commandsSent)
 
         // Twice in a row, the second time before the first recovery is complete.
         world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
@@ -65,9 +65,9 @@
 
         val hit = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 3 == 0 }
         for ((i, worker) in hit.withIndex()) if (i % 2 == 0) world.cloud.take(worker.id) else worker.cutUntil = world.time.now + 9000
-        val vain = world.network.ordersInVain
+        val vain = world.network.commandsLost
         world.run(40_000, busy = false)
-        assertTrue(world.network.ordersInVain - vain < hit.size, "${world.network.ordersInVain - vain} commands to silent machines")
+        assertTrue(world.network.commandsLost - vain < hit.size, "${world.network.commandsLost - vain} commands to silent machines")
         val running = leader().ledger.machines.values.sumOf { machine -> machine.live.values.count { it.runningSince != null } }
         assertTrue(running > started * 9 / 10, "$running of $started run again")
     }
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -2,13 +2,13 @@
 
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
+import mountmast.protocol.CommandType
 import mountmast.protocol.JobId
 import mountmast.protocol.JobStatus
-import mountmast.protocol.Order
 import mountmast.protocol.TeamId
 import mountmast.protocol.TypeId
 import mountmast.protocol.Urgency
-import mountmast.protocol.Verb
+import mountmast.protocol.WorkerCommand
 import mountmast.standin.World
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotNull
@@ -359,13 +359,13 @@
         world.run(30_000, busy = false)
         val cut = world.cloud.workers.filter { it.alive }.take(20).onEach { it.cutUntil = world.time.now + 60_000 }
         world.run(6500, busy = false)
-        val before = world.network.ordersInVain
+        val before = world.network.commandsLost
         val id = world.accept(world.plainJob(2) { it.copy(tasks = 40, team = TeamId("free")) })
         world.run(4000, busy = false)
         world.cancel(id)
         world.run(2000, busy = false)
         assertTrue(cut.all { it.alive })
-        assertEquals(before, world.network.ordersInVain)
+        assertEquals(before, world.network.commandsLost)
     }
 
     @Test
@@ -404,10 +404,10 @@
         world.run(15_000, busy = false)
         val worker = world.cloud.workers.first { it.busy }
         val started = worker.heartbeat()
-        val again = started.tasks.map { Order(Verb.START, it.task, it.attempt) }
+        val again = started.tasks.map { WorkerCommand(CommandType.START, it.task, it.attempt) }
         assertEquals(200, world.cancel(id))
         world.run(World.CANCEL_MS + 5000, busy = false)
-        worker.ordered(started.token, started.incarnation, again)
+        worker.execute(started.token, started.incarnation, again)
         world.run(2000, busy = false)
         assertTrue(!worker.busy, "a cancelled task runs")
     }
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -15,6 +15,7 @@
 import mountmast.coordination.election.Timing
 import mountmast.coordination.scheduling.Policy
 import mountmast.coordination.state.Ledger
+import mountmast.protocol.CommandRequest
 import mountmast.protocol.FencingToken
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
@@ -26,7 +27,6 @@
 import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
-import mountmast.protocol.OrdersMessage
 import mountmast.protocol.PeerHello
 import mountmast.protocol.RelayAnswer
 import mountmast.protocol.RelayRequest
@@ -64,8 +64,8 @@
 import mountmast.storage.Transaction
 import mountmast.storage.WatermarkRecord
 import mountmast.storage.Write
-import mountmast.transport.OrdersOutcome
-import mountmast.transport.Workers
+import mountmast.transport.CommandOutcome
+import mountmast.transport.WorkerClient
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -315,8 +315,8 @@
         }
     }
 
-    private object NoWorkers : Workers {
-        override fun order(address: String, message: OrdersMessage): OrdersOutcome = OrdersOutcome.NotSent
+    private object NoWorkerClient : WorkerClient {
+        override fun send(address: String, message: CommandRequest): CommandOutcome = CommandOutcome.NotSent
     }
 
     /** What a leader reads from [store]. */
@@ -325,7 +325,7 @@
         val grant = LeadershipGrant(FencingToken(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
         val timing = Timing.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, heartbeatIntervalS = 1.0)
         val lists = PrerequisiteLists(store, StateLimits(80.0, 30.0, 8.0, 16))
-        return LeaderTerm(grant, store, NoWorkers, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
+        return LeaderTerm(grant, store, NoWorkerClient, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
     }
 
     /** In the form in which production's code described its own. */
--- a/src/test/kotlin/mountmast/soak/WorkerFleet.kt
+++ b/src/test/kotlin/mountmast/soak/WorkerFleet.kt
@@ -2,17 +2,17 @@
 
 import kotlinx.serialization.decodeFromString
 import kotlinx.serialization.encodeToString
+import mountmast.protocol.CommandRequest
+import mountmast.protocol.CommandType
 import mountmast.protocol.ExitCause
 import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.MachineId
-import mountmast.protocol.Order
-import mountmast.protocol.OrdersMessage
 import mountmast.protocol.Redirect
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
-import mountmast.protocol.Verb
 import mountmast.protocol.WireJson
+import mountmast.protocol.WorkerCommand
 import mountmast.standin.StandInWorker
 import mountmast.transport.HttpCaller
 import mountmast.transport.NoAnswerException
@@ -80,7 +80,7 @@
         )
     }
 
-    private fun obeyed(orders: List<Order>) = if (run.breakage == Breakage.STOPS_IGNORED) orders.filter { it.verb != Verb.STOP } else orders
+    private fun obeyed(commands: List<WorkerCommand>) = if (run.breakage == Breakage.STOPS_IGNORED) commands.filter { it.type != CommandType.STOP } else commands
 
     private fun submit(act: () -> Unit) {
         try {
@@ -119,8 +119,8 @@
         when (reply.status) {
             200 -> {
                 val answer = WireJson.decodeFromString<HeartbeatResponse>(reply.text)
-                noteStarts(answer.orders.filter { it.verb == Verb.START }.map { it.task })
-                worker.answered(answer.token, obeyed(answer.orders), sentAt, heartbeat.incarnation)
+                noteStarts(answer.commands.filter { it.type == CommandType.START }.map { it.task })
+                worker.answered(answer.token, obeyed(answer.commands), sentAt, heartbeat.incarnation)
             }
             421 -> {
                 val next = WireJson.decodeFromString<Redirect>(reply.text).leader?.text?.substringAfterLast('-')?.toIntOrNull()
@@ -150,16 +150,16 @@
     private fun command(worker: StandInWorker, request: StandInRequest): StandInAnswer? {
         // So may one that ends in the middle of a command.
         if (request.body.isEmpty()) return StandInAnswer(400, "{}")
-        val message = WireJson.decodeFromString<OrdersMessage>(request.body)
+        val message = WireJson.decodeFromString<CommandRequest>(request.body)
         return clock.locked {
             if (!worker.alive || worker.cut || worker.deaf) return@locked null
             val heldMs = if (worker.hanging) worker.hangUntil - clock.time.now else worker.commandsHeldMs
             if (worker.hanging || clock.time.now < worker.commandsHeldUntil) {
-                clock.time.later(heldMs) { if (worker.alive) worker.ordered(message.token, message.incarnation, message.orders) }
+                clock.time.later(heldMs) { if (worker.alive) worker.execute(message.token, message.incarnation, message.commands) }
                 return@locked null
             }
-            noteStarts(message.orders.filter { it.verb == Verb.START }.map { it.task })
-            val executed = worker.ordered(message.token, message.incarnation, obeyed(message.orders))
+            noteStarts(message.commands.filter { it.type == CommandType.START }.map { it.task })
+            val executed = worker.execute(message.token, message.incarnation, obeyed(message.commands))
             val heartbeat = heartbeatOf(worker)
             StandInAnswer(if (executed) 200 else 409, WireJson.encodeToString(heartbeat))
         }
--- a/src/test/kotlin/mountmast/standin/ControllerSeat.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerSeat.kt
@@ -83,7 +83,7 @@
         Step(150L) { if (running.watch(0)) running.resolvePrerequisites() },
         Step(1000L) { running.manageFleet() },
         Step(300L) { running.watchJobs(0) },
-        Step(100L) { while (running.post(0) || running.call()) Unit },
+        Step(100L) { while (running.deliverCommands(0) || running.announceLeader()) Unit },
     )
 
     /** Runs part of this node; false where the process died in it. */
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/Network.kt
@@ -5,21 +5,21 @@
 import kotlinx.serialization.encodeToString
 import kotlinx.serialization.protobuf.ProtoBuf
 import mountmast.coordination.controller.Controller
+import mountmast.protocol.CommandRequest
+import mountmast.protocol.CommandType
 import mountmast.protocol.Heartbeat
 import mountmast.protocol.Member
-import mountmast.protocol.Order
-import mountmast.protocol.OrdersMessage
 import mountmast.protocol.PeerHello
 import mountmast.protocol.RelayAnswer
 import mountmast.protocol.RelayRequest
 import mountmast.protocol.TaskId
-import mountmast.protocol.Verb
 import mountmast.protocol.WireJson
+import mountmast.protocol.WorkerCommand
 import mountmast.protocol.Zone
+import mountmast.transport.CommandOutcome
 import mountmast.transport.HeartbeatOutcome
-import mountmast.transport.OrdersOutcome
 import mountmast.transport.Peers
-import mountmast.transport.Workers
+import mountmast.transport.WorkerClient
 
 /** What connects the controllers of a [World] with its workers and with one another. */
 @OptIn(ExperimentalSerializationApi::class)
@@ -36,9 +36,9 @@
     var heartbeatsWaitMs = 0L
 
     /** Commands sent to workers so far, how many of them to workers that nobody reaches, and how many were held up. */
-    var ordersSent = 0
+    var commandsSent = 0
         private set
-    var ordersInVain = 0
+    var commandsLost = 0
         private set
     var heldCommands = 0
         private set
@@ -57,32 +57,32 @@
         world.seats.any { it.trouble === trouble && areApart(it.zone, worker.zone) }
 
     /** The workers as the process that [trouble] ails reaches them. */
-    fun workersOf(trouble: Trouble) = Workers { address, message -> order(trouble, address, message) }
+    fun workersOf(trouble: Trouble) = WorkerClient { address, message -> deliver(trouble, address, message) }
 
-    private fun order(trouble: Trouble, address: String, message: OrdersMessage): OrdersOutcome {
+    private fun deliver(trouble: Trouble, address: String, message: CommandRequest): CommandOutcome {
         time.record { "command ${trouble.number} $address ${WireJson.encodeToString(message)}" }
         return send(trouble, address, message).also { outcome ->
             time.record { "command ${trouble.number} $address answered ${text(outcome)}" }
         }
     }
 
-    private fun text(outcome: OrdersOutcome) = when (outcome) {
-        is OrdersOutcome.Executed -> "executed ${WireJson.encodeToString(outcome.heartbeat)}"
-        is OrdersOutcome.Rejected -> "rejected ${WireJson.encodeToString(outcome.heartbeat)}"
-        OrdersOutcome.NotSent -> "not sent"
-        OrdersOutcome.Unknown -> "unknown"
+    private fun text(outcome: CommandOutcome) = when (outcome) {
+        is CommandOutcome.Executed -> "executed ${WireJson.encodeToString(outcome.heartbeat)}"
+        is CommandOutcome.Rejected -> "rejected ${WireJson.encodeToString(outcome.heartbeat)}"
+        CommandOutcome.NotSent -> "not sent"
+        CommandOutcome.Unknown -> "unknown"
     }
 
-    private fun send(trouble: Trouble, address: String, message: OrdersMessage): OrdersOutcome {
-        noteStarts(message.orders)
+    private fun send(trouble: Trouble, address: String, message: CommandRequest): CommandOutcome {
+        noteStarts(message.commands)
         trouble.mayStrike(random)
-        ordersSent++
-        val worker = world.cloud.workers.firstOrNull { it.address == address && it.alive } ?: return OrdersOutcome.Unknown
-        if (time.now < worker.calledByNobodyUntil) return OrdersOutcome.NotSent
+        commandsSent++
+        val worker = world.cloud.workers.firstOrNull { it.address == address && it.alive } ?: return CommandOutcome.Unknown
+        if (time.now < worker.calledByNobodyUntil) return CommandOutcome.NotSent
         if (time.now < worker.commandsHeldUntil) {
             heldCommands++
             time.later(worker.commandsHeldMs) { if (worker.alive) execute(worker, message) }
-            return OrdersOutcome.Unknown
+            return CommandOutcome.Unknown
         }
         val isLost = isUnreachable(worker, trouble) ||
             worker.deaf ||
@@ -94,24 +94,24 @@
         return execute(worker, message).also { trouble.mayStrike(random) }
     }
 
-    private fun execute(worker: StandInWorker, message: OrdersMessage): OrdersOutcome {
+    private fun execute(worker: StandInWorker, message: CommandRequest): CommandOutcome {
         time.record { "worker ${worker.id.text} gets ${WireJson.encodeToString(message)}" }
-        return if (worker.ordered(message.token, message.incarnation, message.orders)) {
-            OrdersOutcome.Executed(worker.heartbeat())
+        return if (worker.execute(message.token, message.incarnation, message.commands)) {
+            CommandOutcome.Executed(worker.heartbeat())
         } else {
-            OrdersOutcome.Rejected(worker.heartbeat())
+            CommandOutcome.Rejected(worker.heartbeat())
         }
     }
 
-    private fun lose(worker: StandInWorker, message: OrdersMessage): OrdersOutcome {
-        ordersInVain++
-        if (random.nextInt(4) == 0) return OrdersOutcome.NotSent
+    private fun lose(worker: StandInWorker, message: CommandRequest): CommandOutcome {
+        commandsLost++
+        if (random.nextInt(4) == 0) return CommandOutcome.NotSent
         if (random.nextBoolean()) time.later(random.nextLong(100, 60_000)) { if (worker.alive) execute(worker, message) }
-        return OrdersOutcome.Unknown
+        return CommandOutcome.Unknown
     }
 
-    private fun noteStarts(orders: List<Order>) {
-        for (order in orders) if (order.verb == Verb.START) TaskId.parse(order.task)?.let { world.rules.startCommanded(it.job, time.now) }
+    private fun noteStarts(commands: List<WorkerCommand>) {
+        for (send in commands) if (send.type == CommandType.START) TaskId.parse(send.task)?.let { world.rules.startCommanded(it.job, time.now) }
     }
 
     /** The other controllers as the process that [trouble] ails reaches them. */
@@ -222,12 +222,12 @@
         val isAnswerLost = worker.deaf || seat.trouble.sendsNothing()
         when (outcome) {
             is HeartbeatOutcome.Accepted -> {
-                noteStarts(outcome.answer.orders)
+                noteStarts(outcome.answer.commands)
                 val delay = if (world.quietNetwork) 0L else random.nextLong(0, 60)
                 if (isAnswerLost) {
                     worker.target = (worker.target + 1) % world.seats.size
                 } else if (random.nextDouble() >= seat.trouble.lossRate) {
-                    time.later(delay) { worker.answered(outcome.answer.token, outcome.answer.orders, sentAt, heartbeat.incarnation) }
+                    time.later(delay) { worker.answered(outcome.answer.token, outcome.answer.commands, sentAt, heartbeat.incarnation) }
                 }
             }
             is HeartbeatOutcome.Elsewhere -> {
--- a/src/test/kotlin/mountmast/standin/StandInWorker.kt
+++ b/src/test/kotlin/mountmast/standin/StandInWorker.kt
@@ -1,6 +1,7 @@
 package mountmast.standin
 
 import mountmast.protocol.Attempt
+import mountmast.protocol.CommandType
 import mountmast.protocol.ExitCause
 import mountmast.protocol.FencingToken
 import mountmast.protocol.Heartbeat
@@ -10,12 +11,11 @@
 import mountmast.protocol.JobSpec
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineType
-import mountmast.protocol.Order
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Resources
 import mountmast.protocol.TaskId
 import mountmast.protocol.TaskState
-import mountmast.protocol.Verb
+import mountmast.protocol.WorkerCommand
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 
@@ -160,28 +160,28 @@
     }
 
     /** Takes the answer to a report that was sent at [sentAt] in [ofIncarnation]. */
-    fun answered(token: FencingToken, orders: List<Order>, sentAt: Long, ofIncarnation: WorkerIncarnation) {
+    fun answered(token: FencingToken, commands: List<WorkerCommand>, sentAt: Long, ofIncarnation: WorkerIncarnation) {
         if (!alive || ofIncarnation.number != incarnation || token < helm || time.now - sentAt > 4000) return
         helm = token
         answeredSentAt = sentAt
-        orders.forEach(::execute)
+        commands.forEach(::execute)
     }
 
     /** Commands sent directly; null where they were rejected. */
-    fun ordered(token: FencingToken, ofIncarnation: WorkerIncarnation, orders: List<Order>): Boolean {
+    fun execute(token: FencingToken, ofIncarnation: WorkerIncarnation, commands: List<WorkerCommand>): Boolean {
         if (token < helm || ofIncarnation.number != incarnation) return false
         helm = token
-        orders.forEach(::execute)
+        commands.forEach(::execute)
         return true
     }
 
-    private fun execute(order: Order) {
-        val task = TaskId.parse(order.task) ?: return
+    private fun execute(command: WorkerCommand) {
+        val task = TaskId.parse(command.task) ?: return
         val known = tasks[task]
-        when (order.verb) {
-            Verb.START -> if (known?.attempt != order.attempt) start(task, order.attempt, known)
-            Verb.STOP -> if (known != null && known.attempt == order.attempt) stop(task, known, order.graceS ?: 0.0)
-            Verb.FORGET -> if (known != null && known.attempt == order.attempt && known.state == TaskState.EXITED) tasks -= task
+        when (command.type) {
+            CommandType.START -> if (known?.attempt != command.attempt) start(task, command.attempt, known)
+            CommandType.STOP -> if (known != null && known.attempt == command.attempt) stop(task, known, command.graceS ?: 0.0)
+            CommandType.FORGET -> if (known != null && known.attempt == command.attempt && known.state == TaskState.EXITED) tasks -= task
         }
     }
 
--- a/src/test/kotlin/mountmast/transport/SocketsTest.kt
+++ b/src/test/kotlin/mountmast/transport/SocketsTest.kt
@@ -13,9 +13,9 @@
         for (most in listOf(16, 100, 800, 1800, 2709, 3265)) {
             val sockets = Sockets.of(most)
             assertTrue(sockets.accepted in 1..most && sockets.idle <= sockets.accepted, "$sockets")
-            assertTrue(most < 100 || sockets.accepted + sockets.posters < most - 30, "$sockets")
-            assertTrue(sockets.waiting <= 1024 && sockets.posters <= 16, "bounds do not grow with the fleet: $sockets")
+            assertTrue(most < 100 || sockets.accepted + sockets.deliveryThreads < most - 30, "$sockets")
+            assertTrue(sockets.waiting <= 1024 && sockets.deliveryThreads <= 16, "bounds do not grow with the fleet: $sockets")
         }
-        assertEquals(5, Sockets.of(800).posters)
+        assertEquals(5, Sockets.of(800).deliveryThreads)
     }
 }
