--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -7,7 +7,7 @@
 import mountmast.protocol.SystemClock
 import mountmast.storage.HttpStateStore
 import mountmast.transport.HttpCloud
-import mountmast.transport.HttpPeers
+import mountmast.transport.HttpPeerClient
 import mountmast.transport.HttpWorkerClient
 import mountmast.transport.Metrics
 import mountmast.transport.Sockets
@@ -46,7 +46,7 @@
     store.setRole(leader = false)
     val controller = Controller(
         settings, operators.policy, operators.fleet, store, HttpCloud(settings.cloud, settings.cloudRps), HttpWorkerClient(),
-        HttpPeers(), SystemClock, run, metrics,
+        HttpPeerClient(), SystemClock, run, metrics,
     )
     Node(settings, operators, controller, metrics).start()
 }
--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -6,6 +6,7 @@
 import mountmast.protocol.CommandRequest
 import mountmast.protocol.CommandType
 import mountmast.protocol.FencingToken
+import mountmast.protocol.ForwardedRequest
 import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.HeartbeatSequence
@@ -13,8 +14,7 @@
 import mountmast.protocol.MachineId
 import mountmast.protocol.Member
 import mountmast.protocol.NodeId
-import mountmast.protocol.PeerHello
-import mountmast.protocol.RelayRequest
+import mountmast.protocol.PeerHeartbeat
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Settings
 import mountmast.protocol.TaskState
@@ -24,7 +24,7 @@
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import mountmast.transport.HttpCaller
-import mountmast.transport.HttpPeers
+import mountmast.transport.HttpPeerClient
 import mountmast.transport.HttpWorkerClient
 import java.io.File
 import java.net.InetSocketAddress
@@ -78,9 +78,9 @@
     private fun callPeer(port: Int) {
         val at = InetSocketAddress("127.0.0.1", port)
         val member = Member(NodeId("warm-1"), Zone("z"), at)
-        val peers = HttpPeers()
-        checkNotNull(peers.hello(member, PeerHello("warm-1", 0, serves = true, leads = false))) { "no greeting" }
-        peers.relay(member, RelayRequest("GET", "/v1/jobs/j-1", ""))
+        val peers = HttpPeerClient()
+        checkNotNull(peers.exchangeHeartbeats(member, PeerHeartbeat("warm-1", 0, serves = true, leads = false))) { "no greeting" }
+        peers.forward(member, ForwardedRequest("GET", "/v1/jobs/j-1", ""))
         val command = WorkerCommand(CommandType.START, "j-1/0", Attempt(1u))
         HttpWorkerClient().send("127.0.0.1:$port", CommandRequest(FencingToken(1u), WorkerIncarnation(1u), listOf(command)))
     }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.autoscaling
 
 import mountmast.coordination.scheduling.Waiting
-import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.TermSignals
 import mountmast.protocol.MachineTypes
 import java.util.concurrent.locks.ReentrantLock
@@ -10,7 +10,7 @@
 interface AutoscalingContext {
     /** Guards all that is named here. Held for moments; never during I/O. */
     val lock: ReentrantLock
-    val ledger: Ledger
+    val cluster: ClusterState
     val signals: TermSignals
 
     /** Machine types that the store does not hold yet. */
--- a/src/main/kotlin/mountmast/coordination/autoscaling/Fleet.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/Fleet.kt
@@ -25,7 +25,7 @@
 ) {
     /** A round comes once a second; what it may ask is the cloud's to say, not ours. */
     private val callsPerRound = maxOf(1, (cloudRatePerS * Cloud.RATE_SHARE).toInt())
-    private val history = OfferHistory(context.ledger)
+    private val history = OfferHistory(context.cluster)
     private val inventory = FleetInventory(context, cloud, policy)
     private val returns = MachineReturns(context, cloud, clock, policy, timing, history, callsPerRound)
     private val rentals = MachineRentals(context, cloud, policy, timing, history, rentalPrefix, callsPerRound)
--- a/src/main/kotlin/mountmast/coordination/autoscaling/FleetInventory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/FleetInventory.kt
@@ -13,7 +13,7 @@
 
 /** Keeps the ledger's machine types and machines as the cloud lists them. Called by one thread; takes the lock of [AutoscalingContext]. */
 class FleetInventory(private val context: AutoscalingContext, private val cloud: Cloud, private val policy: FleetPolicy) {
-    private val ledger get() = context.ledger
+    private val cluster get() = context.cluster
     private var typesReadAt: MonotonicTime? = null
     private var machinesReadAt: MonotonicTime? = null
 
@@ -33,13 +33,13 @@
             cloud.machineTypes()
         } catch (e: CloudException) {
             // The store keeps the types, so that an outage of the cloud stops nobody from submitting.
-            if (context.lock.withLock { ledger.types.isEmpty() }) throw e
+            if (context.lock.withLock { cluster.types.isEmpty() }) throw e
             return
         }
         typesReadAt = now
         context.lock.withLock {
-            val isChanged = withoutPrices(ledger.types.values) != withoutPrices(types)
-            ledger.replaceTypes(MachineTypes(types))
+            val isChanged = withoutPrices(cluster.types.values) != withoutPrices(types)
+            cluster.replaceTypes(MachineTypes(types))
             if (isChanged) {
                 context.pendingTypes = MachineTypes(types)
                 context.signals.wakeWriter()
@@ -64,10 +64,10 @@
     }
 
     private fun takeIn(listed: ListedMachine, now: MonotonicTime) {
-        if (listed.id in ledger.tombstones) return
-        val known = ledger.machines[listed.id]
-        if (known?.type == null) ledger.machines[listed.id] = create(listed, known, now)
-        if (listed.state == ListedState.FAILED) ledger.machines[listed.id]?.listedFailed = true
+        if (listed.id in cluster.tombstones) return
+        val known = cluster.machines[listed.id]
+        if (known?.type == null) cluster.machines[listed.id] = create(listed, known, now)
+        if (listed.state == ListedState.FAILED) cluster.machines[listed.id]?.listedFailed = true
     }
 
     /** The machine as listed, with all that was [known] of it before its type was. */
@@ -78,7 +78,7 @@
         machine.address = listed.address
         machine.answeredAt = known?.answeredAt ?: now
         known?.let(machine::takeOver)
-        ledger.recalledImages.remove(listed.id)?.let(machine::recallImages)
+        cluster.recalledImages.remove(listed.id)?.let(machine::recallImages)
         machine.listedRunning = listed.state == ListedState.RUNNING
         return machine
     }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineRentals.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineRentals.kt
@@ -29,7 +29,7 @@
     /** Calls to the cloud that a round may make. */
     callsPerRound: Int,
 ) {
-    private val ledger get() = context.ledger
+    private val cluster get() = context.cluster
     private val pausedUntil = HashMap<Offer, MonotonicTime>()
     private val planner = RentalPlanner(context, timing, history, callsPerRound * Cloud.MAX_PER_RENTAL, ::isPaused)
     private var requestCount = 0
@@ -79,8 +79,8 @@
 
     private fun takeIn(outcome: RentalOutcome.Rented, offer: Offer, now: MonotonicTime) = context.lock.withLock {
         for (id in outcome.machines) {
-            if (id in ledger.machines || id in ledger.tombstones) continue
-            ledger.machines[id] = Machine(id, offer.type, offer.zone, offer.spot, MachineState.BOOTING).apply {
+            if (id in cluster.machines || id in cluster.tombstones) continue
+            cluster.machines[id] = Machine(id, offer.type, offer.zone, offer.spot, MachineState.BOOTING).apply {
                 rentedAt = now
                 knownAt = now
                 idleSince = now
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineReturns.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineReturns.kt
@@ -27,7 +27,7 @@
     /** Calls to the cloud that a round may make. */
     private val callsPerRound: Int,
 ) {
-    private val ledger get() = context.ledger
+    private val cluster get() = context.cluster
 
     /** One round of returns, decided as of [now]. Throws `CloudException` where the cloud does not answer. */
     fun step(now: MonotonicTime) {
@@ -39,14 +39,14 @@
     }
 
     private fun deleted(machines: List<MachineId>, now: MonotonicTime) {
-        for (id in machines) ledger.markDeleted(id, clock.now())
-        val forgotten = ledger.tombstones.entries.takeWhile { now - it.value > TOMBSTONE_MS }.map { it.key }
-        ledger.tombstones.keys.removeAll(forgotten.toSet())
+        for (id in machines) cluster.markDeleted(id, clock.now())
+        val forgotten = cluster.tombstones.entries.takeWhile { now - it.value > TOMBSTONE_MS }.map { it.key }
+        cluster.tombstones.keys.removeAll(forgotten.toSet())
         context.signals.wakeWriter()
     }
 
     private fun choose(now: MonotonicTime): List<MachineId> {
-        val chosen = ledger.machines.values.filter { it.id !in ledger.tombstones && (it.deleting || shouldReturn(it, now)) }
+        val chosen = cluster.machines.values.filter { it.id !in cluster.tombstones && (it.deleting || shouldReturn(it, now)) }
         for (machine in chosen) {
             if (!machine.deleting) beginReturn(machine)
         }
@@ -70,7 +70,7 @@
     }
 
     private fun shouldReturn(machine: Machine, now: MonotonicTime): Boolean {
-        val type = ledger.types[machine.type] ?: return false
+        val type = cluster.types[machine.type] ?: return false
         return machine.listedFailed ||
             when (machine.state) {
                 // A machine that hung or was cut off comes back with its images, sooner than another one boots; one that is
--- a/src/main/kotlin/mountmast/coordination/autoscaling/OfferHistory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/OfferHistory.kt
@@ -1,15 +1,15 @@
 package mountmast.coordination.autoscaling
 
-import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
 import mountmast.protocol.MonotonicTime
 
 /**
  * What became lately of the machines rented by each [Offer]: spot machines that were lost, and machines that did not boot in
- * time. Counts decay by [decay]. Guarded as its [Ledger] is.
+ * time. Counts decay by [decay]. Guarded as its [ClusterState] is.
  */
-class OfferHistory(private val ledger: Ledger) {
+class OfferHistory(private val cluster: ClusterState) {
     private val spotLosses = HashMap<Offer, Double>()
     private val neverBooted = HashMap<Offer, Double>()
 
@@ -34,7 +34,7 @@
      * for it gets another machine meanwhile.
      */
     fun isLate(machine: Machine, now: MonotonicTime): Boolean {
-        val type = ledger.types[machine.type] ?: return false
+        val type = cluster.types[machine.type] ?: return false
         return now - machine.rentedAt > (type.bootS * LATE_BOOT_FACTOR * MS_PER_S).toLong() + LATE_BOOT_MARGIN_MS
     }
 
@@ -45,7 +45,7 @@
     fun lateOffers(now: MonotonicTime): Set<Offer> {
         val late = HashMap<Offer, Double>(neverBooted)
         val booted = HashMap<Offer, Int>()
-        for (machine in ledger.machines.values) {
+        for (machine in cluster.machines.values) {
             val offer = machine.offer() ?: continue
             if (machine.state != MachineState.BOOTING) {
                 if (now - machine.rentedAt < RECENT_MS) booted.merge(offer, 1, Int::plus)
--- a/src/main/kotlin/mountmast/coordination/autoscaling/RentalPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/RentalPlanner.kt
@@ -20,14 +20,14 @@
     /** Whether the cloud lately had no such machine. */
     private val isPaused: (Offer, MonotonicTime) -> Boolean,
 ) {
-    private val ledger get() = context.ledger
+    private val cluster get() = context.cluster
 
     /** How many machines to rent by each offer, in the order of the tasks that need them. */
     fun plan(now: MonotonicTime): Map<Offer, Int> {
         history.decay()
         val round = Round(now, history.lateOffers(now))
         for (waiting in context.waiting) {
-            val job = ledger.jobs[waiting.job] ?: continue
+            val job = cluster.jobs[waiting.job] ?: continue
             if (!job.poisoned) round.cover(job, waiting.tasks)
         }
         return round.rentals
@@ -42,10 +42,10 @@
             // Where nothing else is to be had, or offer after offer is late, more machines would only be late as well: rentals
             // must not run away.
             val isElsewhere = lateOffers.size < MANY_LATE_OFFERS && allOffers().any { it !in lateOffers && !isPaused(it, now) }
-            return ledger.machines.values
+            return cluster.machines.values
                 .filter { isExpectedSoon(it, now) || (!isElsewhere && it.offer() in lateOffers) }
                 .mapNotNull { it.offer() }
-                .mapNotNull { offer -> ledger.types[offer.type]?.let { TypedOffer(offer, it) } }
+                .mapNotNull { offer -> cluster.types[offer.type]?.let { TypedOffer(offer, it) } }
         }
 
         /** Finds room for [tasks] of [job], on expected machines first. */
@@ -75,7 +75,7 @@
 
         /** What [offer] costs for each of the [wanted] tasks that fit, or null where none of them can go there. */
         private fun price(offer: Offer, job: Job, wanted: Int, zones: ZoneShares): PricedOffer? {
-            val type = ledger.types[offer.type] ?: return null
+            val type = cluster.types[offer.type] ?: return null
             val taskCount = job.perTask.timesIn(type.capacity, minOf(wanted, zones.left(offer.zone)))
             if (taskCount <= 0 || !offer.isAllowedFor(job.spec) || isPaused(offer, now)) return null
             val price = (if (offer.spot) type.spotPrice else type.price) * history.priceFactor(offer)
@@ -83,7 +83,7 @@
         }
     }
 
-    private fun allOffers(): Sequence<Offer> = ledger.types.values.asSequence().flatMap { type ->
+    private fun allOffers(): Sequence<Offer> = cluster.types.values.asSequence().flatMap { type ->
         type.zones.asSequence().flatMap { zone -> sequenceOf(Offer(type.id, zone, true), Offer(type.id, zone, false)) }
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -4,12 +4,12 @@
 import mountmast.coordination.autoscaling.FleetPolicy
 import mountmast.coordination.election.Leadership
 import mountmast.coordination.election.Timing
+import mountmast.coordination.jobs.JobRecordPrefetcher
 import mountmast.coordination.jobs.JobService
-import mountmast.coordination.jobs.JobWatch
-import mountmast.coordination.membership.CancellationNotices
-import mountmast.coordination.membership.FormatAgreement
-import mountmast.coordination.membership.PeerStates
-import mountmast.coordination.persistence.LedgerWriter
+import mountmast.coordination.membership.CancellationBroadcast
+import mountmast.coordination.membership.FormatNegotiation
+import mountmast.coordination.membership.PeerMembership
+import mountmast.coordination.persistence.JournalCommitter
 import mountmast.coordination.scheduling.Policy
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.TaskLosses
@@ -20,7 +20,7 @@
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobId
 import mountmast.protocol.NodeId
-import mountmast.protocol.PeerHello
+import mountmast.protocol.PeerHeartbeat
 import mountmast.protocol.Settings
 import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.PrerequisiteLists
@@ -31,8 +31,8 @@
 import mountmast.transport.HeartbeatService
 import mountmast.transport.MetricNames
 import mountmast.transport.Metrics
+import mountmast.transport.PeerClient
 import mountmast.transport.PeerService
-import mountmast.transport.Peers
 import mountmast.transport.UserService
 import mountmast.transport.WorkerClient
 import org.slf4j.LoggerFactory
@@ -51,7 +51,7 @@
     private val store: StateStore,
     private val cloud: Cloud,
     private val workers: WorkerClient,
-    private val peers: Peers,
+    private val peers: PeerClient,
     private val clock: Clock,
     /** Drawn at each start, so that no two processes are ever taken for one another. */
     private val run: String,
@@ -63,22 +63,22 @@
     private val invariants = Invariants(metrics)
     private val wakeLag = metrics.timing(MetricNames.WAKE_LAG)
     private val leadership = Leadership(store, settings.node, run, timing, clock, metrics)
-    private val notices = CancellationNotices(settings.members.map { it.node }, clock, timing.noticesMs)
-    private val helper = LeaseHelper(leadership, notices)
+    private val cancellations = CancellationBroadcast(settings.members.map { it.node }, clock, timing.cancellationBroadcastMs)
+    private val helper = LeaseHelper(leadership, cancellations)
 
     /** Whether every node of the deployment reads the current forms. */
-    val formats = FormatAgreement(store, settings.members.map { it.node })
-    private val peerStates = PeerStates(settings.members, peers, notices, clock, OwnState())
+    val formats = FormatNegotiation(store, settings.members.map { it.node })
+    private val membership = PeerMembership(settings.members, peers, cancellations, clock, OwnState())
     private val prerequisiteLists = PrerequisiteLists(store, settings.stateLimits)
     private val jobService =
-        JobService(store, settings.teams, clock, peerStates::relay, ::ready, ::tellCancelled, settings.stateLimits, { formats.isCurrent })
+        JobService(store, settings.teams, clock, membership::forward, ::ready, ::tellCancelled, settings.stateLimits, { formats.isCurrent })
 
     /** What users may ask of this node. */
     val users: UserService get() = jobService
 
-    private val jobWatch = JobWatch(store, jobService::noteRecord)
+    private val jobPrefetcher = JobRecordPrefetcher(store, jobService::noteRecord)
 
-    private class LeaderComponents(val leaderTerm: LeaderTerm, val writer: LedgerWriter, val fleet: Fleet)
+    private class LeaderComponents(val leaderTerm: LeaderTerm, val writer: JournalCommitter, val fleet: Fleet)
 
     private val leaderComponents = AtomicReference<LeaderComponents?>()
 
@@ -106,7 +106,7 @@
         val leaderTerm = leaderComponents.get()?.leaderTerm
         // Cut off from the workers alone, in either direction, this node would renew for ever while their leases run out.
         val why = leaderTerm?.heartbeats?.unfit() ?: leaderTerm?.let(::whyUninformed)
-        if (leaderTerm != null && why != null && peerStates.serving() > 0) leadership.resign(leaderTerm.grant, why)
+        if (leaderTerm != null && why != null && membership.serving() > 0) leadership.resign(leaderTerm.grant, why)
         syncLeaderComponents()
         weighUsers()
     }
@@ -143,7 +143,7 @@
      */
     private fun weighUsers() {
         val grant = leadership.grant()
-        val others = peerStates.serving()
+        val others = membership.serving()
         declinesUsers = when {
             grant == null || others < maxOf(MIN_OTHERS, settings.members.size) -> false
             else -> declinesUsers || (lagMs > BUSY_LAG_MS && clock.now() - grant.electedAt > SETTLING_MS)
@@ -167,10 +167,10 @@
         store.setRole(leader = true)
         val leaderTerm =
             LeaderTerm(
-                grant, store, workers, settings.teams, policy, timing, clock, { it in notices }, prerequisiteLists, jobService::noteRecord,
+                grant, store, workers, settings.teams, policy, timing, clock, { it in cancellations }, prerequisiteLists, jobService::noteRecord,
                 losses, invariants,
             )
-        val writer = LedgerWriter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { leadership.lost() }
+        val writer = JournalCommitter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { leadership.lost() }
         val fleet = Fleet(leaderTerm, cloud, clock, "${settings.node}-$run-${grant.token}", fleetPolicy, timing, settings.cloudRps)
         leaderComponents.set(LeaderComponents(leaderTerm, writer, fleet))
     }
@@ -212,7 +212,7 @@
     }
 
     /** Hears of the jobs that other nodes accept, while this node does not lead; false where there is nothing to wait for. */
-    fun watchJobs(waitMs: Long): Boolean = leaderComponents.get() == null && jobWatch.step(waitMs)
+    fun watchJobs(waitMs: Long): Boolean = leaderComponents.get() == null && jobPrefetcher.step(waitMs)
 
     /** Learns what became of jobs that others wait for; false where there was nothing to learn. */
     fun resolvePrerequisites(): Boolean {
@@ -256,20 +256,20 @@
 
     /** Before a user is told of a cancellation the leader is, if it can be reached, so that nothing of the job starts after it. */
     private fun tellCancelled(id: JobId) {
-        notices.committed(id)
+        cancellations.committed(id)
         val leaderTerm = leaderComponents.get()?.leaderTerm
         if (leaderTerm != null) return leaderTerm.jobs.cancellationsHeard(listOf(id))
         val leader = leadership.leader() ?: return
-        peerStates.greetIfHeard(leader)
+        membership.exchangeHeartbeatIfAlive(leader)
     }
 
     /** Greets the other nodes. */
-    fun greet() = peerStates.greetAll()
+    fun exchangePeerHeartbeats() = membership.exchangeHeartbeats()
 
-    override fun hello(from: PeerHello): PeerHello = peerStates.greeted(from)
+    override fun onPeerHeartbeat(from: PeerHeartbeat): PeerHeartbeat = membership.onHeartbeat(from)
 
-    private inner class OwnState : PeerStates.Own {
-        override fun hello() = PeerHello(
+    private inner class OwnState : PeerMembership.Own {
+        override fun ownHeartbeat() = PeerHeartbeat(
             settings.node.text,
             leadership.highestToken().number.toLong(),
             canServe(),
@@ -277,12 +277,12 @@
             formatVersion = FORMAT_VERSION,
         )
 
-        override fun onHello(hello: PeerHello) {
-            formats.heard(NodeId(hello.node), hello.formatVersion)
-            leadership.observeToken(FencingToken(hello.token.toULong()))
-            val cancelled = hello.cancelled.mapNotNull(JobId::parse)
+        override fun onPeerHeartbeat(peerHeartbeat: PeerHeartbeat) {
+            formats.heard(NodeId(peerHeartbeat.node), peerHeartbeat.formatVersion)
+            leadership.observeToken(FencingToken(peerHeartbeat.token.toULong()))
+            val cancelled = peerHeartbeat.cancelled.mapNotNull(JobId::parse)
             if (cancelled.isEmpty()) return
-            notices.heard(cancelled)
+            cancellations.heard(cancelled)
             leaderComponents.get()?.leaderTerm?.jobs?.cancellationsHeard(cancelled)
         }
     }
@@ -294,7 +294,7 @@
      * a node that called itself unready would only be passed over for longer once the trouble is past; and one that
      * has not asked the others yet cannot tell.
      */
-    private fun ready(): Boolean = if (canServe()) !declinesUsers else peerStates.hasGreeted && peerStates.serving() == 0
+    private fun ready(): Boolean = if (canServe()) !declinesUsers else membership.hasExchangedHeartbeats && membership.serving() == 0
 
     private companion object {
         const val CONFIRMED_MS = 2500L
--- a/src/main/kotlin/mountmast/coordination/controller/DelayReports.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/DelayReports.kt
@@ -1,18 +1,18 @@
 package mountmast.coordination.controller
 
 import mountmast.coordination.scheduling.Waiting
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Job
-import mountmast.coordination.state.Ledger
 import mountmast.protocol.MonotonicTime
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
-/** Tells operators which jobs stall or are late. Guarded as its [Ledger] is. */
-class DelayReports(private val ledger: Ledger) {
+/** Tells operators which jobs stall or are late. Guarded as its [ClusterState] is. */
+class DelayReports(private val cluster: ClusterState) {
     /** Tells operators once of each job whose deadline has passed. */
     fun tellLate(untilDueS: (Job) -> Double) {
-        for (job in ledger.jobs.values) {
+        for (job in cluster.jobs.values) {
             if (job.calledLate || job.cancelled || untilDueS(job) >= 0) continue
             job.calledLate = true
             if (job.isReleased) tellLate(job) else tellWaiting(job)
@@ -30,7 +30,7 @@
     /** Tells operators which jobs stall, for how long and what they wait for. */
     fun tellStalls(waiting: List<Waiting>, now: MonotonicTime) {
         for (waits in waiting) {
-            val job = ledger.jobs[waits.job] ?: continue
+            val job = cluster.jobs[waits.job] ?: continue
             val since = now - job.lastProgress
             val told = job.lastStallReport
             if (since < STALL_MS || (told != null && now - told < STALL_REPEAT_MS)) continue
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -5,15 +5,15 @@
 import mountmast.coordination.election.Timing
 import mountmast.coordination.persistence.JournalState
 import mountmast.coordination.persistence.PersistenceContext
-import mountmast.coordination.persistence.TermLoader
+import mountmast.coordination.persistence.StateLoader
 import mountmast.coordination.scheduling.Policy
 import mountmast.coordination.scheduling.Waiting
 import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.JobDependencies
-import mountmast.coordination.state.Ledger
-import mountmast.coordination.state.LiveJobs
-import mountmast.coordination.state.LiveJobsListener
+import mountmast.coordination.state.JobInformer
+import mountmast.coordination.state.JobInformerListener
 import mountmast.coordination.state.TaskLosses
 import mountmast.coordination.state.TermSignals
 import mountmast.coordination.workers.CommandDispatcher
@@ -56,28 +56,28 @@
     AutoscalingContext {
     /** Guards the ledger and all parts of the term. Held for moments; never during I/O. */
     override val lock = ReentrantLock()
-    override val ledger = Ledger(policy.runDecay, losses).apply { beginTerm(grant.token) }
+    override val cluster = ClusterState(policy.runDecay, losses).apply { beginTerm(grant.token) }
 
     /** Where the journal stands in the store. */
     override val journal = JournalState()
     override val signals = TermSignals(lock)
-    val reachability = ReachabilityMonitor(ledger, grant, timing)
+    val reachability = ReachabilityMonitor(cluster, grant, timing)
 
     /** Machine types that the store does not hold yet. */
     override var pendingTypes: MachineTypes? = null
 
-    private val dependencies = JobDependencies(ledger)
-    val heartbeats = HeartbeatHandler(lock, ledger, grant, reachability, signals, timing, clock, invariants)
-    override val jobs = LiveJobs(lock, ledger, dependencies, signals, store, prerequisiteLists, clock, grant.watermark, JobsListener())
+    private val dependencies = JobDependencies(cluster)
+    val heartbeats = HeartbeatHandler(lock, cluster, grant, reachability, signals, timing, clock, invariants)
+    override val jobs = JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, grant.watermark, JobsListener())
 
     /** Commands to the workers. */
-    val dispatch = CommandDispatcher(lock, ledger, grant, workers, timing, clock, { now ->
+    val dispatch = CommandDispatcher(lock, cluster, grant, workers, timing, clock, { now ->
         jobs.unknownForMs(now) < timing.ttlMs
     }, invariants) { heartbeat, now -> heartbeats.take(heartbeat, now, isHeartbeat = false) }
 
-    private val snapshots = SchedulingSnapshots(ledger, dependencies, teams, timing, clock)
-    private val passes = SchedulingPasses(ledger, snapshots, dispatch, signals, policy, clock)
-    private val loader = TermLoader(lock, ledger, journal, jobs, store, clock)
+    private val snapshots = SchedulingSnapshots(cluster, dependencies, teams, timing, clock)
+    private val passes = SchedulingPasses(cluster, snapshots, dispatch, signals, policy, clock)
+    private val loader = StateLoader(lock, cluster, journal, jobs, store, clock)
 
     init {
         heartbeats.dispatch = dispatch
@@ -101,9 +101,9 @@
             log.info(
                 "term {}: {} jobs, {} assignments on {} machines",
                 grant.token,
-                ledger.jobs.size,
-                ledger.machines.values.sumOf { it.live.size },
-                ledger.machines.size,
+                cluster.jobs.size,
+                cluster.machines.values.sumOf { it.live.size },
+                cluster.machines.size,
             )
         }
         return true
@@ -132,7 +132,7 @@
 
     override fun areMostUnreached(): Boolean = reachability.areMostUnreached()
 
-    private inner class JobsListener : LiveJobsListener {
+    private inner class JobsListener : JobInformerListener {
         override fun isCancelledElsewhere(id: JobId) = isCancelled(id)
 
         override fun onRecord(record: JobRecord, modRevision: ModRevision) = onJobRecord(record, modRevision)
--- a/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
@@ -39,11 +39,11 @@
 
     init {
         metrics.gauge(MetricNames.RENEWAL_AGE) { leadership.renewalAgeMs() ?: NOT_LEADING }
-        metrics.gauge(MetricNames.UNWRITTEN_CHANGES) { ofTerm { it.ledger.unwritten.size } }
+        metrics.gauge(MetricNames.PENDING_CHANGES) { ofTerm { it.cluster.pendingChanges.size } }
         metrics.gauge(MetricNames.LAST_WRITE_AGE) { ofTerm { term -> term.journal.writtenAt?.let { clock.now() - it } ?: NOT_LEADING } }
-        metrics.gauge(MetricNames.MACHINES_UP) { ofTerm { term -> term.ledger.machines.values.count { it.state == MachineState.UP } } }
-        metrics.gauge(MetricNames.ASSIGNMENTS) { ofTerm { term -> term.ledger.machines.values.sumOf { it.live.size } } }
-        metrics.gauge(MetricNames.JOBS) { ofTerm { it.ledger.jobs.size } }
+        metrics.gauge(MetricNames.MACHINES_UP) { ofTerm { term -> term.cluster.machines.values.count { it.state == MachineState.UP } } }
+        metrics.gauge(MetricNames.ASSIGNMENTS) { ofTerm { term -> term.cluster.machines.values.sumOf { it.live.size } } }
+        metrics.gauge(MetricNames.JOBS) { ofTerm { it.cluster.jobs.size } }
         metrics.gauge(MetricNames.HEAP_USED) { heapUsedMb() }
         // Asked for by the page alone: loading the beans costs a cold node processor time.
         metrics.gauge(MetricNames.COLLECTIONS) { ManagementFactory.getGarbageCollectorMXBeans().sumOf { it.collectionCount } }
@@ -86,7 +86,7 @@
         val failed = totals.storeFailures - told.storeFailures
         return "state service $rate calls/s up to ${storeCalls.takeLongestMs()} ms, $failed failed; " +
             "renewed ${metrics.gaugeValue(MetricNames.RENEWAL_AGE)} ms ago, " +
-            "${metrics.gaugeValue(MetricNames.UNWRITTEN_CHANGES)} changes unwritten, " +
+            "${metrics.gaugeValue(MetricNames.PENDING_CHANGES)} changes unwritten, " +
             "last write ${metrics.gaugeValue(MetricNames.LAST_WRITE_AGE)} ms ago"
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -84,8 +84,8 @@
             LOAD_REPORT_MS
         }
         loop("greeter") {
-            controller.greet()
-            GREET_MS
+            controller.exchangePeerHeartbeats()
+            PEER_HEARTBEAT_MS
         }
     }
 
@@ -150,7 +150,7 @@
         const val LEADERSHIP_MS = 700L
         const val LEADERSHIP_GAP_MS = 50L
         const val PULSE_MS = 100L
-        const val GREET_MS = 2000L
+        const val PEER_HEARTBEAT_MS = 2000L
         const val LOAD_REPORT_MS = 10_000L
         const val REFRESH_MS = 1000L
         const val PASS_GAP_MS = 200L
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingPasses.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingPasses.kt
@@ -7,13 +7,13 @@
 import mountmast.coordination.scheduling.Start
 import mountmast.coordination.scheduling.Waiting
 import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Job
-import mountmast.coordination.state.Ledger
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
+import mountmast.coordination.state.PendingChange
 import mountmast.coordination.state.Phase
 import mountmast.coordination.state.TermSignals
-import mountmast.coordination.state.Unwritten
 import mountmast.coordination.workers.CommandDispatcher
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
@@ -24,9 +24,9 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
-/** Brings what the [Scheduler] plans into the ledger, and stops what has to leave its machine. Guarded as its [Ledger] is. */
+/** Brings what the [Scheduler] plans into the ledger, and stops what has to leave its machine. Guarded as its [ClusterState] is. */
 class SchedulingPasses(
-    private val ledger: Ledger,
+    private val cluster: ClusterState,
     private val snapshots: SchedulingSnapshots,
     private val dispatch: CommandDispatcher,
     private val signals: TermSignals,
@@ -34,7 +34,7 @@
     private val clock: Clock,
 ) {
     private val scheduler = Scheduler(policy)
-    private val delays = DelayReports(ledger)
+    private val delays = DelayReports(cluster)
     private var assurance: Map<TeamId, Double> = emptyMap()
     private var tidiedAt = MonotonicTime(Long.MIN_VALUE / 2)
 
@@ -54,14 +54,14 @@
         for (start in plan.starts) place(start, plan, now)
         for (eviction in plan.evictions) evict(eviction, now)
         for (reservation in plan.reservations) reserve(reservation.machine, reservation.forJob, now)
-        if (ledger.unwritten.isNotEmpty()) signals.wakeWriter()
+        if (cluster.pendingChanges.isNotEmpty()) signals.wakeWriter()
     }
 
     private fun place(start: Start, plan: Plan, now: MonotonicTime) {
-        val job = ledger.jobs[start.job]?.takeIf { it.isReleased } ?: return
-        val machine = ledger.machines[start.machine] ?: return
+        val job = cluster.jobs[start.job]?.takeIf { it.isReleased } ?: return
+        val machine = cluster.machines[start.machine] ?: return
         if (log.isDebugEnabled) tellStart(start, job, machine, plan)
-        ledger.assign(job, start.index, machine, now)
+        cluster.assign(job, start.index, machine, now)
     }
 
     private fun tellStart(start: Start, job: Job, machine: Machine, plan: Plan) = log.debug(
@@ -78,7 +78,7 @@
     private fun tidy(readyAt: MonotonicTime, now: MonotonicTime) {
         tidiedAt = now
         emptyNoticed(now)
-        ledger.health.noticeSlow(now)
+        cluster.health.noticeSlow(now)
         emptyQuarantined()
         dispatch.announceToWorkers(readyAt, now)
         delays.tellStalls(waiting, now)
@@ -86,13 +86,13 @@
     }
 
     private fun reserve(id: MachineId, job: JobId, now: MonotonicTime) {
-        val machine = ledger.machines[id] ?: return
+        val machine = cluster.machines[id] ?: return
         machine.reservedFor = job
         machine.reservedUntil = now + RESERVATION_MS
     }
 
     private fun evict(eviction: Eviction, now: MonotonicTime) {
-        val machine = ledger.machines[eviction.machine] ?: return
+        val machine = cluster.machines[eviction.machine] ?: return
         reserve(machine.id, eviction.forJob, now)
         log.info("machine {} emptied for {}: {} tasks stopped", machine.id, eviction.forJob, eviction.victims.size)
         val victims = ArrayList<String>()
@@ -103,20 +103,20 @@
             victims += assignment.taskName
         }
         // The pass's evictions go out in one state write, together with its starts.
-        victims.chunked(VICTIMS_PER_ENTRY).forEach { ledger.unwritten += Unwritten.Reserved(machine.id, eviction.forJob, it) }
+        victims.chunked(VICTIMS_PER_ENTRY).forEach { cluster.pendingChanges += PendingChange.Reserved(machine.id, eviction.forJob, it) }
         dispatch.queue(machine.id)
     }
 
     /** Stops what would not complete before the cloud takes its machine, so that it saves and goes on elsewhere. */
     private fun emptyNoticed(now: MonotonicTime) {
-        for (machine in ledger.machines.values) {
+        for (machine in cluster.machines.values) {
             if (machine.noticed) stopOn(machine) { snapshots.remainingS(it, now) >= machine.noticeS }
         }
     }
 
     /** A sick or slow machine's tasks are better begun again elsewhere; it is returned once it is empty. */
     private fun emptyQuarantined() {
-        for (machine in ledger.machines.values) if (machine.quarantined) stopOn(machine) { true }
+        for (machine in cluster.machines.values) if (machine.quarantined) stopOn(machine) { true }
     }
 
     private inline fun stopOn(machine: Machine, which: (Assignment) -> Boolean) {
@@ -129,9 +129,9 @@
     }
 
     private fun releaseReservations(now: MonotonicTime) {
-        for (machine in ledger.machines.values) {
+        for (machine in cluster.machines.values) {
             val job = machine.reservedFor ?: continue
-            val state = ledger.jobs[job]
+            val state = cluster.jobs[job]
             if (state == null || state.cancelled || state.openCount == 0 || now > machine.reservedUntil) machine.reservedFor = null
         }
     }
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingSnapshots.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingSnapshots.kt
@@ -7,9 +7,9 @@
 import mountmast.coordination.scheduling.Resident
 import mountmast.coordination.scheduling.Snapshot
 import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Job
 import mountmast.coordination.state.JobDependencies
-import mountmast.coordination.state.Ledger
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.Phase
 import mountmast.protocol.Clock
@@ -24,10 +24,10 @@
 
 /**
  * Turns the ledger into what the scheduler decides on. A job that waits for others is left out: it is no demand yet.
- * Guarded as the [Ledger] is.
+ * Guarded as the [ClusterState] is.
  */
 class SchedulingSnapshots(
-    private val ledger: Ledger,
+    private val cluster: ClusterState,
     private val dependencies: JobDependencies,
     private val teams: Map<TeamId, TeamQuota>,
     private val timing: Timing,
@@ -49,18 +49,18 @@
     /** What a pass decides on; [assurance] holds the smoothed degrees of the pass before. */
     fun take(now: MonotonicTime, assurance: Map<TeamId, Double>): Snapshot {
         val machines = usableMachines(now)
-        val jobs = ArrayList<JobView>(ledger.jobs.size)
+        val jobs = ArrayList<JobView>(cluster.jobs.size)
         // What waits for other jobs is no demand yet, whatever it has been promised.
         dependencies.refreshClaims()
-        for (job in ledger.jobs.values) if (!job.cancelled && job.isReleased) jobs += view(job, now)
-        return Snapshot(machines, jobs, teams.keys.associateWith { ledger.use(it) }, teams, assurance, index)
+        for (job in cluster.jobs.values) if (!job.cancelled && job.isReleased) jobs += view(job, now)
+        return Snapshot(machines, jobs, teams.keys.associateWith { cluster.use(it) }, teams, assurance, index)
     }
 
     /** Looks at each machine once; only those that changed since the pass before are grouped anew. */
     private fun usableMachines(now: MonotonicTime): List<MachineView> {
         passes++
-        val machines = ArrayList<MachineView>(ledger.machines.size)
-        for (machine in ledger.machines.values) {
+        val machines = ArrayList<MachineView>(cluster.machines.size)
+        for (machine in cluster.machines.values) {
             // Whoever reaches no controller loses its tasks with its lease, although direct commands may still reach it.
             if (!machine.usable(now) || now - machine.lastHeartbeatAt > timing.quietMs) continue
             machines += currentView(machine) ?: continue
@@ -70,7 +70,7 @@
     }
 
     private fun currentView(machine: Machine): MachineView? {
-        val type = ledger.types[machine.type] ?: return null
+        val type = cluster.types[machine.type] ?: return null
         val zone = machine.zone ?: return null
         var kept = keptViews[machine.id]
         if (kept == null || !kept.isCurrent(machine, type)) {
@@ -105,7 +105,7 @@
 
     /** How long a task will still run, as far as its estimate tells, in seconds. */
     fun remainingS(assignment: Assignment, now: MonotonicTime): Double {
-        val estimate = ledger.runEstimateS(assignment.job)
+        val estimate = cluster.runEstimateS(assignment.job)
         val elapsed = assignment.runningSince?.let { (now - it) / 1000.0 } ?: 0.0
         return maxOf(estimate - elapsed, estimate * MIN_REMAINING)
     }
@@ -122,7 +122,7 @@
     }
 
     private fun view(job: Job, now: MonotonicTime): JobView {
-        val runS = ledger.runEstimateS(job)
+        val runS = cluster.runEstimateS(job)
         val perZone = if (!job.spec.oneZone && !job.spec.spread) {
             emptyMap()
         } else {
--- a/src/main/kotlin/mountmast/coordination/election/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/election/Leadership.kt
@@ -12,6 +12,7 @@
 import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
+import mountmast.storage.CancellationWatermarkRecord
 import mountmast.storage.Compare
 import mountmast.storage.Keys
 import mountmast.storage.LeaderRecord
@@ -22,7 +23,6 @@
 import mountmast.storage.Transaction
 import mountmast.storage.TransactionResult
 import mountmast.storage.WatchResult
-import mountmast.storage.WatermarkRecord
 import mountmast.storage.Write
 import mountmast.transport.MetricNames
 import mountmast.transport.Metrics
@@ -220,7 +220,7 @@
     }
 
     /** The low watermark of cancellations, or null where no leader has left one: then nothing ran so far. */
-    private fun readWatermark(): WallTime? = store.get(Keys.WATERMARK)?.let { WireJson.decodeFromJsonElement<WatermarkRecord>(it.value).at }
+    private fun readWatermark(): WallTime? = store.get(Keys.WATERMARK)?.let { WireJson.decodeFromJsonElement<CancellationWatermarkRecord>(it.value).at }
 
     private fun electionTransaction(record: LeaderRecord, storeLease: StoreLeaseId, leaderModRevision: ModRevision, tokenModRevision: ModRevision) = Transaction(
         listOf(Compare(Keys.LEADER, leaderModRevision), Compare(Keys.TERM, tokenModRevision)),
--- a/src/main/kotlin/mountmast/coordination/election/Timing.kt
+++ b/src/main/kotlin/mountmast/coordination/election/Timing.kt
@@ -26,7 +26,7 @@
     val quietMs: Long get() = (heartbeatIntervalMs * QUIET_HEARTBEATS).toLong() + RETRY_MS
 
     /** How long a cancellation that another node told of is kept in mind: until all tasks of the job are gone for certain. */
-    val noticesMs: Long get() = 2 * (informedMs + leaseExpiryMs)
+    val cancellationBroadcastMs: Long get() = 2 * (informedMs + leaseExpiryMs)
 
     /** For this long after its election a leader must suppose that the one before still answers workers. */
     val formerLeaderMs: Long get() = drifted(graceMs) + MARGIN_MS
--- a/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
@@ -7,9 +7,9 @@
 import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
 import mountmast.storage.Compare
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
-import mountmast.storage.OverRecord
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
 import mountmast.storage.StoreTimeoutException
@@ -24,7 +24,7 @@
 sealed interface JobState {
     /** Not over; [record] may say that it is cancelled. */
     class Live(val record: JobRecord) : JobState
-    class Over(val record: OverRecord) : JobState
+    class Finished(val record: FinishedJobRecord) : JobState
     data object Unknown : JobState
 }
 
@@ -167,8 +167,8 @@
         }
         seen.invalidate(id)
         // A job moves from one key to the other but never back, so this order cannot miss it.
-        val entry = store.get(Keys.over(id)) ?: return JobState.Unknown
-        return JobState.Over(WireJson.decodeFromJsonElement<OverRecord>(entry.value))
+        val entry = store.get(Keys.finished(id)) ?: return JobState.Unknown
+        return JobState.Finished(WireJson.decodeFromJsonElement<FinishedJobRecord>(entry.value))
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/jobs/JobWatch.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobRecordPrefetcher.kt
@@ -19,7 +19,7 @@
  * no reading before it is written, and questions about many jobs are answered by one comparison. No answer rests on what is
  * heard here but on what never changes in a record, so that missing some only costs a reading. Called by one thread.
  */
-class JobWatch(private val store: StateStore, private val onRecord: (JobRecord, ModRevision) -> Unit) {
+class JobRecordPrefetcher(private val store: StateStore, private val onRecord: (JobRecord, ModRevision) -> Unit) {
     private var from: Revision? = null
 
     /** Waits up to [waitMs] for changes and tells of them; false where the state service did not answer. */
--- a/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
@@ -7,6 +7,7 @@
 import kotlinx.serialization.json.decodeFromJsonElement
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.Clock
+import mountmast.protocol.ForwardedRequest
 import mountmast.protocol.JobAnswer
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
@@ -15,16 +16,15 @@
 import mountmast.protocol.MachineType
 import mountmast.protocol.Malformed
 import mountmast.protocol.ModRevision
-import mountmast.protocol.RelayRequest
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 import mountmast.protocol.WireJson
 import mountmast.storage.Compare
 import mountmast.storage.Entry
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
-import mountmast.storage.OverRecord
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
@@ -35,7 +35,7 @@
 import mountmast.storage.Write
 import mountmast.transport.UserAnswer
 import mountmast.transport.UserService
-import mountmast.transport.refusal
+import mountmast.transport.errorBody
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("mountmast.jobs")
@@ -49,7 +49,7 @@
     private val teams: Map<TeamId, TeamQuota>,
     private val clock: Clock,
     /** Passes a request to a node that reaches the store, if this one does not. */
-    private val relay: (RelayRequest) -> UserAnswer?,
+    private val forward: (ForwardedRequest) -> UserAnswer?,
     private val isReady: () -> Boolean,
     /** A cancellation is in the store; its user is told after this. */
     private val onCancelled: (JobId) -> Unit,
@@ -63,12 +63,12 @@
     val knowsTypes: Boolean get() = types.isNotEmpty()
 
     /** Final states never change, so they may be answered from memory. */
-    private val over: Cache<JobId, OverRecord> = CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build()
+    private val finished: Cache<JobId, FinishedJobRecord> = CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build()
 
     private val progress = ProgressCache(store, clock)
     private val reader = JobReader(store, limits.transactionCompares)
     private val lists = PrerequisiteLists(store, limits)
-    private val prerequisites = PrerequisiteEvaluator(store, reader, lists, over, limits.transactionCompares)
+    private val prerequisites = PrerequisiteEvaluator(store, reader, lists, finished, limits.transactionCompares)
 
     /** Reads the machine types that the leader has stored. */
     fun refreshTypes() {
@@ -80,28 +80,28 @@
 
     override fun ready() = isReady()
 
-    override fun submit(body: String, relayed: Boolean): UserAnswer {
+    override fun submit(body: String, isForwarded: Boolean): UserAnswer {
         val json: JsonObject
         val id: JobId
         try {
             json = JobValidation.parseObject(body)
             id = JobValidation.idOf(json)
         } catch (e: Malformed) {
-            return UserAnswer(400, refusal(e.message ?: "malformed"))
+            return UserAnswer(400, errorBody(e.message ?: "malformed"))
         }
-        over.getIfPresent(id)?.let { return known(id, it) }
-        return served(relayed, RelayRequest("POST", "/v1/jobs", body)) { submitKnownForm(id, json) }
+        finished.getIfPresent(id)?.let { return known(id, it) }
+        return served(isForwarded, ForwardedRequest("POST", "/v1/jobs", body)) { submitKnownForm(id, json) }
     }
 
     private fun submitKnownForm(id: JobId, json: JsonObject): UserAnswer {
         val spec = try {
             JobValidation.parse(json)
         } catch (e: Malformed) {
-            return lookUp(id) ?: UserAnswer(400, refusal(e.message ?: "malformed"))
+            return lookUp(id) ?: UserAnswer(400, errorBody(e.message ?: "malformed"))
         }
         val types = types
         if (types.isEmpty()) return lookUp(id) ?: later("machine types are not known yet")
-        JobValidation.neverRuns(spec, teams, types)?.let { why -> return lookUp(id) ?: UserAnswer(422, refusal(why)) }
+        JobValidation.neverRuns(spec, teams, types)?.let { why -> return lookUp(id) ?: UserAnswer(422, errorBody(why)) }
         if (spec.prerequisites.isNotEmpty()) refusePrerequisites(spec)?.let { refused -> return lookUp(id) ?: refused }
         return accept(JobRecord(spec, clock.wall()))
     }
@@ -110,18 +110,18 @@
     private fun refusePrerequisites(spec: JobSpec): UserAnswer? {
         if (!acceptsPrerequisites()) return later("a node of an earlier version may still be running")
         return when (val fault = prerequisites.faultIn(spec.prerequisites)) {
-            is PrerequisiteFault.NeverAccepted -> UserAnswer(422, refusal("waitsOn: ${fault.id} was never accepted"))
-            is PrerequisiteFault.IsService -> UserAnswer(422, refusal("waitsOn: ${fault.id} is a service"))
+            is PrerequisiteFault.NeverAccepted -> UserAnswer(422, errorBody("waitsOn: ${fault.id} was never accepted"))
+            is PrerequisiteFault.IsService -> UserAnswer(422, errorBody("waitsOn: ${fault.id} is a service"))
             null -> null
         }
     }
 
     private fun accept(record: JobRecord): UserAnswer {
         val id = record.spec.id
-        if (!lists.fitsWithoutPrerequisites(record)) return lookUp(id) ?: UserAnswer(400, refusal("names are too long"))
+        if (!lists.fitsWithoutPrerequisites(record)) return lookUp(id) ?: UserAnswer(400, errorBody("names are too long"))
         val stored = lists.store(record)
         val transaction = Transaction(
-            listOf(Compare(Keys.job(id), ModRevision.ABSENT), Compare(Keys.over(id), ModRevision.ABSENT)),
+            listOf(Compare(Keys.job(id), ModRevision.ABSENT), Compare(Keys.finished(id), ModRevision.ABSENT)),
             listOf(Write.Put(Keys.job(id), WireJson.encodeToJsonElement(stored))),
         )
         return when (val outcome = store.commit(transaction)) {
@@ -134,16 +134,16 @@
         }
     }
 
-    override fun status(id: String, relayed: Boolean): UserAnswer {
+    override fun status(id: String, isForwarded: Boolean): UserAnswer {
         val job = JobId.parse(id) ?: return unknown()
-        over.getIfPresent(job)?.let { return known(job, it) }
-        return served(relayed, RelayRequest("GET", "/v1/jobs/$id", "")) { describe(job, reader.read(job)) ?: unknown() }
+        finished.getIfPresent(job)?.let { return known(job, it) }
+        return served(isForwarded, ForwardedRequest("GET", "/v1/jobs/$id", "")) { describe(job, reader.read(job)) ?: unknown() }
     }
 
-    override fun cancel(id: String, relayed: Boolean): UserAnswer {
+    override fun cancel(id: String, isForwarded: Boolean): UserAnswer {
         val job = JobId.parse(id) ?: return unknown()
-        over.getIfPresent(job)?.let { return known(job, it) }
-        return served(relayed, RelayRequest("POST", "/v1/jobs/$id/cancel", "")) { cancelKnownForm(job) }
+        finished.getIfPresent(job)?.let { return known(job, it) }
+        return served(isForwarded, ForwardedRequest("POST", "/v1/jobs/$id/cancel", "")) { cancelKnownForm(job) }
     }
 
     private fun cancelKnownForm(id: JobId): UserAnswer {
@@ -172,8 +172,8 @@
 
     private fun describe(id: JobId, state: JobState): UserAnswer? = when (state) {
         is JobState.Live -> describe(state.record)
-        is JobState.Over -> {
-            over.put(id, state.record)
+        is JobState.Finished -> {
+            finished.put(id, state.record)
             known(id, state.record)
         }
         JobState.Unknown -> null
@@ -200,23 +200,23 @@
         return UserAnswer(200, encode(JobAnswer(id, status, progress.done, progress.running)))
     }
 
-    private fun remember(id: JobId, record: JobRecord): OverRecord =
-        OverRecord(JobStatus.CANCELLED, record.spec.tasks).also { over.put(id, it) }
+    private fun remember(id: JobId, record: JobRecord): FinishedJobRecord =
+        FinishedJobRecord(JobStatus.CANCELLED, record.spec.tasks).also { finished.put(id, it) }
 
-    private fun known(id: JobId, record: OverRecord): UserAnswer {
+    private fun known(id: JobId, record: FinishedJobRecord): UserAnswer {
         val done = if (record.status == JobStatus.DONE) record.tasks else null
         return UserAnswer(200, encode(JobAnswer(id, record.status, done, running = done?.let { 0 })))
     }
 
     /** Serves from the store, or through another node; where neither can, the user is told at once to come back. */
-    private fun served(relayed: Boolean, request: RelayRequest, serve: () -> UserAnswer): UserAnswer = try {
+    private fun served(isForwarded: Boolean, request: ForwardedRequest, serve: () -> UserAnswer): UserAnswer = try {
         serve()
     } catch (e: StoreRequestRejectedException) {
         // Every other node would send the same, so it is not passed on.
         log.debug("{}: {}", request.path, e.message)
         later("the state service does not take the record")
     } catch (e: StoreException) {
-        (if (relayed) null else relay(request)) ?: later("the state service does not answer")
+        (if (isForwarded) null else forward(request)) ?: later("the state service does not answer")
     } catch (e: IllegalArgumentException) {
         // Not the user's fault, so it must not look like a malformed request.
         log.error("unreadable record for {}: {}", request.path, e.message)
@@ -225,8 +225,8 @@
 
     private fun record(entry: Entry) = WireJson.decodeFromJsonElement<JobRecord>(entry.value)
     private fun encode(answer: JobAnswer) = WireJson.encodeToString(answer)
-    private fun unknown() = UserAnswer(404, refusal("no such job"))
-    private fun later(why: String) = UserAnswer(503, refusal(why), RETRY_AFTER_S)
+    private fun unknown() = UserAnswer(404, errorBody("no such job"))
+    private fun later(why: String) = UserAnswer(503, errorBody(why), RETRY_AFTER_S)
 
     private companion object {
         const val TRIES = 3
--- a/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
@@ -9,9 +9,9 @@
 import mountmast.protocol.Shape
 import mountmast.protocol.WireJson
 import mountmast.storage.Compare
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
-import mountmast.storage.OverRecord
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
 import mountmast.storage.Transaction
@@ -51,7 +51,7 @@
     private val store: StateStore,
     private val reader: JobReader,
     private val lists: PrerequisiteLists,
-    private val finalStates: Cache<JobId, OverRecord>,
+    private val finalStates: Cache<JobId, FinishedJobRecord>,
     private val maxCompares: Int,
 ) {
     private val satisfied: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED).build()
@@ -82,7 +82,7 @@
             val next = ArrayList<JobId>()
             for ((id, state) in states) {
                 when (state) {
-                    is JobState.Over -> finalStates.put(id, state.record)
+                    is JobState.Finished -> finalStates.put(id, state.record)
                     is JobState.Live -> if (state.record.cancelled) return true else next += prerequisites(state.record)
                     JobState.Unknown -> log.error("prerequisite {} is not in the store", id)
                 }
@@ -137,7 +137,7 @@
 
     private fun readSingly(ids: Set<JobId>) {
         for ((id, state) in reader.readAll(ids)) {
-            if (state is JobState.Over) finalStates.put(id, state.record)
+            if (state is JobState.Finished) finalStates.put(id, state.record)
         }
     }
 
@@ -161,11 +161,11 @@
 
     /** A comparison with "does not exist" fails for those that do: one request tells of many. */
     private fun noteFinished(ids: List<JobId>) {
-        val compares = ids.map { Compare(Keys.over(it), ModRevision.ABSENT) }
+        val compares = ids.map { Compare(Keys.finished(it), ModRevision.ABSENT) }
         val outcome = store.commit(Transaction(compares, emptyList()))
         if (outcome !is TransactionResult.CompareFailed) return
         val failed = outcome.failed.toSet()
-        ids.filter { Keys.over(it) in failed }.forEach { accepted.put(it, Unit) }
+        ids.filter { Keys.finished(it) in failed }.forEach { accepted.put(it, Unit) }
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/membership/CancellationNotices.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/CancellationBroadcast.kt
@@ -12,7 +12,7 @@
  * A notice may be lost and a node may end, so no rule rests on them: they only stop tasks sooner than the
  * bound on answers of those who cannot know does (`Timing.informedMs`).
  */
-class CancellationNotices(private val members: List<NodeId>, private val clock: Clock, private val keepMs: Long) {
+class CancellationBroadcast(private val members: List<NodeId>, private val clock: Clock, private val keepMs: Long) {
     private val lock = Any()
     private val pending = members.associateWith { LinkedHashSet<JobId>() }
     private val known = LinkedHashMap<JobId, MonotonicTime>()
--- a/src/main/kotlin/mountmast/coordination/membership/FormatAgreement.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/FormatNegotiation.kt
@@ -29,7 +29,7 @@
  *
  * [step] belongs to one thread; [heard] and [isCurrent] to any.
  */
-class FormatAgreement(private val store: StateStore, private val members: List<NodeId>) {
+class FormatNegotiation(private val store: StateStore, private val members: List<NodeId>) {
     private val currentMembers = ConcurrentHashMap.newKeySet<NodeId>()
 
     /** Version of the stored record as it was last read, or null where it has to be read before anything is written. */
--- a/src/main/kotlin/mountmast/coordination/persistence/WatermarkWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CancellationWatermarkWriter.kt
@@ -5,14 +5,14 @@
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
+import mountmast.storage.CancellationWatermarkRecord
 import mountmast.storage.Keys
-import mountmast.storage.WatermarkRecord
 
 /**
  * Tells the next leader, and those who help it, from when on there may be cancellations that no worker was told of. Guarded by
  * the lock of [PersistenceContext].
  */
-class WatermarkWriter(private val context: PersistenceContext, private val clock: Clock) {
+class CancellationWatermarkWriter(private val context: PersistenceContext, private val clock: Clock) {
     private var notBefore = MonotonicTime(0)
     private var written: WallTime? = null
 
@@ -23,11 +23,11 @@
         val watermark = context.jobs.watermark()
         if (watermark == written) return
         written = watermark
-        batch.put(Keys.WATERMARK, WireJson.encodeToJsonElement(WatermarkRecord(watermark)))
+        batch.put(Keys.WATERMARK, WireJson.encodeToJsonElement(CancellationWatermarkRecord(watermark)))
     }
 
     /** What was added last may not have been written. */
-    fun putBack() {
+    fun requeue() {
         notBefore = MonotonicTime(0)
         written = null
     }
--- a/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
@@ -2,9 +2,9 @@
 
 import kotlinx.serialization.json.decodeFromJsonElement
 import mountmast.protocol.WireJson
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
-import mountmast.storage.OverRecord
 import mountmast.storage.SnapshotRecord
 import mountmast.storage.StateStore
 import org.slf4j.LoggerFactory
@@ -30,12 +30,12 @@
     private fun resolveJob(key: String) {
         val id = Keys.jobOfKey(key) ?: return
         val entry = store.get(key)
-        val over = if (entry == null) store.get(Keys.over(id)) else null
+        val finished = if (entry == null) store.get(Keys.finished(id)) else null
         context.lock.withLock {
-            val job = context.ledger.jobs[id] ?: return
+            val job = context.cluster.jobs[id] ?: return
             when {
                 entry != null -> context.jobs.takeIn(WireJson.decodeFromJsonElement<JobRecord>(entry.value), entry.modRevision)
-                over != null -> context.jobs.over(job, WireJson.decodeFromJsonElement<OverRecord>(over.value))
+                finished != null -> context.jobs.finished(job, WireJson.decodeFromJsonElement<FinishedJobRecord>(finished.value))
                 else -> log.error("job {} is in the store no more", id)
             }
         }
--- a/src/main/kotlin/mountmast/coordination/persistence/FailingJobsWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/FailingJobsWriter.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.encodeToJsonElement
-import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.ClusterState
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
 import mountmast.protocol.MonotonicTime
@@ -13,9 +13,9 @@
 
 /**
  * Notes which jobs fail wherever they run, as a hint: each new leader would start all of their tasks again, and stop
- * others for them. Guarded as the [Ledger] is.
+ * others for them. Guarded as the [ClusterState] is.
  */
-class FailingJobsWriter(private val ledger: Ledger, private val clock: Clock) {
+class FailingJobsWriter(private val cluster: ClusterState, private val clock: Clock) {
     private var notBefore = MonotonicTime(Long.MIN_VALUE / 2)
     private var written: Map<JobId, FailingJob> = emptyMap()
 
@@ -23,7 +23,7 @@
         val now = clock.now()
         if (batch.room <= 0 || now < notBefore) return
         notBefore = now + EVERY_MS
-        val failing = ledger.health.failing(most = limits.valueBytes / BYTES_PER_JOB)
+        val failing = cluster.health.failing(most = limits.valueBytes / BYTES_PER_JOB)
         if (failing == written) return
         val value = WireJson.encodeToJsonElement(FailingRecord(failing))
         if (jsonSize(value) > limits.valueBytes) return
@@ -32,7 +32,7 @@
     }
 
     /** What was added last may not have been written. */
-    fun putBack() {
+    fun requeue() {
         notBefore = MonotonicTime(Long.MIN_VALUE / 2)
         written = emptyMap()
     }
--- a/src/main/kotlin/mountmast/coordination/persistence/ImagesWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ImagesWriter.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.encodeToJsonElement
-import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.ClusterState
 import mountmast.protocol.Clock
 import mountmast.protocol.ImageId
 import mountmast.protocol.MachineId
@@ -16,7 +16,7 @@
  * Notes now and then which images machines hold, a share of the machines at a time: reports do not say, and a new leader
  * that does not know sends urgent work to machines that must fetch first.
  */
-class ImagesWriter(private val ledger: Ledger, private val clock: Clock) {
+class ImagesWriter(private val cluster: ClusterState, private val clock: Clock) {
     private var notBefore = MonotonicTime(Long.MIN_VALUE / 2)
     private var nextBucket = 0
     private val written = HashMap<Int, Map<MachineId, Map<ImageId, Double>>>()
@@ -44,7 +44,7 @@
     /** As many as the machines need, by powers of two, so that few machines ever change their bucket. */
     private fun buckets(valueBytes: Int): Int {
         var buckets = LEAST_BUCKETS
-        while (buckets.toLong() * valueBytes < ledger.machines.size.toLong() * USUAL_MACHINE_BYTES) buckets *= 2
+        while (buckets.toLong() * valueBytes < cluster.machines.size.toLong() * USUAL_MACHINE_BYTES) buckets *= 2
         return buckets
     }
 
@@ -52,7 +52,7 @@
     private fun held(bucket: Int, buckets: Int, mostBytes: Int): Map<MachineId, Map<ImageId, Double>> {
         val held = LinkedHashMap<MachineId, Map<ImageId, Double>>()
         var bytes = 0
-        for (machine in ledger.machines.values) {
+        for (machine in cluster.machines.values) {
             if (machine.id.hashCode().mod(buckets) != bucket || machine.images.isEmpty()) continue
             val images = machine.images.mapValuesTo(LinkedHashMap()) { (_, sizeGb) -> Math.rint(sizeGb * SIZE_STEPS) / SIZE_STEPS }
             // The braces around it stand for the comma before it.
--- a/src/main/kotlin/mountmast/coordination/persistence/LedgerWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalCommitter.kt
@@ -4,8 +4,8 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.Job
+import mountmast.coordination.state.PendingChange
 import mountmast.coordination.state.Phase
-import mountmast.coordination.state.Unwritten
 import mountmast.protocol.Clock
 import mountmast.protocol.JobStatus
 import mountmast.protocol.ModRevision
@@ -15,9 +15,9 @@
 import mountmast.protocol.WireJson
 import mountmast.storage.Compare
 import mountmast.storage.Entry
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JournalRecord
 import mountmast.storage.Keys
-import mountmast.storage.OverRecord
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
 import mountmast.storage.StoreRequestRejectedException
@@ -38,7 +38,7 @@
  * Every transaction depends on the leader's key, and on the slot that it writes: one that is applied late, by this
  * leader or a former one, changes nothing that was written since.
  */
-class LedgerWriter(
+class JournalCommitter(
     private val context: PersistenceContext,
     private val store: StateStore,
     stateLimits: StateLimits,
@@ -47,26 +47,26 @@
     private val compact: () -> Boolean = { false },
     private val onDeposed: () -> Unit,
 ) {
-    private val ledger get() = context.ledger
+    private val cluster get() = context.cluster
     private var limits = WriteLimits.of(stateLimits)
     private val largeJournal = JournalSize.of(limits.valueBytes)
     private val journal = JournalWriter(context, clock)
     private val snapshots = SnapshotWriter(context)
     private val types = TypesWriter(context)
-    private val progress = ProgressWriter(ledger, clock)
-    private val failing = FailingJobsWriter(ledger, clock)
-    private val images = ImagesWriter(ledger, clock)
-    private val watermark = WatermarkWriter(context, clock)
+    private val progress = ProgressWriter(cluster, clock)
+    private val failing = FailingJobsWriter(cluster, clock)
+    private val images = ImagesWriter(cluster, clock)
+    private val watermark = CancellationWatermarkWriter(context, clock)
     private val conflicts = ConflictResolver(context, store, snapshots)
     private var endsFirst = false
     private var rejectedOnce = false
     private var pausedUntil = MonotonicTime(Long.MIN_VALUE / 2)
 
     /** A batch that got no answer: asked again word for word until its fate is known. */
-    private var unsettled: WriteBatch? = null
+    private var inDoubtBatch: WriteBatch? = null
 
     /**
-     * Set where [unsettled] is refused by now as too large. An earlier try of it may still be carried out, so the journal's
+     * Set where [inDoubtBatch] is refused by now as too large. An earlier try of it may still be carried out, so the journal's
      * slot that it depends on is written first.
      */
     private var tombstone: SlottedRecord? = null
@@ -74,13 +74,13 @@
     /** Writes one transaction if there is anything to write; false where there was nothing, or it failed. */
     fun step(): Boolean {
         if (clock.now() < pausedUntil) return false
-        val batch = unsettled ?: collectBatch() ?: return false
+        val batch = inDoubtBatch ?: collectBatch() ?: return false
         val transaction = tombstone?.let(::tombstoneTransaction) ?: batch.transaction()
         val outcome = try {
             store.commit(transaction)
         } catch (e: StoreTimeoutException) {
             log.debug("commit of {} writes: {}", transaction.writes.size, e.message)
-            unsettled = batch
+            inDoubtBatch = batch
             return false
         } catch (e: StoreRequestRejectedException) {
             rejected(batch, e)
@@ -88,18 +88,18 @@
         } catch (e: StoreException) {
             log.debug("commit of {} writes: {}", transaction.writes.size, e.message)
             // What was refused was not executed; but an earlier try of the same may have been.
-            if (unsettled == null) context.lock.withLock { putBack(batch) }
+            if (inDoubtBatch == null) context.lock.withLock { requeue(batch) }
             return false
         }
         return when (outcome) {
-            is TransactionResult.Committed -> settled(batch, ModRevision(outcome.revision.number))
+            is TransactionResult.Committed -> onCommitted(batch, ModRevision(outcome.revision.number))
             is TransactionResult.CompareFailed -> resolve(outcome.failed, batch)
         }
     }
 
-    private fun settled(batch: WriteBatch, modRevision: ModRevision): Boolean {
+    private fun onCommitted(batch: WriteBatch, modRevision: ModRevision): Boolean {
         val wasTombstone = tombstone != null
-        unsettled = null
+        inDoubtBatch = null
         tombstone = null
         context.lock.withLock {
             context.journal.writtenAt = clock.now()
@@ -128,10 +128,10 @@
         val batch = WriteBatch(context.leaderModRevision, mostOps)
         val isCompact = compact()
         val size = if (isCompact) largeJournal else JournalSize.LEAST
-        val ready = ledger.finishing.filter { it.nothingLives() }
+        val ready = cluster.finishing.filter { it.nothingLives() }
         endsFirst = !endsFirst
         addJournal(batch, size, ready.size, isCompact, isScarce)
-        for (job in ready) if (batch.room >= OPS_PER_END) addOver(batch, job)
+        for (job in ready) if (batch.room >= OPS_PER_END) addFinishedJob(batch, job)
         watermark.addTo(batch)
         types.addTo(batch, limits, inParts = isCompact || rejectedOnce)
         snapshots.addTo(batch, limits, size, isCompact, isScarce)
@@ -144,9 +144,9 @@
     }
 
     /** The journal leaves half of the transaction to jobs that are over, and one change to what else is due. */
-    private fun addJournal(batch: WriteBatch, size: JournalSize, jobsOver: Int, isCompact: Boolean, isScarce: Boolean) {
+    private fun addJournal(batch: WriteBatch, size: JournalSize, finishedJobs: Int, isCompact: Boolean, isScarce: Boolean) {
         val half = maxOf(OPS_PER_END, batch.room / 2)
-        val forEnds = minOf(jobsOver * OPS_PER_END, half)
+        val forEnds = minOf(finishedJobs * OPS_PER_END, half)
         // Where both do not fit they take turns.
         val left = if (batch.room > forEnds) {
             batch.room - forEnds
@@ -159,25 +159,25 @@
         journal.addTo(batch, limits, size, left - forOthers, isCompact, isScarce)
     }
 
-    private fun addOver(batch: WriteBatch, job: Job) {
+    private fun addFinishedJob(batch: WriteBatch, job: Job) {
         val record = finalRecord(job)
         batch.requires(Keys.job(job.id), job.modRevision)
-        batch.put(Keys.over(job.id), WireJson.encodeToJsonElement(record))
+        batch.put(Keys.finished(job.id), WireJson.encodeToJsonElement(record))
         batch.delete(Keys.job(job.id))
-        batch.over += JobEnd(job, record)
+        batch.finished += JobEnd(job, record)
     }
 
-    private fun finalRecord(job: Job): OverRecord {
+    private fun finalRecord(job: Job): FinishedJobRecord {
         val status = if (job.cancelRecorded) JobStatus.CANCELLED else JobStatus.DONE
-        return OverRecord(status, job.spec.tasks, clock.wall(), job.spec.shape == Shape.SERVICE)
+        return FinishedJobRecord(status, job.spec.tasks, clock.wall(), job.spec.shape == Shape.SERVICE)
     }
 
-    private fun putBack(batch: WriteBatch) {
-        journal.putBack(batch.written)
+    private fun requeue(batch: WriteBatch) {
+        journal.requeue(batch.written)
         // What users are told went with it.
         progress.forget()
-        failing.putBack()
-        watermark.putBack()
+        failing.requeue()
+        watermark.requeue()
     }
 
     private fun committed(batch: WriteBatch, modRevision: ModRevision) {
@@ -185,19 +185,19 @@
         var freed = false
         for (change in batch.written) {
             when (change) {
-                is Unwritten.Started -> started(change.assignment)
-                is Unwritten.Ended -> {
-                    ledger.release(change.assignment, clock.now())
+                is PendingChange.Started -> started(change.assignment)
+                is PendingChange.Ended -> {
+                    cluster.release(change.assignment, clock.now())
                     freed = true
                 }
-                is Unwritten.Reserved -> {}
+                is PendingChange.Reserved -> {}
             }
         }
         if (freed) context.signals.wakePlacement()
         snapshots.committed(batch, modRevision)
-        for (end in batch.over) {
+        for (end in batch.finished) {
             log.debug("job {} is over", end.job.id)
-            context.jobs.over(end.job, end.record)
+            context.jobs.finished(end.job, end.record)
         }
         types.committed(batch)
     }
@@ -216,10 +216,10 @@
         rejectedOnce = true
         if (limits.isLeast) pausedUntil = clock.now() + REJECTED_PAUSE_MS
         limits = limits.halved()
-        if (unsettled == null || batch.records.isEmpty()) {
-            unsettled = null
+        if (inDoubtBatch == null || batch.records.isEmpty()) {
+            inDoubtBatch = null
             tombstone = null
-            context.lock.withLock { putBack(batch) }
+            context.lock.withLock { requeue(batch) }
         } else {
             val first = batch.records.first()
             tombstone = SlottedRecord(first.slot, JournalRecord(first.number, ""))
@@ -237,7 +237,7 @@
     /** An empty record is in the first slot of [batch], which can be carried out no more. */
     private fun onTombstoneWritten(batch: WriteBatch, modRevision: ModRevision) {
         journal.committed(listOf(batch.records.first()), modRevision)
-        putBack(batch)
+        requeue(batch)
     }
 
     /** Learns what the store has instead of what was expected; true where the batch turns out to be in it. */
@@ -247,10 +247,10 @@
             return false
         }
         try {
-            if (batch.records.isNotEmpty() && unsettled != null && wasCarriedOut(batch)) return true
-            unsettled = null
+            if (batch.records.isNotEmpty() && inDoubtBatch != null && wasCarriedOut(batch)) return true
+            inDoubtBatch = null
             tombstone = null
-            context.lock.withLock { putBack(batch) }
+            context.lock.withLock { requeue(batch) }
             failed.forEach(conflicts::resolve)
         } catch (e: StoreException) {
             log.debug("reading again: {}", e.message)
@@ -266,7 +266,7 @@
         val entry = store.get(first.key) ?: return false
         if (WireJson.decodeFromJsonElement<JournalRecord>(entry.value).number != first.number) return false
         if (!isTombstone(entry)) tombstone = null
-        return settled(batch, entry.modRevision)
+        return onCommitted(batch, entry.modRevision)
     }
 
     private fun isTombstone(entry: Entry) = tombstone?.let { WireJson.encodeToJsonElement(it.record) == entry.value } == true
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.persistence
 
 import mountmast.coordination.state.Assignment
-import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
@@ -20,29 +20,29 @@
 
 private val log = LoggerFactory.getLogger("mountmast.ledger")
 
-/** Rebuilds [ledger] from what earlier leaders wrote, as of [now]. Guarded as the ledger is. */
-class JournalReplay(private val ledger: Ledger, private val now: MonotonicTime) : JournalReader {
+/** Rebuilds [cluster] from what earlier leaders wrote, as of [now]. Guarded as the ledger is. */
+class JournalReplay(private val cluster: ClusterState, private val now: MonotonicTime) : JournalReader {
     override fun done(job: JobId, ranges: String) {
-        val known = ledger.jobs[job] ?: return
+        val known = cluster.jobs[job] ?: return
         val set = BitSet()
         if (!Ranges.decodeInto(ranges, set, known.spec.tasks)) log.error("unreadable ranges of {}: {}", job, ranges)
         set.stream().forEach(known::setDone)
-        if (known.isComplete) ledger.finishing += known
+        if (known.isComplete) cluster.finishing += known
     }
 
     override fun evictedBefore(task: TaskId, times: Int) {
-        ledger.jobs[task.job]?.evictions?.put(task.index, times)
+        cluster.jobs[task.job]?.evictions?.put(task.index, times)
     }
 
     override fun started(task: TaskId, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone) {
         // A job that is over by now has no record any more, and nothing of it runs.
-        val job = ledger.jobs[task.job] ?: return
+        val job = cluster.jobs[task.job] ?: return
         if (task.index >= job.spec.tasks || job.done.get(task.index)) return
         job.live.get(task.index)?.let { older ->
             log.error("{} is listed twice, on {} and {}", task, older.machine, machine)
-            ledger.release(older, now)
+            cluster.release(older, now)
         }
-        val known = ledger.machines.getOrPut(machine) {
+        val known = cluster.machines.getOrPut(machine) {
             Machine(machine, null, null, false, MachineState.SILENT).apply {
                 answeredAt = now
                 heardAt = now
@@ -51,22 +51,22 @@
         val assignment = Assignment(job, task.index, machine, incarnation, attempt, zone, Phase.COMMITTED, now)
         assignment.written = true
         if (job.cancelled) assignment.stopGraceS = 0.0
-        ledger.place(assignment, known)
+        cluster.place(assignment, known)
     }
 
     override fun ended(task: TaskId, end: TaskEnd) {
-        val job = ledger.jobs[task.job] ?: return
+        val job = cluster.jobs[task.job] ?: return
         if (end == TaskEnd.DONE && task.index < job.spec.tasks) {
             job.setDone(task.index)
-            if (job.isComplete) ledger.finishing += job
+            if (job.isComplete) cluster.finishing += job
         }
         if (end == TaskEnd.EVICTED) job.evictions.addTo(task.index, 1)
-        job.live.get(task.index)?.let { ledger.release(it, now) }
+        job.live.get(task.index)?.let { cluster.release(it, now) }
     }
 
     override fun reserved(machine: MachineId, job: JobId, victims: List<TaskId>) {
         for (victim in victims) {
-            val assignment = ledger.jobs[victim.job]?.live?.get(victim.index) ?: continue
+            val assignment = cluster.jobs[victim.job]?.live?.get(victim.index) ?: continue
             assignment.stopGraceS = assignment.stopGraceS ?: assignment.job.spec.saveS
             assignment.evicted = true
         }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -2,8 +2,8 @@
 
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.PendingChange
 import mountmast.coordination.state.Phase
-import mountmast.coordination.state.Unwritten
 import mountmast.protocol.Clock
 import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
@@ -15,17 +15,17 @@
 
 /** Brings the ledger's changes into the journal, as many into each record as a value takes. */
 class JournalWriter(private val context: PersistenceContext, private val clock: Clock) {
-    private val ledger get() = context.ledger
+    private val cluster get() = context.cluster
     private val journal get() = context.journal
     private var wroteAt = MonotonicTime(Long.MIN_VALUE / 2)
 
     /** Adds changes in the order in which they happened, in at most [mostRecords] records. */
     fun addTo(batch: WriteBatch, limits: WriteLimits, size: JournalSize, mostRecords: Int, compact: Boolean, isScarce: Boolean) {
         val now = clock.now()
-        if (isScarce && now - wroteAt < SHORT_EVERY_MS && ledger.unwritten.size < MANY_CHANGES) return
+        if (isScarce && now - wroteAt < SHORT_EVERY_MS && cluster.pendingChanges.size < MANY_CHANGES) return
         val most = freeSlots(size, minOf(mostRecords, batch.room))
         if (most <= 0) return
-        val described = ArrayList<Unwritten>()
+        val described = ArrayList<PendingChange>()
         val text = describeSome(described, most * limits.valueBytes * if (compact) USUAL_RATIO else 1)
         var from = 0
         while (from < text.length && batch.records.size < most && batch.room > 0) {
@@ -35,7 +35,7 @@
             repeat(piece.entries) { batch.written += described[batch.written.size] }
             from = piece.end
         }
-        putBack(described.drop(batch.written.size))
+        requeue(described.drop(batch.written.size))
         if (batch.records.isNotEmpty()) wroteAt = now
     }
 
@@ -48,10 +48,10 @@
     }
 
     /** What the first changes that wait say, up to about [length] characters; they are added to [described], one for each entry. */
-    private fun describeSome(described: ArrayList<Unwritten>, length: Int): String {
+    private fun describeSome(described: ArrayList<PendingChange>, length: Int): String {
         val text = JournalText()
         while (text.length < length) {
-            val change = ledger.unwritten.removeFirstOrNull() ?: break
+            val change = cluster.pendingChanges.removeFirstOrNull() ?: break
             if (describe(change, text)) described += change
         }
         return text.take()
@@ -64,20 +64,20 @@
     }
 
     /** Writes [change] into [text]; false where it came to nothing before it was written. */
-    private fun describe(change: Unwritten, text: JournalText): Boolean {
+    private fun describe(change: PendingChange, text: JournalText): Boolean {
         when (change) {
-            is Unwritten.Started -> {
+            is PendingChange.Started -> {
                 val assignment = change.assignment
                 // Ended or cancelled before anybody could be told: it was never sent, nor will be.
                 if (assignment.phase != Phase.INTENDED || assignment.job.cancelled) {
-                    ledger.release(assignment, clock.now())
+                    cluster.release(assignment, clock.now())
                     return false
                 }
                 assignment.beingWritten = true
                 text.started(assignment.taskName, assignment.machine, assignment.incarnation, assignment.attempt, assignment.zone)
             }
-            is Unwritten.Ended -> text.ended(change.assignment.taskName, endOf(change.assignment))
-            is Unwritten.Reserved -> text.reserved(change.machine, change.job, change.victims)
+            is PendingChange.Ended -> text.ended(change.assignment.taskName, endOf(change.assignment))
+            is PendingChange.Reserved -> text.reserved(change.machine, change.job, change.victims)
         }
         return true
     }
@@ -89,11 +89,11 @@
     }
 
     /** Has [changes] written again, before all that came after them. */
-    fun putBack(changes: List<Unwritten>) {
+    fun requeue(changes: List<PendingChange>) {
         for (change in changes.asReversed()) {
-            if (change is Unwritten.Started) change.assignment.beingWritten = false
+            if (change is PendingChange.Started) change.assignment.beingWritten = false
             // An end that was noticed meanwhile stands in the queue behind it; such a start comes to nothing there.
-            ledger.unwritten.addFirst(change)
+            cluster.pendingChanges.addFirst(change)
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/PersistenceContext.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/PersistenceContext.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.persistence
 
-import mountmast.coordination.state.Ledger
-import mountmast.coordination.state.LiveJobs
+import mountmast.coordination.state.ClusterState
+import mountmast.coordination.state.JobInformer
 import mountmast.coordination.state.TermSignals
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineTypes
@@ -15,9 +15,9 @@
 
     /** Version of the leader's key, on which every write of the term depends. */
     val leaderModRevision: ModRevision
-    val ledger: Ledger
+    val cluster: ClusterState
     val journal: JournalState
-    val jobs: LiveJobs
+    val jobs: JobInformer
     val signals: TermSignals
 
     /** Machine types that the store does not hold yet. */
--- a/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.encodeToJsonElement
-import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.ClusterState
 import mountmast.protocol.Clock
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WireJson
@@ -10,7 +10,7 @@
 import mountmast.storage.TextCodec
 
 /** Tells the nodes that users ask how far the running jobs have come: about once a second, less often while changes are short. */
-class ProgressWriter(private val ledger: Ledger, private val clock: Clock) {
+class ProgressWriter(private val cluster: ClusterState, private val clock: Clock) {
     private val written = ArrayList<ProgressRecord?>()
     private var doneAt = MonotonicTime(Long.MIN_VALUE / 2)
 
@@ -57,7 +57,7 @@
     }
 
     private fun describe(): String = buildString {
-        for (job in ledger.jobs.values) {
+        for (job in cluster.jobs.values) {
             if (job.live.isEmpty() && job.doneCount == 0) continue
             append(job.id.text).append(' ').append(job.doneCount).append(' ').append(job.live.size).append(TextCodec.ENTRY_END)
         }
--- a/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
@@ -67,7 +67,7 @@
         // A leader before may have used another size, so that the next slot is taken although few are.
         val isDue = journal.used >= size.beginSnapshotAfter || !journal.isFree(size.slotOf(journal.next))
         if (!isDue) return null
-        return Draft(context.ledger.describe(), journal.generation + 1, journal.next - 1, journal.used).also { draft = it }
+        return Draft(context.cluster.describe(), journal.generation + 1, journal.next - 1, journal.used).also { draft = it }
     }
 
     /** How far the text should be written by now, for it to be whole before the slots run out. */
--- a/src/main/kotlin/mountmast/coordination/persistence/TermLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
@@ -1,8 +1,8 @@
 package mountmast.coordination.persistence
 
-import mountmast.coordination.state.Ledger
-import mountmast.coordination.state.LiveJobs
-import mountmast.coordination.state.StoredRecords
+import mountmast.coordination.state.ClusterState
+import mountmast.coordination.state.JobInformer
+import mountmast.coordination.state.RecordDecoder
 import mountmast.protocol.Clock
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.ModRevision
@@ -29,11 +29,11 @@
  * Rebuilds a leader's state from what the leaders before it wrote. Only a leader changes what is read here, and the one before
  * can no more. Called by one thread; takes [lock], but not during a call.
  */
-class TermLoader(
+class StateLoader(
     private val lock: ReentrantLock,
-    private val ledger: Ledger,
+    private val cluster: ClusterState,
     private val journal: JournalState,
-    private val jobs: LiveJobs,
+    private val jobs: JobInformer,
     private val store: StateStore,
     private val clock: Clock,
 ) {
@@ -46,13 +46,13 @@
         val types = readTypes()
         val (liveJobs, revision) = store.listAll(Keys.JOBS)
         val pointer = store.get(Keys.SNAPSHOT)
-        val snapshot = pointer?.let { StoredRecords.decode<SnapshotRecord>(it.key, it.value) }
+        val snapshot = pointer?.let { RecordDecoder.decode<SnapshotRecord>(it.key, it.value) }
         val parts = if (snapshot == null) emptyList() else store.listAll(Keys.snapshotParts(snapshot.generation)).first
         val (slots, _) = store.listAll(Keys.JOURNAL)
         val failing = store.get(Keys.FAILING)
         val read = clock.now()
         lock.withLock {
-            types?.let(ledger::replaceTypes)
+            types?.let(cluster::replaceTypes)
             jobs.takeInAll(liveJobs, revision, asked, askedWall)
             journal.snapshotModRevision = pointer?.modRevision ?: ModRevision.ABSENT
             replay(snapshot, parts, slots, clock.now())
@@ -75,7 +75,7 @@
         if (areImagesRead) return false
         val (images, _) = store.listAll(Keys.IMAGES)
         areImagesRead = true
-        lock.withLock { for (entry in images) StoredRecords.decode<ImagesRecord>(entry.key, entry.value)?.let(::recallImages) }
+        lock.withLock { for (entry in images) RecordDecoder.decode<ImagesRecord>(entry.key, entry.value)?.let(::recallImages) }
         return true
     }
 
@@ -87,24 +87,24 @@
     }
 
     private fun recallFailing(entry: Entry) {
-        StoredRecords.decode<FailingRecord>(entry.key, entry.value)?.let { ledger.health.recall(it.jobs, clock.now()) }
+        RecordDecoder.decode<FailingRecord>(entry.key, entry.value)?.let { cluster.health.recall(it.jobs, clock.now()) }
     }
 
     private fun recallImages(record: ImagesRecord) {
         for ((id, images) in record.images) {
-            val machine = ledger.machines[id]
-            if (machine?.type != null) machine.recallImages(images) else ledger.recalledImages[id] = images
+            val machine = cluster.machines[id]
+            if (machine?.type != null) machine.recallImages(images) else cluster.recalledImages[id] = images
         }
     }
 
     private fun replay(snapshot: SnapshotRecord?, parts: List<Entry>, slots: List<Entry>, now: MonotonicTime) {
-        val reader = JournalReplay(ledger, now)
+        val reader = JournalReplay(cluster, now)
         var unreadable = 0
         if (snapshot != null) {
             journal.generation = snapshot.generation
             journal.snapshotUpTo = snapshot.upTo
             for (entry in parts.take(snapshot.parts)) {
-                StoredRecords.decode<SnapshotPart>(entry.key, entry.value)?.let { unreadable += replayText(entry.key, reader, it::text) }
+                RecordDecoder.decode<SnapshotPart>(entry.key, entry.value)?.let { unreadable += replayText(entry.key, reader, it::text) }
             }
         }
         val records = slots.mapNotNull(::noteSlot).sortedBy { it.number }
@@ -118,7 +118,7 @@
     /** What a slot of the journal holds; what cannot be read is written over. */
     private fun noteSlot(entry: Entry): JournalRecord? {
         val slot = Keys.slotOfKey(entry.key) ?: return null
-        val record = StoredRecords.decode<JournalRecord>(entry.key, entry.value)
+        val record = RecordDecoder.decode<JournalRecord>(entry.key, entry.value)
         journal.note(slot, record?.number ?: 0, entry.modRevision)
         return record
     }
--- a/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
@@ -2,19 +2,19 @@
 
 import kotlinx.serialization.json.JsonElement
 import mountmast.coordination.state.Job
-import mountmast.coordination.state.Unwritten
+import mountmast.coordination.state.PendingChange
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.ModRevision
 import mountmast.storage.Compare
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.Keys
-import mountmast.storage.OverRecord
 import mountmast.storage.SnapshotRecord
 import mountmast.storage.Transaction
 import mountmast.storage.Write
 import mountmast.storage.jsonSize
 
 /** A job that a transaction moves to its final state. */
-class JobEnd(val job: Job, val record: OverRecord)
+class JobEnd(val job: Job, val record: FinishedJobRecord)
 
 /**
  * One transaction of the leader while it is put together, and what it means for the ledger once it is carried out.
@@ -27,11 +27,11 @@
     private var bytes = 0L
 
     /** Changes of the ledger that the journal's records in it tell of. */
-    val written = ArrayList<Unwritten>()
+    val written = ArrayList<PendingChange>()
     val records = ArrayList<SlottedRecord>()
 
     /** Jobs that are over with it. */
-    val over = ArrayList<JobEnd>()
+    val finished = ArrayList<JobEnd>()
 
     /** Machine types, and how many of the values that hold them it writes. */
     var types: MachineTypes? = null
--- a/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
@@ -45,7 +45,7 @@
             if (!fits(job, machine)) continue
             start(job, machine)
             placed++
-            if (fits(job, machine)) candidates.putBack(machine) else candidates.filled(machine)
+            if (fits(job, machine)) candidates.requeue(machine) else candidates.filled(machine)
         }
         return allowed - placed
     }
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
@@ -46,7 +46,7 @@
     }
 
     /** [machine], which was taken out, got a task and has room for another. */
-    fun putBack(machine: MachineView) {
+    fun requeue(machine: MachineView) {
         movedMachines += machine
         val group = checkNotNull(machine.group)
         runs += Run(score(group, image in machine.images), machine) { null }
--- a/src/main/kotlin/mountmast/coordination/state/Ledger.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -27,7 +27,7 @@
  * may be under way. Even then the task counts until the store no longer lists it, because the next leader would
  * start it again from there.
  */
-class Ledger(private val runDecay: Double, private val losses: TaskLosses = TaskLosses()) {
+class ClusterState(private val runDecay: Double, private val losses: TaskLosses = TaskLosses()) {
     val jobs = LinkedHashMap<JobId, Job>()
     val machines = LinkedHashMap<MachineId, Machine>()
 
@@ -46,7 +46,7 @@
     val health = Health(this)
 
     /** What is still to be written. */
-    val unwritten = ArrayDeque<Unwritten>()
+    val pendingChanges = ArrayDeque<PendingChange>()
 
     /** Jobs that are complete or cancelled; over once nothing of them lives. */
     val finishing = LinkedHashSet<Job>()
@@ -119,7 +119,7 @@
         machine.touchImage(job.spec.image, job.spec.imageGb, types[machine.type]?.cacheGb ?: 0.0)
         job.lastProgress = now
         job.lastStallReport = null
-        unwritten += Unwritten.Started(assignment)
+        pendingChanges += PendingChange.Started(assignment)
         return assignment
     }
 
@@ -146,7 +146,7 @@
             job.evictions.addTo(assignment.index, 1)
         }
         // What was only intended is released when its turn to be written comes.
-        if (assignment.written || assignment.beingWritten) unwritten += Unwritten.Ended(assignment)
+        if (assignment.written || assignment.beingWritten) pendingChanges += PendingChange.Ended(assignment)
     }
 
     /** Releases what an ended assignment held. Called when the store no longer lists it. */
@@ -169,7 +169,7 @@
     }
 
     /** Forgets a job that is over, with whatever it still had. */
-    fun dropJob(job: Job, now: MonotonicTime) {
+    fun removeJob(job: Job, now: MonotonicTime) {
         for (assignment in job.live.values.toList()) release(assignment, now)
         jobs.remove(job.id)
         finishing.remove(job)
@@ -178,8 +178,8 @@
     /** Ends every assignment on [machine] that belongs to a session before [incarnation], or all where it is null. */
     fun endIncarnation(machine: Machine, incarnation: WorkerIncarnation?, cause: LossCause) {
         for (assignment in machine.live.values) {
-            val isOver = incarnation == null || assignment.incarnation < incarnation
-            if (!isOver || assignment.phase >= Phase.ENDED) continue
+            val isEnded = incarnation == null || assignment.incarnation < incarnation
+            if (!isEnded || assignment.phase >= Phase.ENDED) continue
             losses.note(cause)
             end(assignment, completed = false)
         }
--- a/src/main/kotlin/mountmast/coordination/state/DependentClaims.kt
+++ b/src/main/kotlin/mountmast/coordination/state/DependentClaims.kt
@@ -10,7 +10,7 @@
  *
  * Kept as jobs come and go: a job that is added passes its claim on to what it waits for, as far as that tightens
  * anything. Where a dependent is taken away, what it alone claimed is worked out anew before the next pass, once
- * for each job however many of its dependents went. Guarded as the [Ledger] is.
+ * for each job however many of its dependents went. Guarded as the [ClusterState] is.
  */
 class DependentClaims(private val dependents: Map<JobId, Set<Job>>) {
     private val weakened = LinkedHashSet<Job>()
--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -8,8 +8,8 @@
 
 private val log = LoggerFactory.getLogger("mountmast.health")
 
-/** Tells sick and slow machines from jobs that fail or run long wherever they are. Guarded as its [Ledger] is. */
-class Health(private val ledger: Ledger) {
+/** Tells sick and slow machines from jobs that fail or run long wherever they are. Guarded as its [ClusterState] is. */
+class Health(private val cluster: ClusterState) {
     /** A task of [job] failed on [machine]. */
     fun failed(machine: Machine, job: Job, now: MonotonicTime) {
         // One failure may be chance; but a sick machine, always empty, would draw task after task.
@@ -41,7 +41,7 @@
      */
     fun failing(most: Int): Map<JobId, FailingJob> {
         val failing = LinkedHashMap<JobId, FailingJob>()
-        for (job in ledger.jobs.values) {
+        for (job in cluster.jobs.values) {
             if (failing.size >= most) break
             if (!job.poisoned || job.cancelled) continue
             failing[job.id] = FailingJob(job.failedOn.take(MACHINES_NOTED), minOf(job.failures, Job.POISON_MACHINES + MAX_DOUBLINGS))
@@ -52,7 +52,7 @@
     /** Goes on backing off what the leader before noted by [failing]. Called once the completed tasks are known. */
     fun recall(failing: Map<JobId, FailingJob>, now: MonotonicTime) {
         for ((id, noted) in failing) {
-            val job = ledger.jobs[id] ?: continue
+            val job = cluster.jobs[id] ?: continue
             job.failedOn += noted.machines
             job.failures = maxOf(job.failures, noted.failures)
             if (job.poisoned) backOff(job, now)
@@ -61,7 +61,7 @@
 
     /** What failed on a sick machine failed in bad company: its jobs are not held to fail everywhere. */
     private fun withdrawFailuresOn(machine: Machine) {
-        for (job in ledger.jobs.values) {
+        for (job in cluster.jobs.values) {
             if (!job.failedOn.remove(machine.id) || job.poisoned) continue
             job.failures = job.failedOn.size
             job.notBefore = MonotonicTime(Long.MIN_VALUE)
@@ -104,7 +104,7 @@
 
     /** Notices machines whose tasks run on and on while others of the same jobs have long completed elsewhere. */
     fun noticeSlow(now: MonotonicTime) {
-        for (machine in ledger.machines.values) {
+        for (machine in cluster.machines.values) {
             if (machine.state != MachineState.UP) continue
             for (assignment in machine.live.values) {
                 val since = assignment.runningSince ?: continue
--- a/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
@@ -4,22 +4,22 @@
 import mountmast.protocol.JobStatus
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WallTime
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JobRecord
-import mountmast.storage.OverRecord
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("mountmast.dependencies")
 
 /**
  * Which live jobs wait for which, on the leader: releases a job once the `done` of every prerequisite is committed, and
- * cancels it with any of them. Guarded as its [Ledger] is; does no I/O.
+ * cancels it with any of them. Guarded as its [ClusterState] is; does no I/O.
  *
  * A prerequisite that is not among the live jobs counts as open until its final state has been read from the state
  * service ([unresolved]): not known means wait. All steps go along edges of jobs that change, without recursion, so a
  * long chain or a wide fan costs what it has edges. Nothing is kept of finished jobs that no live job names, save the
  * final states of the last [MAX_REMEMBERED].
  */
-class JobDependencies(private val ledger: Ledger) {
+class JobDependencies(private val cluster: ClusterState) {
     /** The jobs that wait for a prerequisite which is not known to be over. */
     private val dependents = HashMap<JobId, LinkedHashSet<Job>>()
 
@@ -28,11 +28,11 @@
 
     /** Jobs whose list of prerequisites is kept apart from their record and was not read yet. */
     private val unreadLists = LinkedHashMap<JobId, JobRecord>()
-    private val finalStates = LinkedHashMap<JobId, OverRecord>()
+    private val finalStates = LinkedHashMap<JobId, FinishedJobRecord>()
     private val claims = DependentClaims(dependents)
 
     /** Whether this leader ended [id] a while ago. */
-    fun isRememberedAsOver(id: JobId) = id in finalStates
+    fun isRememberedAsFinished(id: JobId) = id in finalStates
 
     /** Takes in a live job that this leader has not seen before. */
     fun added(job: Job, record: JobRecord, now: MonotonicTime) {
@@ -50,7 +50,7 @@
     /** The list of prerequisites of [id] was read. */
     fun listRead(id: JobId, prerequisites: List<JobId>, now: MonotonicTime) {
         unreadLists.remove(id) ?: return
-        val job = ledger.jobs[id] ?: return
+        val job = cluster.jobs[id] ?: return
         job.release.isListKnown = true
         addPrerequisites(job, prerequisites, now)
     }
@@ -65,13 +65,13 @@
             }
             job.release.open += id
             dependents.getOrPut(id) { LinkedHashSet() } += job
-            if (known == null && id !in ledger.jobs) unresolved[id] = now
+            if (known == null && id !in cluster.jobs) unresolved[id] = now
         }
         if (prerequisites.any(::isCancelled)) cancelAll(listOf(job))
-        claims.dependentAdded(job, ledger.jobs)
+        claims.dependentAdded(job, cluster.jobs)
     }
 
-    private fun isCancelled(id: JobId) = finalStates[id]?.status == JobStatus.CANCELLED || ledger.jobs[id]?.cancelRecorded == true
+    private fun isCancelled(id: JobId) = finalStates[id]?.status == JobStatus.CANCELLED || cluster.jobs[id]?.cancelRecorded == true
 
     /** The cancellation of [job] stands in the state service: all jobs that need it are cancelled with it. */
     fun cancelled(job: Job) {
@@ -89,14 +89,14 @@
             count++
             // Nothing of it ever ran, so its cancellation holds back no watermark.
             job.cancel(WallTime(0), recorded = true)
-            ledger.finishing += job
+            cluster.finishing += job
             pending += dependents[job.id].orEmpty()
         }
         return count
     }
 
     /** The final state of [id] is in the state service. Returns whether it released a job. */
-    fun ended(id: JobId, record: OverRecord, now: MonotonicTime): Boolean {
+    fun ended(id: JobId, record: FinishedJobRecord, now: MonotonicTime): Boolean {
         remember(id, record)
         unresolved.remove(id)
         val waiting = dependents.remove(id) ?: return false
@@ -116,7 +116,7 @@
         return waiting.any { it.isReleased }
     }
 
-    private fun remember(id: JobId, record: OverRecord) {
+    private fun remember(id: JobId, record: FinishedJobRecord) {
         finalStates.remove(id)
         finalStates[id] = record
         if (finalStates.size > MAX_REMEMBERED) finalStates.remove(finalStates.keys.first())
@@ -128,7 +128,7 @@
         for (id in job.release.open) {
             val others = dependents[id] ?: continue
             others -= job
-            ledger.jobs[id]?.let(claims::weaken)
+            cluster.jobs[id]?.let(claims::weaken)
             if (others.isNotEmpty()) continue
             dependents.remove(id)
             unresolved.remove(id)
@@ -136,7 +136,7 @@
     }
 
     /** Brings urgencies and due times up to date for jobs that lost a dependent. */
-    fun refreshClaims() = claims.refresh(ledger.jobs)
+    fun refreshClaims() = claims.refresh(cluster.jobs)
 
     /** Prerequisites to be looked up in the state service now, at most [most]; the same are due again after a pause. */
     fun takeUnresolved(most: Int, now: MonotonicTime): List<JobId> {
@@ -154,7 +154,7 @@
     }
 }
 
-/** What a job still waits for before any of its tasks may start. Guarded as its [Ledger] is. */
+/** What a job still waits for before any of its tasks may start. Guarded as its [ClusterState] is. */
 class JobRelease {
     /** All jobs that it names. */
     var prerequisites: List<JobId> = emptyList()
--- a/src/main/kotlin/mountmast/coordination/state/LiveJobs.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
@@ -7,9 +7,9 @@
 import mountmast.protocol.Revision
 import mountmast.protocol.WallTime
 import mountmast.storage.Entry
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
-import mountmast.storage.OverRecord
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.StateStore
 import mountmast.storage.WatchResult
@@ -21,9 +21,9 @@
  * cancellation or end. Knows up to which moment all changes of jobs are taken in, on which the bound on cancellations rests.
  * Guarded by [lock], which is never held during a call.
  */
-class LiveJobs(
+class JobInformer(
     private val lock: ReentrantLock,
-    private val ledger: Ledger,
+    private val cluster: ClusterState,
     private val dependencies: JobDependencies,
     private val signals: TermSignals,
     private val store: StateStore,
@@ -31,7 +31,7 @@
     private val clock: Clock,
     knownBefore: WallTime,
     /** What else wants to know of jobs. */
-    private val listener: LiveJobsListener,
+    private val listener: JobInformerListener,
 ) {
     private var watchFrom = Revision(0u)
 
@@ -43,7 +43,7 @@
     fun unknownForMs(now: MonotonicTime): Long = now - knownUpTo
 
     /** The low watermark of cancellations; the caller holds the lock. */
-    fun watermark(): WallTime = ledger.watermark(knownUpToWall)
+    fun watermark(): WallTime = cluster.watermark(knownUpToWall)
 
     /** Learns of new and cancelled jobs; waits up to [waitMs] for them. */
     fun watch(waitMs: Long) {
@@ -65,15 +65,15 @@
     /** The stamp shows whether a change is news: what was written first may be seen last. */
     private fun takeInNews(entry: Entry) {
         val id = Keys.jobOfKey(entry.key) ?: return
-        val record = StoredRecords.decode<JobRecord>(entry.key, entry.value) ?: return
+        val record = RecordDecoder.decode<JobRecord>(entry.key, entry.value) ?: return
         listener.onRecord(record, entry.modRevision)
-        val known = ledger.jobs[id]
+        val known = cluster.jobs[id]
         if (known == null || entry.modRevision.number > known.modRevision.number) takeIn(record, entry.modRevision)
     }
 
     /** Takes in all live jobs as they were at [revision] or later, asked for at [asked]; the caller holds the lock. */
     fun takeInAll(entries: List<Entry>, revision: Revision, asked: MonotonicTime, askedWall: WallTime) {
-        for (entry in entries) StoredRecords.decode<JobRecord>(entry.key, entry.value)?.let { takeIn(it, entry.modRevision) }
+        for (entry in entries) RecordDecoder.decode<JobRecord>(entry.key, entry.value)?.let { takeIn(it, entry.modRevision) }
         watchFrom = revision
         known(asked, askedWall)
     }
@@ -87,10 +87,10 @@
     /** Takes in a job record; the caller holds the lock. */
     fun takeIn(record: JobRecord, modRevision: ModRevision) {
         val id = record.spec.id
-        if (dependencies.isRememberedAsOver(id)) return
-        val isNew = id !in ledger.jobs
+        if (dependencies.isRememberedAsFinished(id)) return
+        val isNew = id !in cluster.jobs
         val now = clock.now()
-        val job = ledger.putJob(record, modRevision, now, knownUpToWall)
+        val job = cluster.putJob(record, modRevision, now, knownUpToWall)
         if (isNew) dependencies.added(job, record, now)
         if (job.cancelRecorded) dependencies.cancelled(job)
         if (job.cancelled || listener.isCancelledElsewhere(job.id)) {
@@ -103,7 +103,7 @@
 
     /** Another node committed these cancellations; their records may be seen much later. */
     fun cancellationsHeard(ids: List<JobId>) = lock.withLock {
-        for (id in ids) ledger.jobs[id]?.let { stop(it, recorded = false) }
+        for (id in ids) cluster.jobs[id]?.let { stop(it, recorded = false) }
     }
 
     private fun stop(job: Job, recorded: Boolean) {
@@ -112,17 +112,17 @@
     }
 
     /** Removes a job whose final state is in the state service; the caller holds the lock. */
-    fun over(job: Job, record: OverRecord) {
+    fun finished(job: Job, record: FinishedJobRecord) {
         dependencies.removed(job)
-        ledger.dropJob(job, clock.now())
+        cluster.removeJob(job, clock.now())
         prerequisiteEnded(job.id, record)
         signals.wakePlacement()
     }
 
     /** What [id] ended as is known; the caller holds the lock. */
-    private fun prerequisiteEnded(id: JobId, record: OverRecord) {
+    private fun prerequisiteEnded(id: JobId, record: FinishedJobRecord) {
         if (dependencies.ended(id, record, clock.now())) signals.wakePlacement()
-        if (ledger.finishing.isNotEmpty()) signals.wakeWriter()
+        if (cluster.finishing.isNotEmpty()) signals.wakeWriter()
     }
 
     /**
@@ -137,8 +137,8 @@
         }
         val unresolved = lock.withLock { dependencies.takeUnresolved(MAX_RESOLVED_AT_ONCE, clock.now()) }
         for (id in unresolved) {
-            val entry = store.get(Keys.over(id)) ?: continue
-            val record = StoredRecords.decode<OverRecord>(entry.key, entry.value) ?: continue
+            val entry = store.get(Keys.finished(id)) ?: continue
+            val record = RecordDecoder.decode<FinishedJobRecord>(entry.key, entry.value) ?: continue
             lock.withLock { prerequisiteEnded(id, record) }
         }
         return lists.isNotEmpty() || unresolved.isNotEmpty()
@@ -149,8 +149,8 @@
     }
 }
 
-/** What [LiveJobs] tells and asks others; called with the lock held. */
-interface LiveJobsListener {
+/** What [JobInformer] tells and asks others; called with the lock held. */
+interface JobInformerListener {
     /** Whether another node told of a job's cancellation. */
     fun isCancelledElsewhere(id: JobId): Boolean
 
--- a/src/main/kotlin/mountmast/coordination/state/StoredRecords.kt
+++ b/src/main/kotlin/mountmast/coordination/state/RecordDecoder.kt
@@ -6,7 +6,7 @@
 import org.slf4j.LoggerFactory
 
 /** Reads records of the state service; one that cannot be read is told to operators and left out. */
-object StoredRecords {
+object RecordDecoder {
     @PublishedApi
     internal val log = LoggerFactory.getLogger("mountmast.leader")
 
--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -3,8 +3,8 @@
 import mountmast.coordination.election.LeadershipGrant
 import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Invariants
-import mountmast.coordination.state.Ledger
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
@@ -29,7 +29,7 @@
 /** What workers are told to do, in answers to their reports and by direct commands. Guarded by [lock]. */
 class CommandDispatcher(
     private val lock: ReentrantLock,
-    private val ledger: Ledger,
+    private val cluster: ClusterState,
     private val grant: LeadershipGrant,
     private val workers: WorkerClient,
     private val timing: Timing,
@@ -124,10 +124,10 @@
             if (deliveryQueue.isEmpty() && waitMs > 0) deliveryDue.await(waitMs, TimeUnit.MILLISECONDS)
             val now = clock.now()
             val id = deliveryQueue.firstOrNull { id ->
-                ledger.machines[id].let { it == null || (!it.deliveryInFlight && now >= it.deliverNotBefore) }
+                cluster.machines[id].let { it == null || (!it.deliveryInFlight && now >= it.deliverNotBefore) }
             } ?: return false
             deliveryQueue -= id
-            val machine = ledger.machines[id] ?: return true
+            val machine = cluster.machines[id] ?: return true
             if (machine.state != MachineState.UP || machine.incarnation == null || machine.deleting) return true
             // A host behind a cut holds a poster until its deadline, and with a fifth of the fleet cut the commands to all
             // the others waited. Whoever is silent gets them in the answer to its next report.
@@ -147,7 +147,7 @@
         val delivery = lock.withLock {
             val id = announcementQueue.firstOrNull() ?: return false
             announcementQueue -= id
-            val known = ledger.machines[id] ?: return true
+            val known = cluster.machines[id] ?: return true
             if (known.deliveryInFlight || !needsAnnouncement(known, clock.now())) return true
             known.deliveryInFlight = true
             known.announcedAt = clock.now()
@@ -180,7 +180,7 @@
     /** Has those workers called that have not shown our token although this node has led since [readyAt]. */
     fun announceToWorkers(readyAt: MonotonicTime, now: MonotonicTime) {
         if (now - readyAt !in ANNOUNCE_AFTER_MS..timing.formerLeaderMs + timing.leaseExpiryMs) return
-        for (machine in ledger.machines.values) if (needsAnnouncement(machine, now)) announcementQueue += machine.id
+        for (machine in cluster.machines.values) if (needsAnnouncement(machine, now)) announcementQueue += machine.id
     }
 
     private fun onDelivered(delivery: Delivery, outcome: CommandOutcome) {
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -2,8 +2,8 @@
 
 import mountmast.coordination.election.LeadershipGrant
 import mountmast.coordination.election.Timing
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Invariants
-import mountmast.coordination.state.Ledger
 import mountmast.coordination.state.LossCause
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
@@ -23,7 +23,7 @@
 /** Takes workers' reports, and tells whose lease is over. Guarded by [lock]. */
 class HeartbeatHandler(
     private val lock: ReentrantLock,
-    private val ledger: Ledger,
+    private val cluster: ClusterState,
     private val grant: LeadershipGrant,
     private val reachability: ReachabilityMonitor,
     private val signals: TermSignals,
@@ -31,7 +31,7 @@
     private val clock: Clock,
     private val invariants: Invariants = Invariants(),
 ) {
-    private val reconciler = HeartbeatReconciler(ledger)
+    private val reconciler = HeartbeatReconciler(cluster)
 
     /** The answers that left this node in this term. */
     val answers = AnswerRecord()
@@ -48,7 +48,7 @@
         val now = clock.now()
         val readyAt = takenFrom ?: return NOTHING_RENEWED
         val isNews = take(heartbeat, now, isHeartbeat = true)
-        val machine = ledger.machines[heartbeat.machine] ?: return NOTHING_RENEWED
+        val machine = cluster.machines[heartbeat.machine] ?: return NOTHING_RENEWED
         if (isNews) {
             if (reachability.note(machine, heartbeat, now, readyAt)) signals.wakePlacement()
         } else if (!isOvertaken(machine, heartbeat)) {
@@ -63,7 +63,7 @@
      * which bears a higher number. At a busy node that may happen to every report of a machine.
      */
     private fun isOvertaken(machine: Machine, heartbeat: Heartbeat) = machine.incarnation == heartbeat.incarnation &&
-        machine.id !in ledger.tombstones &&
+        machine.id !in cluster.tombstones &&
         heartbeat.sequence > machine.answeredHeartbeatSequence
 
     /**
@@ -81,11 +81,11 @@
 
     /** Takes a report, sent by itself or as the answer to a command; false where it is no news. The caller holds the lock. */
     fun take(heartbeat: Heartbeat, now: MonotonicTime, isHeartbeat: Boolean): Boolean {
-        val before = ledger.machines[heartbeat.machine]
+        val before = cluster.machines[heartbeat.machine]
         val wasUsable = before?.usable(now) == true
         val lostAnswers = before?.let { unacknowledgedAnswers(it, heartbeat, now) } ?: 0
         if (!reconciler.take(heartbeat, now)) return false
-        val machine = ledger.machines[heartbeat.machine] ?: return false
+        val machine = cluster.machines[heartbeat.machine] ?: return false
         if (isHeartbeat) {
             machine.unacknowledgedHeartbeats += lostAnswers
             machine.lastHeartbeatAt = now
@@ -94,7 +94,7 @@
         if (isOurs) machine.hasShownCurrentTerm = true
         dispatch.observeToken(machine, heartbeat.token)
         if (isHeartbeat && isOurs) withdrawStopped(machine, heartbeat)
-        if (ledger.unwritten.isNotEmpty()) signals.wakeWriter()
+        if (cluster.pendingChanges.isNotEmpty()) signals.wakeWriter()
         if (!wasUsable && machine.usable(now)) signals.wakePlacement()
         return true
     }
@@ -121,7 +121,7 @@
                 assignment.key in machine.mayStillStart ||
                 (inHeartbeat != null && heartbeat.sequence <= inHeartbeat)
             // What the report lists has been noted as reported by now.
-            if (!mayArrive) ledger.end(assignment, completed = false)
+            if (!mayArrive) cluster.end(assignment, completed = false)
         }
     }
 
@@ -132,10 +132,10 @@
     fun expireSilent(ledUntil: MonotonicTime) = lock.withLock {
         val readyAt = takenFrom ?: return
         val now = clock.now()
-        for (machine in ledger.machines.values) {
+        for (machine in cluster.machines.values) {
             if (!isLeaseExpired(machine, ledUntil, readyAt) || !isUnanswered(machine, ledUntil)) continue
             log.info("machine {} silent: its lease is over, {} tasks lost", machine.id, machine.live.size)
-            ledger.endIncarnation(machine, null, LossCause.LEASE_EXPIRED)
+            cluster.endIncarnation(machine, null, LossCause.LEASE_EXPIRED)
             machine.state = MachineState.EXPIRED
             machine.expiredAt = now
             signals.wakeWriter()
@@ -163,7 +163,7 @@
     fun unfit(): String? = lock.withLock {
         val now = clock.now()
         val readyAt = takenFrom ?: return null
-        val up = ledger.machines.values.filter { it.state == MachineState.UP && !it.deleting }
+        val up = cluster.machines.values.filter { it.state == MachineState.UP && !it.deleting }
         if (now - readyAt < timing.quietMs || up.size < ReachabilityMonitor.MIN_MACHINES_TO_JUDGE_NODE) return null
         when {
             up.count { now - it.heardAt < timing.quietMs } * 2 < up.size -> "hardly any worker gets through to this node"
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.workers
 
 import mountmast.coordination.state.Assignment
-import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.LossCause
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
@@ -18,13 +18,13 @@
 private val log = LoggerFactory.getLogger("mountmast.ledger")
 
 /**
- * Brings what workers report into [ledger]. What a report says of exits and sessions is final, so it needs no proof of being
+ * Brings what workers report into [cluster]. What a report says of exits and sessions is final, so it needs no proof of being
  * recent. Guarded as the ledger is.
  */
-class HeartbeatReconciler(private val ledger: Ledger) {
+class HeartbeatReconciler(private val cluster: ClusterState) {
     /** Returns false where the report is older than what is known already. */
     fun take(heartbeat: Heartbeat, now: MonotonicTime): Boolean {
-        if (heartbeat.machine in ledger.tombstones) return false
+        if (heartbeat.machine in cluster.tombstones) return false
         val machine = knownMachine(heartbeat, now)
         if (!isNews(machine, heartbeat)) return false
         if (machine.incarnation.let { it == null || heartbeat.incarnation > it }) beginIncarnation(machine, heartbeat, now)
@@ -42,15 +42,15 @@
 
     /** The machine that reports; one that was known only by name gets its kind from the report. */
     private fun knownMachine(heartbeat: Heartbeat, now: MonotonicTime): Machine {
-        val before = ledger.machines[heartbeat.machine]
+        val before = cluster.machines[heartbeat.machine]
         if (before?.type != null) return before
         val machine = Machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, MachineState.UP)
         machine.rentedAt = before?.rentedAt ?: now
         machine.knownAt = before?.knownAt ?: now
         machine.idleSince = now
         before?.let(machine::takeOver)
-        ledger.recalledImages.remove(heartbeat.machine)?.let(machine::recallImages)
-        ledger.machines[heartbeat.machine] = machine
+        cluster.recalledImages.remove(heartbeat.machine)?.let(machine::recallImages)
+        cluster.machines[heartbeat.machine] = machine
         return machine
     }
 
@@ -60,7 +60,7 @@
     }
 
     private fun beginIncarnation(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) {
-        ledger.endIncarnation(machine, heartbeat.incarnation, LossCause.NEW_INCARNATION)
+        cluster.endIncarnation(machine, heartbeat.incarnation, LossCause.NEW_INCARNATION)
         machine.mayStillStart.clear()
         machine.incarnation = heartbeat.incarnation
         machine.incarnationSince = now
@@ -98,10 +98,10 @@
 
     private fun exited(machine: Machine, assignment: Assignment, cause: ExitCause?, now: MonotonicTime) {
         val job = assignment.job
-        ledger.end(assignment, completed = cause == ExitCause.DONE)
+        cluster.end(assignment, completed = cause == ExitCause.DONE)
         when (cause) {
             ExitCause.DONE -> completed(machine, assignment, now)
-            ExitCause.FAILED -> ledger.health.failed(machine, job, now)
+            ExitCause.FAILED -> cluster.health.failed(machine, job, now)
             // The worker's room and the ledger's differ for a moment, for instance while a killed task saves.
             ExitCause.NO_ROOM, ExitCause.BUSY -> machine.notBefore = now + REFUSED_PAUSE_MS
             ExitCause.UNKNOWN -> job.notBefore = now + REFUSED_PAUSE_MS
@@ -116,8 +116,8 @@
         job.failures = 0
         val since = assignment.runningSince ?: return
         val runS = (now - since) / MS_PER_S
-        ledger.learnRun(job.spec.team, runS)
-        ledger.health.completedIn(machine, assignment, runS)
+        cluster.learnRun(job.spec.team, runS)
+        cluster.health.completedIn(machine, assignment, runS)
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/workers/LeaseHelper.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaseHelper.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.workers
 
 import mountmast.coordination.election.Leadership
-import mountmast.coordination.membership.CancellationNotices
+import mountmast.coordination.membership.CancellationBroadcast
 import mountmast.protocol.CommandType
 import mountmast.protocol.FencingToken
 import mountmast.protocol.Heartbeat
@@ -17,7 +17,7 @@
  * Answers workers without knowing the jobs: in the name of a leader that was elected a moment ago and is too slow for all
  * workers at once, or before a leader has read them. Thread-safe.
  */
-class LeaseHelper(private val leadership: Leadership, private val notices: CancellationNotices) {
+class LeaseHelper(private val leadership: Leadership, private val cancellations: CancellationBroadcast) {
     private val helped = ConcurrentHashMap.newKeySet<MachineId>()
 
     @Volatile
@@ -37,7 +37,7 @@
     /** What can be told all the same: to stop what other nodes said is cancelled. */
     fun stopsOf(heartbeat: Heartbeat): List<WorkerCommand> = heartbeat.tasks.mapNotNull { reported ->
         val job = TaskId.parse(reported.task)?.job
-        if (reported.state == TaskState.EXITED || job == null || job !in notices) {
+        if (reported.state == TaskState.EXITED || job == null || job !in cancellations) {
             null
         } else {
             WorkerCommand(CommandType.STOP, reported.task, reported.attempt, 0.0)
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -3,7 +3,7 @@
 import mountmast.coordination.election.LeadershipGrant
 import mountmast.coordination.election.Timing
 import mountmast.coordination.state.Assignment
-import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
@@ -14,9 +14,9 @@
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
 /**
- * Detects machines whose reports arrive while answers and commands do not reach them. Guarded as its [Ledger] is.
+ * Detects machines whose reports arrive while answers and commands do not reach them. Guarded as its [ClusterState] is.
  */
-class ReachabilityMonitor(private val ledger: Ledger, private val grant: LeadershipGrant, private val timing: Timing) {
+class ReachabilityMonitor(private val cluster: ClusterState, private val grant: LeadershipGrant, private val timing: Timing) {
     /** What a report tells of whether earlier answers arrived; both may be false. */
     private class Evidence(val isEffectMissing: Boolean, val isEffectShown: Boolean)
 
@@ -66,8 +66,8 @@
 
     /** Whether so many workers hear nothing that it must be this node, which cannot send. The caller holds the lock. */
     fun areMostUnreached(): Boolean {
-        val up = ledger.machines.values.count { it.state == MachineState.UP && !it.deleting }
-        val unreached = ledger.machines.values.count { it.unreachedSince != null && !it.deleting }
+        val up = cluster.machines.values.count { it.state == MachineState.UP && !it.deleting }
+        val unreached = cluster.machines.values.count { it.unreachedSince != null && !it.deleting }
         return unreached >= MIN_MACHINES_TO_JUDGE_NODE && unreached * 2 > up
     }
 
--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -8,7 +8,7 @@
 
 /** What controller nodes tell one another about once a second. */
 @Serializable
-data class PeerHello(
+data class PeerHeartbeat(
     @ProtoNumber(1) val node: String,
     /** Highest term this node has seen. */
     @ProtoNumber(2) val token: Long,
@@ -24,8 +24,8 @@
 
 /** A user's request that the sender cannot serve itself. */
 @Serializable
-data class RelayRequest(@ProtoNumber(1) val method: String, @ProtoNumber(2) val path: String, @ProtoNumber(3) val body: String)
+data class ForwardedRequest(@ProtoNumber(1) val method: String, @ProtoNumber(2) val path: String, @ProtoNumber(3) val body: String)
 
 /** The answer to a relayed request. */
 @Serializable
-data class RelayAnswer(@ProtoNumber(1) val status: Int, @ProtoNumber(2) val body: String, @ProtoNumber(3) val retryAfterS: Int = 0)
+data class ForwardedResponse(@ProtoNumber(1) val status: Int, @ProtoNumber(2) val body: String, @ProtoNumber(3) val retryAfterS: Int = 0)
--- a/src/main/kotlin/mountmast/protocol/Wire.kt
+++ b/src/main/kotlin/mountmast/protocol/Wire.kt
@@ -106,7 +106,7 @@
 
 /** Any refusal, to users and workers. */
 @Serializable
-data class Refusal(@SerialName("error") val error: String)
+data class ErrorResponse(@SerialName("error") val error: String)
 
 /** State of a task on a worker. */
 @Serializable
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -30,7 +30,7 @@
     const val WATERMARK = "watermark"
     const val PREREQUISITE_LISTS = "d/"
     const val FORMAT = "format"
-    private const val OVER = "f/"
+    private const val FINISHED = "f/"
     private const val SLOT_DIGITS = 3
     private const val PART_DIGITS = 5
     private const val KEPT_GENERATIONS = 2
@@ -40,7 +40,7 @@
     fun job(id: JobId) = JOBS + id.text
 
     /** The final state of a job that is over; written in the transaction that deletes [job]. */
-    fun over(id: JobId) = OVER + id.text
+    fun finished(id: JobId) = FINISHED + id.text
 
     /** A slot of the journal; slots are used again in turn. */
     fun journalSlot(slot: Int) = JOURNAL + slot.toString().padStart(SLOT_DIGITS, '0')
@@ -86,7 +86,7 @@
  * answers workers without knowing the jobs, at the beginning of a term, may do so only for a while after it.
  */
 @Serializable
-data class WatermarkRecord(@SerialName("w") val at: WallTime)
+data class CancellationWatermarkRecord(@SerialName("w") val at: WallTime)
 
 /** The highest term ever taken; never deleted. */
 @Serializable
@@ -115,7 +115,7 @@
 
 /** A job that is over. */
 @Serializable
-data class OverRecord(
+data class FinishedJobRecord(
     @SerialName("st") val status: JobStatus,
     @SerialName("n") val tasks: Int,
     /** When it ended; absent in records of versions without pipelines. */
--- a/src/main/kotlin/mountmast/transport/Admission.kt
+++ b/src/main/kotlin/mountmast/transport/Admission.kt
@@ -14,7 +14,7 @@
 
     /** Runs [work], or answers at once that the node is busy. */
     fun admit(work: () -> UserAnswer): UserAnswer {
-        val permit = limiter.acquire(Unit).orElse(null) ?: return UserAnswer(429, refusal("busy"), retryAfterS = 1)
+        val permit = limiter.acquire(Unit).orElse(null) ?: return UserAnswer(429, errorBody("busy"), retryAfterS = 1)
         var answer: UserAnswer? = null
         try {
             answer = work()
--- a/src/main/kotlin/mountmast/transport/Api.kt
+++ b/src/main/kotlin/mountmast/transport/Api.kt
@@ -3,16 +3,16 @@
 import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.NodeId
-import mountmast.protocol.PeerHello
+import mountmast.protocol.PeerHeartbeat
 
 /** An answer to a user, as plain as HTTP needs it. */
 data class UserAnswer(val status: Int, val body: String, val retryAfterS: Int = 0)
 
 /** What users may ask of a node. */
 interface UserService {
-    fun submit(body: String, relayed: Boolean): UserAnswer
-    fun status(id: String, relayed: Boolean): UserAnswer
-    fun cancel(id: String, relayed: Boolean): UserAnswer
+    fun submit(body: String, isForwarded: Boolean): UserAnswer
+    fun status(id: String, isForwarded: Boolean): UserAnswer
+    fun cancel(id: String, isForwarded: Boolean): UserAnswer
 
     /** Whether the load balancer should send users here. */
     fun ready(): Boolean
@@ -34,5 +34,5 @@
 
 /** Takes the greetings of other nodes and answers with this node's own. */
 fun interface PeerService {
-    fun hello(from: PeerHello): PeerHello
+    fun onPeerHeartbeat(from: PeerHeartbeat): PeerHeartbeat
 }
--- a/src/main/kotlin/mountmast/transport/HttpMessages.kt
+++ b/src/main/kotlin/mountmast/transport/HttpMessages.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.encodeToString
-import mountmast.protocol.Refusal
+import mountmast.protocol.ErrorResponse
 import mountmast.protocol.WireJson
 import org.http4k.core.HttpHandler
 import org.http4k.core.MemoryBody
@@ -26,7 +26,7 @@
 internal const val NANOS_PER_MS = 1_000_000L
 
 /** The JSON body of a refusal. */
-fun refusal(why: String): String = WireJson.encodeToString(Refusal(why))
+fun errorBody(why: String): String = WireJson.encodeToString(ErrorResponse(why))
 
 /** Turns whatever a handler throws into an answer: no request may end a thread. */
 @Suppress("TooGenericExceptionCaught") // The last resort for faults in handlers, which are logged.
@@ -34,12 +34,12 @@
     try {
         handler(request)
     } catch (e: SerializationException) {
-        json(400, refusal("malformed"))
+        json(400, errorBody("malformed"))
     } catch (e: IOException) {
-        json(503, refusal("interrupted"), retryAfterS = 1)
+        json(503, errorBody("interrupted"), retryAfterS = 1)
     } catch (e: RuntimeException) {
         log.error("request {} failed", request.uri.path, e)
-        json(500, refusal("internal error"), retryAfterS = 1)
+        json(500, errorBody("internal error"), retryAfterS = 1)
     }
 }
 
@@ -54,7 +54,7 @@
 
 /** Answers by [answer], or refuses every method but [allowed]. */
 internal inline fun Request.only(allowed: Method, answer: () -> Response): Response =
-    if (method == allowed) answer() else json(405, refusal("method not allowed")).header("Allow", allowed.name)
+    if (method == allowed) answer() else json(405, errorBody("method not allowed")).header("Allow", allowed.name)
 
 /** The body of a request between nodes, cut off at its bound. */
 internal fun Request.bytes(): ByteArray = body.stream.readNBytes(MAX_PEER_BODY_BYTES)
--- a/src/main/kotlin/mountmast/transport/Metrics.kt
+++ b/src/main/kotlin/mountmast/transport/Metrics.kt
@@ -90,7 +90,7 @@
     const val ELECTIONS = "elections"
     const val RESIGNATIONS = "resignations"
     const val RENEWAL_AGE = "renewal_age_ms"
-    const val UNWRITTEN_CHANGES = "unwritten_changes"
+    const val PENDING_CHANGES = "unwritten_changes"
     const val LAST_WRITE_AGE = "last_write_age_ms"
     const val MACHINES_UP = "machines_up"
     const val ASSIGNMENTS = "assignments"
--- a/src/main/kotlin/mountmast/transport/Peers.kt
+++ b/src/main/kotlin/mountmast/transport/PeerClient.kt
@@ -4,28 +4,28 @@
 import kotlinx.serialization.decodeFromByteArray
 import kotlinx.serialization.encodeToByteArray
 import kotlinx.serialization.protobuf.ProtoBuf
+import mountmast.protocol.ForwardedRequest
+import mountmast.protocol.ForwardedResponse
 import mountmast.protocol.Member
-import mountmast.protocol.PeerHello
-import mountmast.protocol.RelayAnswer
-import mountmast.protocol.RelayRequest
+import mountmast.protocol.PeerHeartbeat
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("mountmast.peers")
 
 /** The other controller nodes. Calls return null where no sensible answer came. */
-interface Peers {
-    fun hello(to: Member, hello: PeerHello): PeerHello?
-    fun relay(to: Member, request: RelayRequest): RelayAnswer?
+interface PeerClient {
+    fun exchangeHeartbeats(to: Member, heartbeat: PeerHeartbeat): PeerHeartbeat?
+    fun forward(to: Member, request: ForwardedRequest): ForwardedResponse?
 }
 
 /** Peers over HTTP, in protobuf. */
 @OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
-class HttpPeers(private val caller: HttpCaller = HttpCaller(connectMs = 500)) : Peers {
-    override fun hello(to: Member, hello: PeerHello): PeerHello? =
-        call(to, PeerPaths.HELLO, ProtoBuf.encodeToByteArray(hello), HELLO_MS) { ProtoBuf.decodeFromByteArray<PeerHello>(it) }
+class HttpPeerClient(private val caller: HttpCaller = HttpCaller(connectMs = 500)) : PeerClient {
+    override fun exchangeHeartbeats(to: Member, heartbeat: PeerHeartbeat): PeerHeartbeat? =
+        call(to, PeerPaths.HEARTBEAT, ProtoBuf.encodeToByteArray(heartbeat), HEARTBEAT_TIMEOUT_MS) { ProtoBuf.decodeFromByteArray<PeerHeartbeat>(it) }
 
-    override fun relay(to: Member, request: RelayRequest): RelayAnswer? =
-        call(to, PeerPaths.RELAY, ProtoBuf.encodeToByteArray(request), RELAY_MS) { ProtoBuf.decodeFromByteArray<RelayAnswer>(it) }
+    override fun forward(to: Member, request: ForwardedRequest): ForwardedResponse? =
+        call(to, PeerPaths.FORWARD, ProtoBuf.encodeToByteArray(request), FORWARD_TIMEOUT_MS) { ProtoBuf.decodeFromByteArray<ForwardedResponse>(it) }
 
     private fun <T> call(to: Member, path: String, body: ByteArray, waitMs: Int, decode: (ByteArray) -> T): T? = try {
         caller.call(to.endpoint, "POST", path, body, waitMs, "application/x-protobuf").takeIf { it.ok }?.let { decode(it.bytes) }
@@ -37,7 +37,7 @@
     }
 
     private companion object {
-        const val HELLO_MS = 800
-        const val RELAY_MS = 1500
+        const val HEARTBEAT_TIMEOUT_MS = 800
+        const val FORWARD_TIMEOUT_MS = 1500
     }
 }
--- a/src/main/kotlin/mountmast/transport/PeerPaths.kt
+++ b/src/main/kotlin/mountmast/transport/PeerPaths.kt
@@ -2,6 +2,6 @@
 
 /** Names of the routes between controller nodes; they are the contract between versions. */
 object PeerPaths {
-    const val HELLO = "/peer/hello"
-    const val RELAY = "/peer/relay"
+    const val HEARTBEAT = "/peer/hello"
+    const val FORWARD = "/peer/relay"
 }
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -50,26 +50,26 @@
         }
         path == METRICS_PATH -> request.only(Method.GET) { text(metrics.render()) }
         path == JOBS_PATH -> request.only(Method.POST) {
-            val body = request.boundedBody() ?: return@only json(400, refusal("body: over 64 KiB"))
-            admission.submissions.admit { users.submit(body, relayed = false) }.toResponse()
+            val body = request.boundedBody() ?: return@only json(400, errorBody("body: over 64 KiB"))
+            admission.submissions.admit { users.submit(body, isForwarded = false) }.toResponse()
         }
         path.startsWith("$JOBS_PATH/") && path.endsWith(CANCEL_SUFFIX) -> request.only(Method.POST) {
-            users.cancel(path.removePrefix("$JOBS_PATH/").removeSuffix(CANCEL_SUFFIX), relayed = false).toResponse()
+            users.cancel(path.removePrefix("$JOBS_PATH/").removeSuffix(CANCEL_SUFFIX), isForwarded = false).toResponse()
         }
         path.startsWith("$JOBS_PATH/") -> request.only(Method.GET) {
-            admission.polls.admit { users.status(path.removePrefix("$JOBS_PATH/"), relayed = false) }.toResponse()
+            admission.polls.admit { users.status(path.removePrefix("$JOBS_PATH/"), isForwarded = false) }.toResponse()
         }
-        else -> json(404, refusal("no such path"))
+        else -> json(404, errorBody("no such path"))
     }
 }
 
 private fun onHeartbeat(request: Request, beats: HeartbeatService): Response {
-    val body = request.boundedBody() ?: return json(400, refusal("body: over 64 KiB"))
+    val body = request.boundedBody() ?: return json(400, errorBody("body: over 64 KiB"))
     val heartbeat = try {
         WireJson.decodeFromString<Heartbeat>(body)
     } catch (e: IllegalArgumentException) {
         log.warn("malformed report: {}", e.message?.lineSequence()?.firstOrNull())
-        return json(400, refusal("malformed report"))
+        return json(400, errorBody("malformed report"))
     }
     return when (val outcome = beats.onHeartbeat(heartbeat)) {
         is HeartbeatOutcome.Accepted -> json(200, WireJson.encodeToString(outcome.answer))
--- a/src/test/kotlin/mountmast/CommandLineToolTest.kt
+++ b/src/test/kotlin/mountmast/CommandLineToolTest.kt
@@ -35,8 +35,8 @@
         val node = "127.0.0.1:${server.address.port}"
         assertEquals(0, run("status", "j-1", "--node", node))
         assertEquals(0, run("cancel", "j-1", "--node", node))
-        for (refusal in listOf(404, 422, 503)) {
-            status = refusal
+        for (errorBody in listOf(404, 422, 503)) {
+            status = errorBody
             assertEquals(1, run("status", "j-1", "--node", node))
         }
         server.stop(0)
--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -12,6 +12,7 @@
 import kotlinx.serialization.protobuf.ProtoBuf
 import mountmast.coordination.jobs.JobService
 import mountmast.protocol.FencingToken
+import mountmast.protocol.ForwardedRequest
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobId
 import mountmast.protocol.JobStatus
@@ -19,8 +20,7 @@
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.ModRevision
 import mountmast.protocol.NodeId
-import mountmast.protocol.PeerHello
-import mountmast.protocol.RelayRequest
+import mountmast.protocol.PeerHeartbeat
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
@@ -31,8 +31,8 @@
 import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.storage.Compare
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.Keys
-import mountmast.storage.OverRecord
 import mountmast.storage.ProgressRecord
 import mountmast.storage.StateStore
 import mountmast.storage.StoreRequestRejectedException
@@ -90,7 +90,7 @@
 
     private fun service(
         on: StateStore = store,
-        relay: (RelayRequest) -> UserAnswer? = { null },
+        forward: (ForwardedRequest) -> UserAnswer? = { null },
         isReady: Boolean = true,
         knowsTypes: Boolean = true,
         acceptsPrerequisites: Boolean = true,
@@ -98,7 +98,7 @@
         on,
         mapOf(team.id to team),
         time.clock(0.0, 0),
-        relay,
+        forward,
         { isReady },
         {},
         StateLimits(80.0, 30.0, 2.0, 8),
@@ -140,8 +140,8 @@
     @Test
     fun `answers are those in the file`() {
         TypesForm.writes(MachineTypes(listOf(type)), 2000).forEach { put(it.key, it.value) }
-        put(Keys.over(JobId("j-90")), WireJson.encodeToJsonElement(OverRecord(JobStatus.DONE, 3)))
-        put(Keys.over(JobId("j-91")), WireJson.encodeToJsonElement(OverRecord(JobStatus.CANCELLED, 3)))
+        put(Keys.finished(JobId("j-90")), WireJson.encodeToJsonElement(FinishedJobRecord(JobStatus.DONE, 3)))
+        put(Keys.finished(JobId("j-91")), WireJson.encodeToJsonElement(FinishedJobRecord(JobStatus.CANCELLED, 3)))
         put(Keys.job(JobId("j-92")), buildJsonObject { put("unreadable", JsonPrimitive(1)) })
         put(Keys.progress(0), WireJson.encodeToJsonElement(ProgressRecord("j-2 4 5")))
         lives()
@@ -252,14 +252,14 @@
         }
         routes(service(rejecting)).submit("record rejected", named("j-70"))
         val cutOff = service()
-        val relaying = service(relay = { UserAnswer(503, "${it.method} ${it.path} relayed", 9) })
+        val forwarding = service(forward = { UserAnswer(503, "${it.method} ${it.path} relayed", 9) })
         trouble.storeRefusedUntil = time.now + 1000
         with(routes(cutOff)) {
             submit("store unreachable", named("j-70"))
             status("store unreachable", "j-2")
             cancel("store unreachable", "j-2")
         }
-        with(routes(relaying)) {
+        with(routes(forwarding)) {
             submit("answered by another node", named("j-70"))
             status("answered by another node", "j-2")
             cancel("answered by another node", "j-2")
@@ -280,9 +280,9 @@
         }
         // The real service neither throws such exceptions nor holds its caller.
         fun answering(answer: () -> UserAnswer) = object : UserService {
-            override fun submit(body: String, relayed: Boolean) = answer()
-            override fun status(id: String, relayed: Boolean) = answer()
-            override fun cancel(id: String, relayed: Boolean) = answer()
+            override fun submit(body: String, isForwarded: Boolean) = answer()
+            override fun status(id: String, isForwarded: Boolean) = answer()
+            override fun cancel(id: String, isForwarded: Boolean) = answer()
             override fun ready() = true
         }
         routes(answering { error("on purpose") }).submit("internal error", "{}")
@@ -332,7 +332,7 @@
     }
 
     private fun betweenNodes() {
-        val peers = PeerService { PeerHello("n-1", 7, serves = true, leads = false) }
+        val peers = PeerService { PeerHeartbeat("n-1", 7, serves = true, leads = false) }
         val routes = peerRoutes(service(), peers)
         fun send(name: String, path: String, body: ByteArray) {
             val response = routes(Request(Method.POST, path).body(MemoryBody(body)))
@@ -341,11 +341,11 @@
             val isText = type == "application/json"
             observe("between nodes, $name", response, if (isText) bytes.decodeToString() else bytes.joinToString("") { "%02x".format(it) })
         }
-        fun relay(method: String, path: String, body: String = "") = ProtoBuf.encodeToByteArray(RelayRequest(method, path, body))
-        send("hello", "/peer/hello", ProtoBuf.encodeToByteArray(PeerHello("n-2", 6, serves = true, leads = true)))
-        send("relayed submission", "/peer/relay", relay("POST", "/v1/jobs", job.toString()))
-        send("relayed status", "/peer/relay", relay("GET", "/v1/jobs/j-2"))
-        send("relayed cancellation", "/peer/relay", relay("POST", "/v1/jobs/j-77/cancel"))
+        fun forward(method: String, path: String, body: String = "") = ProtoBuf.encodeToByteArray(ForwardedRequest(method, path, body))
+        send("hello", "/peer/hello", ProtoBuf.encodeToByteArray(PeerHeartbeat("n-2", 6, serves = true, leads = true)))
+        send("relayed submission", "/peer/relay", forward("POST", "/v1/jobs", job.toString()))
+        send("relayed status", "/peer/relay", forward("GET", "/v1/jobs/j-2"))
+        send("relayed cancellation", "/peer/relay", forward("POST", "/v1/jobs/j-77/cancel"))
         send("malformed", "/peer/relay", byteArrayOf(1, 2, 3))
         send("unknown path", "/nothing", byteArrayOf())
     }
--- a/src/test/kotlin/mountmast/contract/SerializedExamples.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedExamples.kt
@@ -6,8 +6,11 @@
 import mountmast.protocol.Attempt
 import mountmast.protocol.CommandRequest
 import mountmast.protocol.CommandType
+import mountmast.protocol.ErrorResponse
 import mountmast.protocol.ExitCause
 import mountmast.protocol.FencingToken
+import mountmast.protocol.ForwardedRequest
+import mountmast.protocol.ForwardedResponse
 import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.HeartbeatSequence
@@ -25,11 +28,8 @@
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.ModRevision
 import mountmast.protocol.NodeId
-import mountmast.protocol.PeerHello
+import mountmast.protocol.PeerHeartbeat
 import mountmast.protocol.Redirect
-import mountmast.protocol.Refusal
-import mountmast.protocol.RelayAnswer
-import mountmast.protocol.RelayRequest
 import mountmast.protocol.RentalId
 import mountmast.protocol.RentalRequest
 import mountmast.protocol.ReportedTask
@@ -44,15 +44,16 @@
 import mountmast.protocol.WorkerCommand
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
+import mountmast.storage.CancellationWatermarkRecord
 import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.FailingJob
 import mountmast.storage.FailingRecord
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.FormatRecord
 import mountmast.storage.ImagesRecord
 import mountmast.storage.JobRecord
 import mountmast.storage.JournalRecord
 import mountmast.storage.LeaderRecord
-import mountmast.storage.OverRecord
 import mountmast.storage.PrerequisiteListPart
 import mountmast.storage.PrerequisiteListRef
 import mountmast.storage.ProgressRecord
@@ -60,7 +61,6 @@
 import mountmast.storage.SnapshotRecord
 import mountmast.storage.TermRecord
 import mountmast.storage.TypesRecord
-import mountmast.storage.WatermarkRecord
 
 /**
  * A value with the name of the fixture line that holds its encoded form. The name is that of the form, not of the class:
@@ -201,7 +201,7 @@
         example("job-least", leastJob),
         example("job-answer-full", JobAnswer(JobId("j-000412"), JobStatus.RUNNING, 3, 4, listOf(JobId("j-000003")))),
         example("job-answer-least", JobAnswer(JobId("j-1"), JobStatus.PENDING)),
-        example("refusal", Refusal("try again")),
+        example("refusal", ErrorResponse("try again")),
         example("reported-task-full", fullTask),
         example("reported-task-least", leastTask),
         example(
@@ -266,15 +266,15 @@
             LeaderRecord(NodeId("node-2"), "r-4f", FencingToken(3_145_728u), WallTime(1_700_000_000_001), WallTime(1_700_000_000_002)),
         ),
         example("stored-leader-least", LeaderRecord(NodeId("node-1"), "r-1", FencingToken(0u))),
-        example("stored-watermark", WatermarkRecord(WallTime(1_700_000_000_002))),
+        example("stored-watermark", CancellationWatermarkRecord(WallTime(1_700_000_000_002))),
         example("stored-term", TermRecord(FencingToken(3_145_728u))),
         example("stored-job-full", fullRecord),
         example("stored-job-least", JobRecord(leastJob, WallTime(0))),
         example("stored-prerequisites-reference", PrerequisiteListRef("00ff00ff00ff00ff", 3)),
         example("stored-prerequisites-full", PrerequisiteListPart(listOf(JobId("j-000003"), JobId("j-000004")))),
         example("stored-prerequisites-least", PrerequisiteListPart(emptyList())),
-        example("stored-finished-full", OverRecord(JobStatus.CANCELLED, 7, WallTime(1_700_000_000_003), isService = true)),
-        example("stored-finished-least", OverRecord(JobStatus.DONE, 1)),
+        example("stored-finished-full", FinishedJobRecord(JobStatus.CANCELLED, 7, WallTime(1_700_000_000_003), isService = true)),
+        example("stored-finished-least", FinishedJobRecord(JobStatus.DONE, 1)),
         example("stored-types-full", TypesRecord(listOf(fullType, leastType), parts = 2, digest = -77)),
         example("stored-types-least", TypesRecord(emptyList())),
         example("stored-images-full", ImagesRecord(mapOf(MachineId("vm-12") to mapOf(ImageId("img-9") to 4.5, ImageId("base") to 0.5)))),
@@ -296,11 +296,11 @@
     val json: List<Example<*>> = scalars + enums + wire + stored
 
     val protobuf: List<Example<*>> = listOf(
-        example("hello-full", PeerHello("node-2", 41L shl 20, serves = true, leads = true, listOf("j-000004", "j-000008"), 2)),
-        example("hello-least", PeerHello("node-1", 0, serves = false, leads = false)),
-        example("relay-request-full", RelayRequest("POST", "/v1/jobs", """{"nameId":"j-000009"}""")),
-        example("relay-request-least", RelayRequest("", "", "")),
-        example("relay-answer-full", RelayAnswer(503, """{"error":"try again"}""", 1)),
-        example("relay-answer-least", RelayAnswer(201, "")),
+        example("hello-full", PeerHeartbeat("node-2", 41L shl 20, serves = true, leads = true, listOf("j-000004", "j-000008"), 2)),
+        example("hello-least", PeerHeartbeat("node-1", 0, serves = false, leads = false)),
+        example("relay-request-full", ForwardedRequest("POST", "/v1/jobs", """{"nameId":"j-000009"}""")),
+        example("relay-request-least", ForwardedRequest("", "", "")),
+        example("relay-answer-full", ForwardedResponse(503, """{"error":"try again"}""", 1)),
+        example("relay-answer-least", ForwardedResponse(201, "")),
     )
 }
--- a/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
@@ -167,7 +167,7 @@
         )
         val functions = listOf(
             "job-of" to Keys.job(job),
-            "finished-job-of" to Keys.over(job),
+            "finished-job-of" to Keys.finished(job),
             "journal-slot-7" to Keys.journalSlot(7),
             "journal-slot-1234" to Keys.journalSlot(1234),
             "snapshot-part-of-4-12" to Keys.snapshotPart(4, 12),
--- a/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
@@ -60,15 +60,15 @@
         world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
         world.run(15_000, busy = false)
         assertTrue(world.rules.started <= ALL_TASKS, "${world.rules.started - started} starts, ${ALL_TASKS - started} were left")
-        assertTrue(leader().ledger.machines.values.sumOf { it.live.size } in started..ALL_TASKS)
-        assertTrue(leader().ledger.machines.values.filter { it.live.isNotEmpty() }.all { it.hasShownCurrentTerm })
+        assertTrue(leader().cluster.machines.values.sumOf { it.live.size } in started..ALL_TASKS)
+        assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.all { it.hasShownCurrentTerm })
 
         val hit = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 3 == 0 }
         for ((i, worker) in hit.withIndex()) if (i % 2 == 0) world.cloud.take(worker.id) else worker.cutUntil = world.time.now + 9000
         val vain = world.network.commandsLost
         world.run(40_000, busy = false)
         assertTrue(world.network.commandsLost - vain < hit.size, "${world.network.commandsLost - vain} commands to silent machines")
-        val running = leader().ledger.machines.values.sumOf { machine -> machine.live.values.count { it.runningSince != null } }
+        val running = leader().cluster.machines.values.sumOf { machine -> machine.live.values.count { it.runningSince != null } }
         assertTrue(running > started * 9 / 10, "$running of $started run again")
     }
 
--- a/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
@@ -93,7 +93,7 @@
         val began = world.rules.startsOf(late)
         world.run(World.CANCEL_MS, busy = false)
         assertEquals(began, world.rules.startsOf(late), "it began although it was cancelled")
-        assertTrue(world.seats.mapNotNull { it.controller?.leaderTerm() }.none { late in it.ledger.jobs }, "the job is never over")
+        assertTrue(world.seats.mapNotNull { it.controller?.leaderTerm() }.none { late in it.cluster.jobs }, "the job is never over")
     }
 
     @Test
@@ -281,8 +281,8 @@
         world.run(4800, busy = false)
         val late = world.accept(tiny(62))
         world.run(1000, busy = false)
-        val ledger = checkNotNull(leading.controller?.leaderTerm()).ledger
-        val assigned = checkNotNull(ledger.machines[chosen.id]).live.values.map { it.job.id }
+        val cluster = checkNotNull(leading.controller?.leaderTerm()).cluster
+        val assigned = checkNotNull(cluster.machines[chosen.id]).live.values.map { it.job.id }
         assertTrue(probe in assigned, "its lease is over already")
         assertTrue(late !in assigned, "a machine that loses all with its lease gets work")
     }
--- a/src/test/kotlin/mountmast/coordination/controller/LargeFleetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/LargeFleetTest.kt
@@ -37,7 +37,7 @@
 
     private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }
 
-    private fun assigned() = leader().ledger.machines.values.sumOf { it.live.size }
+    private fun assigned() = leader().cluster.machines.values.sumOf { it.live.size }
 
     @Test
     fun `4000 machines are filled, reconnect at once, are taken over, cut in part and meet lower limits`() {
@@ -62,7 +62,7 @@
         world.run(15_000, busy = false)
         assertTrue(world.rules.started - started < ALL_TASKS / 10, "${world.rules.started - started} starts after a takeover")
         assertTrue(assigned() > ALL_TASKS * 0.9, "${assigned()} assignments taken over")
-        assertTrue(leader().ledger.machines.values.filter { it.live.isNotEmpty() }.count { it.hasShownCurrentTerm } > 3500)
+        assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.count { it.hasShownCurrentTerm } > 3500)
 
         // The limits have fallen by now; a quarter of the fleet is cut off for over a lease, and another leader follows.
         val cut = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 4 == 0 }
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -143,11 +143,11 @@
         val leading = world.seats.first { it.controller?.leaderTerm() != null }.controller!!
         leading.watch(0)
         leading.pass()
-        assertTrue(world.leader().ledger.jobs.getValue(id).live.values.all { it.phase == Phase.INTENDED })
+        assertTrue(world.leader().cluster.jobs.getValue(id).live.values.all { it.phase == Phase.INTENDED })
         assertEquals(200, world.cancel(id))
         world.run(5000, busy = false)
-        assertEquals(null, world.leader().ledger.jobs[id])
-        assertEquals(0.0, world.leader().ledger.use(TeamId("red")).cpus, 1e-9)
+        assertEquals(null, world.leader().cluster.jobs[id])
+        assertEquals(0.0, world.leader().cluster.use(TeamId("red")).cpus, 1e-9)
     }
 
     @Test
@@ -169,12 +169,12 @@
         world.seats[0].trouble.storeRefusedUntil = world.time.now + 8000
         world.run(5000, busy = false)
         assertEquals(listOf(false, true, true), users.map { it.ready() })
-        assertEquals(200, world.seats[0].controller!!.users.status("j-000001", relayed = false).status, "passed on to a peer")
+        assertEquals(200, world.seats[0].controller!!.users.status("j-000001", isForwarded = false).status, "passed on to a peer")
         world.run(10_000, busy = false)
         world.store.outage(10_000)
         world.run(7000, busy = false)
         assertTrue(users.all { it.ready() })
-        val refused = users[0].submit("""{"nameId":"j-7"}""", relayed = false)
+        val refused = users[0].submit("""{"nameId":"j-7"}""", isForwarded = false)
         assertEquals(503 to true, refused.status to (refused.retryAfterS > 0))
     }
 
@@ -275,7 +275,7 @@
         val successor = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }
         assertTrue(successor !== leading.controller?.leaderTerm())
         assertTrue(
-            successor.ledger.machines.values.filter {
+            successor.cluster.machines.values.filter {
                 it.live.isNotEmpty()
             }.all { it.hasShownCurrentTerm },
             "workers are still with the old leader",
@@ -309,7 +309,7 @@
         follower.trouble.peersCutUntil = world.time.now + 60_000
         world.run(8000, busy = false)
         val users = follower.controller!!.users
-        val refused = users.status(job.text, relayed = false)
+        val refused = users.status(job.text, isForwarded = false)
         assertEquals(503 to true, refused.status to (refused.retryAfterS > 0), "answered at once")
         world.rules.quietSince = world.time.now - 76_000
         world.run(70_000, busy = false)
@@ -339,7 +339,7 @@
         world.run(20_000, busy = false)
         val hung = world.cloud.workers.first { it.busy }.apply { hangUntil = world.time.now + World.LEASE_MS + 3000 }
         world.run(World.LEASE_MS + 2500, busy = false)
-        assertEquals(MachineState.EXPIRED, world.leader().ledger.machines.getValue(hung.id).state, "seed $seed")
+        assertEquals(MachineState.EXPIRED, world.leader().cluster.machines.getValue(hung.id).state, "seed $seed")
         // What ran there may have found room elsewhere, so there has to be work for every machine.
         world.accept(world.plainJob(2) { it.copy(tasks = 400, estimateS = 90.0, team = TeamId("free")) })
         world.run(6000, busy = false)
--- a/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
@@ -88,7 +88,7 @@
         val dependent = plainJob(FIRST_NUMBER + 2) { it.copy(prerequisites = listOf(first)) }
         for (seat in seats.take(2)) {
             val body = WireJson.encodeToString(dependent)
-            val refused = checkNotNull(seat.controller).users.submit(body, relayed = false)
+            val refused = checkNotNull(seat.controller).users.submit(body, isForwarded = false)
             assertEquals(503 to true, refused.status to (refused.retryAfterS > 0))
         }
         seats.last().upgrade()
@@ -132,7 +132,7 @@
         for (cut in seats) {
             cut.trouble.storeRefusedUntil = time.now + 6000
             run(4000, busy = false)
-            assertEquals(200, checkNotNull(cut.controller).users.status(job.text, relayed = false).status, "${cut.name}")
+            assertEquals(200, checkNotNull(cut.controller).users.status(job.text, isForwarded = false).status, "${cut.name}")
             run(6000, busy = false)
         }
         finish(listOf(job))
--- a/src/test/kotlin/mountmast/coordination/jobs/JobWatchTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobRecordPrefetcherTest.kt
@@ -21,13 +21,13 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-class JobWatchTest {
+class JobRecordPrefetcherTest {
     private val time = VirtualTime()
     private val standIn = StandInStore(time, keptChanges = 10)
     private val trouble = Trouble(time)
     private val store = standIn.View(Random(1), trouble)
     private val heard = ArrayList<Pair<JobId, ModRevision>>()
-    private val watch = JobWatch(store) { record, modRevision -> heard += record.spec.id to modRevision }
+    private val watch = JobRecordPrefetcher(store) { record, modRevision -> heard += record.spec.id to modRevision }
     private val jobs = (1..30).map { World(1).job(it) }
 
     private fun put(key: String, value: JsonElement) = store.commit(Transaction(emptyList(), listOf(Write.Put(key, value))))
--- a/src/test/kotlin/mountmast/coordination/membership/FormatAgreementTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-class FormatAgreementTest {
+class FormatNegotiationTest {
     private val time = VirtualTime()
     private val standIn = StandInStore(time)
     private val trouble = Trouble(time)
@@ -33,11 +33,11 @@
     private val third = NodeId("node-2")
     private val members = listOf(other, third)
 
-    private fun agreement(at: StateStore = store) = FormatAgreement(at, members)
+    private fun agreement(at: StateStore = store) = FormatNegotiation(at, members)
 
-    private fun FormatAgreement.hearAll() = members.forEach { heard(it, FORMAT_VERSION) }
+    private fun FormatNegotiation.hearAll() = members.forEach { heard(it, FORMAT_VERSION) }
 
-    private fun FormatAgreement.steps(count: Int) = repeat(count) { step() }
+    private fun FormatNegotiation.steps(count: Int) = repeat(count) { step() }
 
     private fun stored(): JsonElement? = store.get(Keys.FORMAT)?.value
 
@@ -50,7 +50,7 @@
 
     @Test
     fun `a deployment of one node is current at once, without asking`() {
-        val alone = FormatAgreement(store, emptyList())
+        val alone = FormatNegotiation(store, emptyList())
         assertTrue(alone.isCurrent)
         alone.steps(20)
         assertEquals(0, standIn.requests)
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -14,9 +14,11 @@
 import mountmast.coordination.election.LeadershipGrant
 import mountmast.coordination.election.Timing
 import mountmast.coordination.scheduling.Policy
-import mountmast.coordination.state.Ledger
+import mountmast.coordination.state.ClusterState
 import mountmast.protocol.CommandRequest
 import mountmast.protocol.FencingToken
+import mountmast.protocol.ForwardedRequest
+import mountmast.protocol.ForwardedResponse
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
@@ -27,9 +29,7 @@
 import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
-import mountmast.protocol.PeerHello
-import mountmast.protocol.RelayAnswer
-import mountmast.protocol.RelayRequest
+import mountmast.protocol.PeerHeartbeat
 import mountmast.protocol.Shape
 import mountmast.protocol.StateLimits
 import mountmast.protocol.StoreLeaseId
@@ -46,15 +46,16 @@
 import mountmast.standin.production.BrokenContract
 import mountmast.standin.production.ProductionForms
 import mountmast.standin.production.ProductionLedger
+import mountmast.storage.CancellationWatermarkRecord
 import mountmast.storage.Entry
 import mountmast.storage.FORMAT_VERSION
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.ImagesRecord
 import mountmast.storage.JobRecord
 import mountmast.storage.JournalRecord
 import mountmast.storage.JournalText
 import mountmast.storage.Keys
 import mountmast.storage.LeaderRecord
-import mountmast.storage.OverRecord
 import mountmast.storage.PrerequisiteLists
 import mountmast.storage.ProgressRecord
 import mountmast.storage.SnapshotPart
@@ -62,7 +63,6 @@
 import mountmast.storage.StateStore
 import mountmast.storage.TermRecord
 import mountmast.storage.Transaction
-import mountmast.storage.WatermarkRecord
 import mountmast.storage.Write
 import mountmast.transport.CommandOutcome
 import mountmast.transport.WorkerClient
@@ -105,9 +105,9 @@
                 key == "term" -> assertWhole<TermRecord>(key, value)
                 key == "types" -> assertWhole<MachineTypes>(key, value)
                 key == "snapshot" -> assertWhole<SnapshotRecord>(key, value)
-                key == "watermark" -> assertWhole<WatermarkRecord>(key, value)
+                key == "watermark" -> assertWhole<CancellationWatermarkRecord>(key, value)
                 key.startsWith("j/") -> assertWhole<JobRecord>(key, value)
-                key.startsWith("f/") -> assertWhole<OverRecord>(key, value)
+                key.startsWith("f/") -> assertWhole<FinishedJobRecord>(key, value)
                 key.startsWith("images/") -> assertWhole<ImagesRecord>(key, value)
                 key.startsWith("l/") -> assertWhole<JournalRecord>(key, value)
                 key.startsWith("s/") -> assertWhole<SnapshotPart>(key, value)
@@ -123,11 +123,11 @@
         val elected = WallTime(1_700_000_000_110)
         assertEquals(LeaderRecord(NodeId("node-0"), "254-0-0", FencingToken(1_048_576u), elected, elected), stored<LeaderRecord>(Keys.LEADER))
         assertEquals(TermRecord(FencingToken(1_048_576u)), stored<TermRecord>(Keys.TERM))
-        assertEquals(WatermarkRecord(WallTime(1_700_000_080_881)), stored<WatermarkRecord>(Keys.WATERMARK))
+        assertEquals(CancellationWatermarkRecord(WallTime(1_700_000_080_881)), stored<CancellationWatermarkRecord>(Keys.WATERMARK))
         assertEquals(SnapshotRecord(generation = 1, upTo = 48, parts = 1), stored<SnapshotRecord>(Keys.SNAPSHOT))
         assertEquals(ImagesRecord(mapOf(MachineId("vm-000002") to mapOf(ImageId("i1") to 0.5))), stored<ImagesRecord>("images/0"))
-        assertEquals(OverRecord(JobStatus.DONE, 40), stored<OverRecord>(Keys.over(JobId("j-000005"))))
-        assertEquals(OverRecord(JobStatus.CANCELLED, 4), stored<OverRecord>(Keys.over(JobId("j-000004"))))
+        assertEquals(FinishedJobRecord(JobStatus.DONE, 40), stored<FinishedJobRecord>(Keys.finished(JobId("j-000005"))))
+        assertEquals(FinishedJobRecord(JobStatus.CANCELLED, 4), stored<FinishedJobRecord>(Keys.finished(JobId("j-000004"))))
         assertEquals(JournalRecord(47, "xvm-000017 j-000001 j-000008/1 j-000008/2;"), stored<JournalRecord>(Keys.journalSlot(47)))
         assertTrue(stored<SnapshotPart>(Keys.snapshotPart(1, 0)).text().startsWith("=j-000002 0-2;%j-000008/2 1;"))
         assertEquals(ProgressRecord("j-000001 0 2;j-000002 3 0;j-000008 0 4;"), stored<ProgressRecord>(Keys.progress(0)))
@@ -177,19 +177,19 @@
     fun `messages of production are read whole, and the same ones are sent as the same bytes`() {
         val bytes = lines("messages.txt").associate { it.substringBefore(' ') to it.substringAfter(' ').hexBytes() }
         fun of(name: String) = bytes.getValue(name)
-        val plain = PeerHello("node-1", 0, serves = false, leads = false)
-        val full = PeerHello("node-2", 41L shl 20, serves = true, leads = true, listOf("j-000004", "j-000008"))
-        assertEquals(plain, ProtoBuf.decodeFromByteArray<PeerHello>(of("hello-plain")))
-        assertEquals(full, ProtoBuf.decodeFromByteArray<PeerHello>(of("hello-full")))
+        val plain = PeerHeartbeat("node-1", 0, serves = false, leads = false)
+        val full = PeerHeartbeat("node-2", 41L shl 20, serves = true, leads = true, listOf("j-000004", "j-000008"))
+        assertEquals(plain, ProtoBuf.decodeFromByteArray<PeerHeartbeat>(of("hello-plain")))
+        assertEquals(full, ProtoBuf.decodeFromByteArray<PeerHeartbeat>(of("hello-full")))
         assertEquals(0, full.formatVersion)
-        val submission = RelayRequest("POST", "/v1/jobs", """{"nameId":"j-000009","later":["é"]}""")
-        assertEquals(submission, ProtoBuf.decodeFromByteArray<RelayRequest>(of("relay-submit")))
-        val poll = RelayRequest("GET", "/v1/jobs/j-000009", "")
-        assertEquals(poll, ProtoBuf.decodeFromByteArray<RelayRequest>(of("relay-poll")))
-        val accepted = RelayAnswer(201, """{"nameId":"j-000009","status":"pending"}""")
-        assertEquals(accepted, ProtoBuf.decodeFromByteArray<RelayAnswer>(of("answer-plain")))
-        val later = RelayAnswer(503, """{"error":"try again"}""", 1)
-        assertEquals(later, ProtoBuf.decodeFromByteArray<RelayAnswer>(of("answer-full")))
+        val submission = ForwardedRequest("POST", "/v1/jobs", """{"nameId":"j-000009","later":["é"]}""")
+        assertEquals(submission, ProtoBuf.decodeFromByteArray<ForwardedRequest>(of("relay-submit")))
+        val poll = ForwardedRequest("GET", "/v1/jobs/j-000009", "")
+        assertEquals(poll, ProtoBuf.decodeFromByteArray<ForwardedRequest>(of("relay-poll")))
+        val accepted = ForwardedResponse(201, """{"nameId":"j-000009","status":"pending"}""")
+        assertEquals(accepted, ProtoBuf.decodeFromByteArray<ForwardedResponse>(of("answer-plain")))
+        val later = ForwardedResponse(503, """{"error":"try again"}""", 1)
+        assertEquals(later, ProtoBuf.decodeFromByteArray<ForwardedResponse>(of("answer-full")))
         val sent = mapOf(
             "hello-plain" to ProtoBuf.encodeToByteArray(plain),
             "hello-full" to ProtoBuf.encodeToByteArray(full),
@@ -203,15 +203,15 @@
 
     @Test
     fun `production reads the messages of this version, fields that it does not know apart`() {
-        val hello = PeerHello("node-2", 7L shl 20, serves = true, leads = true, listOf("j-000004"), FORMAT_VERSION)
-        val read = ProtoBuf.decodeFromByteArray<ProductionHello>(ProtoBuf.encodeToByteArray(hello))
+        val peerHeartbeat = PeerHeartbeat("node-2", 7L shl 20, serves = true, leads = true, listOf("j-000004"), FORMAT_VERSION)
+        val read = ProtoBuf.decodeFromByteArray<ProductionHello>(ProtoBuf.encodeToByteArray(peerHeartbeat))
         assertEquals(ProductionHello("node-2", 7L shl 20, serves = true, leads = true, listOf("j-000004")), read)
-        val request = RelayRequest("POST", "/v1/jobs", """{"nameId":"j-1"}""")
+        val request = ForwardedRequest("POST", "/v1/jobs", """{"nameId":"j-1"}""")
         assertEquals(
             ProductionRelayRequest(request.method, request.path, request.body),
             ProtoBuf.decodeFromByteArray<ProductionRelayRequest>(ProtoBuf.encodeToByteArray(request)),
         )
-        val answer = RelayAnswer(503, """{"error":"later"}""", 1)
+        val answer = ForwardedResponse(503, """{"error":"later"}""", 1)
         assertEquals(
             ProductionRelayAnswer(answer.status, answer.body, answer.retryAfterS),
             ProtoBuf.decodeFromByteArray<ProductionRelayAnswer>(ProtoBuf.encodeToByteArray(answer)),
@@ -241,32 +241,32 @@
         }
         val leaderTerm = loaded(world.store.View(Random(1), Trouble(world.time)))
         val byProduction = replayedByProduction(written)
-        val ours = leaderTerm.ledger.jobs.values.flatMap { job ->
+        val ours = leaderTerm.cluster.jobs.values.flatMap { job ->
             job.live.values.map { "${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone}" }
         }
-        val theirs = byProduction.placed.filterKeys { JobId(it.job.text) in leaderTerm.ledger.jobs }
+        val theirs = byProduction.placed.filterKeys { JobId(it.job.text) in leaderTerm.cluster.jobs }
             .map { (task, at) -> "$task ${at.machine} ${at.session} ${at.attempt} ${at.zone}" }
         assertEquals(theirs.sorted(), ours.sorted())
-        for (job in leaderTerm.ledger.jobs.values) {
+        for (job in leaderTerm.cluster.jobs.values) {
             assertEquals(byProduction.done[mountmast.standin.production.JobId(job.id.text)] ?: java.util.BitSet(), job.done)
         }
     }
 
     private fun replayedByProduction(written: List<Entry>): ProductionLedger {
-        val ledger = ProductionLedger()
+        val cluster = ProductionLedger()
         val snapshot = written.firstOrNull { it.key == "snapshot" }
             ?.let { WireJson.decodeFromJsonElement<mountmast.standin.production.SnapshotRecord>(it.value) }
         if (snapshot != null) {
             val parts = written.filter { it.key.startsWith("s/${snapshot.generation % 2}/") }.take(snapshot.parts)
             for (part in parts) {
-                ledger.read(part.key, WireJson.decodeFromJsonElement<mountmast.standin.production.SnapshotPart>(part.value).text)
+                cluster.read(part.key, WireJson.decodeFromJsonElement<mountmast.standin.production.SnapshotPart>(part.value).text)
             }
         }
         written.filter { it.key.startsWith("l/") }
             .map { WireJson.decodeFromJsonElement<mountmast.standin.production.JournalRecord>(it.value) }
             .filter { it.number > (snapshot?.upTo ?: 0) }.sortedBy { it.number }
-            .forEach { ledger.read("record ${it.number}", it.text) }
-        return ledger
+            .forEach { cluster.read("record ${it.number}", it.text) }
+        return cluster
     }
 
     /** Whether [whole] holds all that [part] does; it may hold more fields. */
@@ -307,10 +307,10 @@
         when {
             key.startsWith(
                 Keys.JOURNAL,
-            ) -> JournalText.read(stored<JournalRecord>(key).text(), JournalReplay(Ledger(0.5), MonotonicTime(0)))
+            ) -> JournalText.read(stored<JournalRecord>(key).text(), JournalReplay(ClusterState(0.5), MonotonicTime(0)))
             key.startsWith(
                 Keys.SNAPSHOT_PARTS,
-            ) -> JournalText.read(stored<SnapshotPart>(key).text(), JournalReplay(Ledger(0.5), MonotonicTime(0)))
+            ) -> JournalText.read(stored<SnapshotPart>(key).text(), JournalReplay(ClusterState(0.5), MonotonicTime(0)))
             else -> 0
         }
     }
@@ -332,7 +332,7 @@
     private fun describe(leaderTerm: LeaderTerm): List<String> {
         val journal = leaderTerm.journal
         val lines = arrayListOf("journal next ${journal.next} snapshotUpTo ${journal.snapshotUpTo} generation ${journal.generation}")
-        for (job in leaderTerm.ledger.jobs.values.sortedBy { it.id }) {
+        for (job in leaderTerm.cluster.jobs.values.sortedBy { it.id }) {
             lines += "job ${job.id} cancelled ${job.cancelled} done ${job.done}"
             for (it in job.evictions.int2IntEntrySet().sortedBy { it.intKey }) lines += "evicted ${job.id}/${it.intKey} ${it.intValue}"
             for (it in job.live.values.sortedBy { it.index }) {
--- a/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
@@ -82,12 +82,12 @@
                     world.store.overRate,
                 ),
             )
-            println("$name: ${unwritten()} changes wait")
+            println("$name: ${pendingChanges()} changes wait")
             assertEquals(0, world.store.overRate, "requests over the rates")
             assertEquals(0, world.store.tooLarge, "transactions over the limits")
             assertTrue(ofLeader <= share, "$ofLeader of $share")
             assertTrue(started > perSecond * 0.85, "$started starts a second")
-            assertTrue(unwritten() < perSecond * 5, "${unwritten()} changes wait")
+            assertTrue(pendingChanges() < perSecond * 5, "${pendingChanges()} changes wait")
             assertEquals(refusedBefore, refused, "submissions refused")
             assertTrue((perKind[WriteKind.PROGRESS] ?: 0.0) >= 0.3, "progress is told")
             assertTrue((perKind[WriteKind.WATERMARK] ?: 0.0) >= 0.3, "the watermark is written")
@@ -95,7 +95,7 @@
             return perKind
         }
 
-        private fun unwritten() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }.ledger.unwritten.size
+        private fun pendingChanges() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }.cluster.pendingChanges.size
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/state/LedgerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -25,13 +25,13 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class LedgerTest {
-    private val ledger = Ledger(0.7)
+class ClusterStateTest {
+    private val cluster = ClusterState(0.7)
     private val spec = World(1).job(1) { it.copy(shape = Shape.ARRAY, tasks = 20, estimateS = 1.0) }
-    private val job = ledger.putJob(JobRecord(spec, WallTime(0)), ModRevision(1u), MonotonicTime(0))
+    private val job = cluster.putJob(JobRecord(spec, WallTime(0)), ModRevision(1u), MonotonicTime(0))
     private var sequence = 0uL
 
-    private fun heartbeat(machine: String, at: Long, vararg tasks: ReportedTask, incarnation: ULong = 1u): Boolean = HeartbeatReconciler(ledger).take(
+    private fun heartbeat(machine: String, at: Long, vararg tasks: ReportedTask, incarnation: ULong = 1u): Boolean = HeartbeatReconciler(cluster).take(
         Heartbeat(
             MachineId(
                 machine,
@@ -42,7 +42,7 @@
     )
 
     private fun place(index: Int, machine: String, at: Long): Assignment =
-        ledger.assign(job, index, ledger.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
+        cluster.assign(job, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
             phase = Phase.COMMITTED
             written = true
         }
@@ -66,10 +66,10 @@
         val assignment = place(0, "vm-1", 0)
         heartbeat("vm-1", 100, assignment.shown(TaskState.EXITED, ExitCause.STOPPED))
         assertEquals(Phase.ENDED, assignment.phase)
-        assertEquals(spec.cpus, ledger.use(spec.team).cpus)
+        assertEquals(spec.cpus, cluster.use(spec.team).cpus)
         assertFalse(job.open.get(0))
-        ledger.release(assignment, MonotonicTime(200))
-        assertEquals(0.0, ledger.use(spec.team).cpus)
+        cluster.release(assignment, MonotonicTime(200))
+        assertEquals(0.0, cluster.use(spec.team).cpus)
         assertTrue(job.open.get(0))
         assertTrue(place(0, "vm-1", 300).attempt > assignment.attempt, "attempts are never reused")
     }
@@ -81,15 +81,15 @@
         val assignment = place(0, "vm-1", 0)
         heartbeat("vm-1", 50_000, incarnation = 2u)
         assertEquals(Phase.ENDED, assignment.phase)
-        assertEquals(MonotonicTime(50_000), ledger.machines.getValue(MachineId("vm-1")).answeredAt)
+        assertEquals(MonotonicTime(50_000), cluster.machines.getValue(MachineId("vm-1")).answeredAt)
     }
 
     @Test
     fun `a deleted machine is not brought back by a late report`() {
         heartbeat("vm-1", 0)
-        ledger.markDeleted(MachineId("vm-1"), MonotonicTime(100))
+        cluster.markDeleted(MachineId("vm-1"), MonotonicTime(100))
         assertFalse(heartbeat("vm-1", 200))
-        assertTrue(ledger.machines.isEmpty())
+        assertTrue(cluster.machines.isEmpty())
     }
 
     @Test
@@ -100,11 +100,11 @@
             val assignment = place(index, machine, from)
             heartbeat(machine, from, assignment.shown(TaskState.RUNNING))
             heartbeat(machine, from + ms, assignment.shown(TaskState.EXITED, ExitCause.DONE))
-            ledger.release(assignment, MonotonicTime(from + ms))
+            cluster.release(assignment, MonotonicTime(from + ms))
         }
         repeat(2) { runOn("vm-0", it, 1000) }
         for (number in 1..4) repeat(2) { runOn("vm-$number", number * 2 + it, 60_000) }
-        assertEquals(listOf("vm-1", "vm-2"), ledger.machines.values.filter { it.quarantined }.map { it.id.text })
+        assertEquals(listOf("vm-1", "vm-2"), cluster.machines.values.filter { it.quarantined }.map { it.id.text })
     }
 
     @Test
@@ -116,19 +116,19 @@
         }
         assertTrue(job.poisoned)
         assertTrue(job.notBefore > MonotonicTime(4000))
-        assertTrue(ledger.machines.values.none { it.quarantined })
-        assertTrue(ledger.machines.getValue(MachineId("vm-4")).strikes.isEmpty())
+        assertTrue(cluster.machines.values.none { it.quarantined })
+        assertTrue(cluster.machines.getValue(MachineId("vm-4")).strikes.isEmpty())
     }
 
     @Test
     fun `to a leader just elected a late copy of a report proves nothing`() {
         // It has heard nobody yet, so it cannot tell a copy from news: nothing may hang on which one it is.
-        val replay = JournalReplay(ledger, MonotonicTime(0))
+        val replay = JournalReplay(cluster, MonotonicTime(0))
         replay.started(TaskId(spec.id, 3), MachineId("vm-7"), WorkerIncarnation(3u), Attempt(9u), Zone("a"))
         assertTrue(heartbeat("vm-7", 100, incarnation = 2u))
         val assignment = job.live.get(3)
         assertEquals(Phase.COMMITTED, assignment.phase, "a copy from an older session ended a newer one's task")
-        val machine = ledger.machines.getValue(MachineId("vm-7"))
+        val machine = cluster.machines.getValue(MachineId("vm-7"))
         assertFalse(machine.usable(MonotonicTime(200)), "a machine that may be long gone would get work")
         assertTrue(heartbeat("vm-7", 300, assignment.shown(TaskState.RUNNING), incarnation = 3u))
         assertEquals(Phase.COMMITTED, assignment.phase)
@@ -139,7 +139,7 @@
     @Test
     fun `failures on a machine that proves sick are not held against its jobs`() {
         val others = (2..4).map {
-            ledger.putJob(
+            cluster.putJob(
                 JobRecord(
                     World(1).job(it) { s ->
                         s.copy(shape = Shape.ARRAY, tasks = 9)
@@ -152,13 +152,13 @@
         }
         fun fails(of: Job, index: Int, machine: String, at: Long) {
             heartbeat(machine, at)
-            val assignment = ledger.assign(of, index, ledger.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
+            val assignment = cluster.assign(of, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
                 phase =
                     Phase.COMMITTED
                 written = true
             }
             heartbeat(machine, at + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
-            ledger.release(assignment, MonotonicTime(at + 20))
+            cluster.release(assignment, MonotonicTime(at + 20))
         }
         for ((i, machine) in listOf("vm-1", "vm-2", "vm-3").withIndex()) fails(job, i, machine, i * 5000L)
         assertTrue(job.poisoned)
@@ -166,7 +166,7 @@
             fails(others[i], 0, machine, 20_000L + i * 10_000)
             fails(others[(i + 1) % 3], 1, machine, 25_000L + i * 10_000)
         }
-        assertEquals(3, ledger.machines.values.count { it.quarantined })
+        assertEquals(3, cluster.machines.values.count { it.quarantined })
         assertFalse(job.poisoned)
         assertTrue(job.notBefore <= MonotonicTime(0), "still backed off for its bad company")
     }
--- a/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
@@ -9,8 +9,8 @@
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
 import mountmast.standin.World
+import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JobRecord
-import mountmast.storage.OverRecord
 import mountmast.storage.PrerequisiteListRef
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test
 
 class JobDependenciesTest {
-    private val ledger = Ledger(0.7)
-    private val dependencies = JobDependencies(ledger)
+    private val cluster = ClusterState(0.7)
+    private val dependencies = JobDependencies(cluster)
     private val world = World(1)
     private val now = MonotonicTime(5000)
 
@@ -34,14 +34,14 @@
 
     private fun add(number: Int, vararg needs: Int, change: (JobSpec) -> JobSpec = { it }): Job {
         val record = record(number, needs.map(::id), change)
-        return ledger.putJob(record, ModRevision(1u), now).also { dependencies.added(it, record, now) }
+        return cluster.putJob(record, ModRevision(1u), now).also { dependencies.added(it, record, now) }
     }
 
     private fun end(number: Int, status: JobStatus = JobStatus.DONE, at: Long = 0) {
-        val record = OverRecord(status, 1, WallTime(at))
-        ledger.jobs[id(number)]?.let { job ->
+        val record = FinishedJobRecord(status, 1, WallTime(at))
+        cluster.jobs[id(number)]?.let { job ->
             dependencies.removed(job)
-            ledger.dropJob(job, now)
+            cluster.removeJob(job, now)
         }
         dependencies.ended(id(number), record, now)
     }
@@ -66,7 +66,7 @@
         assertEquals(emptyList<JobId>(), dependencies.takeUnresolved(10, now))
         assertEquals(listOf(id(1)), dependencies.takeUnresolved(10, now + 1000))
         // A record that an earlier version wrote does not tell when the job ended.
-        dependencies.ended(id(1), OverRecord(JobStatus.DONE, 1), now)
+        dependencies.ended(id(1), FinishedJobRecord(JobStatus.DONE, 1), now)
         assertTrue(job.isReleased)
         assertEquals(job.submitted, job.waitingFrom)
     }
@@ -84,7 +84,7 @@
     fun `a job whose list is kept apart waits until the list is read`() {
         add(1)
         val record = record(2, emptyList()).copy(prerequisiteList = PrerequisiteListRef("d", 1))
-        val job = ledger.putJob(record, ModRevision(1u), now)
+        val job = cluster.putJob(record, ModRevision(1u), now)
         dependencies.added(job, record, now)
         assertFalse(job.isReleased)
         assertEquals(listOf(id(2)), dependencies.unreadLists().map { it.spec.id })
@@ -99,9 +99,9 @@
         add(0)
         val chain = (1..2000).map { add(it, it - 1) }
         val fan = (3001..5000).map { add(it, 1000) }
-        ledger.jobs.getValue(id(0)).cancel(WallTime(0), recorded = true)
-        dependencies.cancelled(ledger.jobs.getValue(id(0)))
-        assertTrue((chain + fan).all { it.cancelRecorded && it in ledger.finishing })
+        cluster.jobs.getValue(id(0)).cancel(WallTime(0), recorded = true)
+        dependencies.cancelled(cluster.jobs.getValue(id(0)))
+        assertTrue((chain + fan).all { it.cancelRecorded && it in cluster.finishing })
     }
 
     @Test
@@ -112,7 +112,7 @@
         assertTrue(add(3, 1).cancelRecorded)
         val unknown = add(5, 4)
         assertFalse(unknown.cancelRecorded)
-        dependencies.ended(id(4), OverRecord(JobStatus.CANCELLED, 1), now)
+        dependencies.ended(id(4), FinishedJobRecord(JobStatus.CANCELLED, 1), now)
         assertTrue(unknown.cancelRecorded)
     }
 
@@ -139,14 +139,14 @@
     @Test
     fun `they reach them in whatever order the jobs become known`() {
         for (order in listOf(listOf(1, 2, 3, 4), listOf(4, 3, 2, 1), listOf(3, 1, 4, 2))) {
-            val ledger = Ledger(0.7)
-            val dependencies = JobDependencies(ledger)
+            val cluster = ClusterState(0.7)
+            val dependencies = JobDependencies(cluster)
             for (number in order) {
                 val needs = if (number == 1) emptyList() else listOf(id(number - 1))
                 val record = record(number, needs) { if (number == 4) it.copy(deadlineS = 100.0) else it }
-                dependencies.added(ledger.putJob(record, ModRevision(1u), now), record, now)
+                dependencies.added(cluster.putJob(record, ModRevision(1u), now), record, now)
             }
-            assertEquals(70_000L, ledger.jobs.getValue(id(1)).effectiveDue?.ms, "$order")
+            assertEquals(70_000L, cluster.jobs.getValue(id(1)).effectiveDue?.ms, "$order")
         }
     }
 
@@ -170,8 +170,8 @@
             end(2 * number)
             end(2 * number + 1)
         }
-        assertTrue(ledger.jobs.isEmpty())
-        assertFalse(dependencies.isRememberedAsOver(id(0)))
+        assertTrue(cluster.jobs.isEmpty())
+        assertFalse(dependencies.isRememberedAsFinished(id(0)))
         assertEquals(emptyList<JobId>(), dependencies.takeUnresolved(10, now + 10_000))
     }
 }
--- a/src/test/kotlin/mountmast/soak/StoreServer.kt
+++ b/src/test/kotlin/mountmast/soak/StoreServer.kt
@@ -45,10 +45,10 @@
     private fun answer(request: StandInRequest): StandInAnswer? = try {
         route(request)
     } catch (e: StoreException) {
-        refusal(e)
+        errorBody(e)
     }
 
-    private fun refusal(reason: StoreException): StandInAnswer? = when (reason) {
+    private fun errorBody(reason: StoreException): StandInAnswer? = when (reason) {
         is StoreTimeoutException -> {
             // Carried out or not, now or later: the caller is not told.
             Thread.sleep(SILENT_MS)
--- a/src/test/kotlin/mountmast/standin/ControllerSeat.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerSeat.kt
@@ -77,7 +77,7 @@
         Step(1000L) { running.lead() },
         Step(1000L) { running.refresh() },
         Step(100L) { if (!loadsNothing) running.load() },
-        Step(2000L) { running.greet() },
+        Step(2000L) { running.exchangePeerHeartbeats() },
         Step(300L) { running.pass() },
         Step(100L) { running.write() },
         Step(150L) { if (running.watch(0)) running.resolvePrerequisites() },
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/Network.kt
@@ -7,18 +7,18 @@
 import mountmast.coordination.controller.Controller
 import mountmast.protocol.CommandRequest
 import mountmast.protocol.CommandType
+import mountmast.protocol.ForwardedRequest
+import mountmast.protocol.ForwardedResponse
 import mountmast.protocol.Heartbeat
 import mountmast.protocol.Member
-import mountmast.protocol.PeerHello
-import mountmast.protocol.RelayAnswer
-import mountmast.protocol.RelayRequest
+import mountmast.protocol.PeerHeartbeat
 import mountmast.protocol.TaskId
 import mountmast.protocol.WireJson
 import mountmast.protocol.WorkerCommand
 import mountmast.protocol.Zone
 import mountmast.transport.CommandOutcome
 import mountmast.transport.HeartbeatOutcome
-import mountmast.transport.Peers
+import mountmast.transport.PeerClient
 import mountmast.transport.WorkerClient
 
 /** What connects the controllers of a [World] with its workers and with one another. */
@@ -115,7 +115,7 @@
     }
 
     /** The other controllers as the process that [trouble] ails reaches them. */
-    fun peersOf(seat: ControllerSeat, trouble: Trouble) = object : Peers {
+    fun peersOf(seat: ControllerSeat, trouble: Trouble) = object : PeerClient {
         private fun reach(to: Member) = world.seats.first { it.name == to.node }.takeIf {
             !areApart(it.zone, seat.zone) &&
                 !trouble.stalled() &&
@@ -124,32 +124,32 @@
                 !it.trouble.cutFromPeers()
         }
 
-        override fun hello(to: Member, hello: PeerHello): PeerHello? {
+        override fun exchangeHeartbeats(to: Member, heartbeat: PeerHeartbeat): PeerHeartbeat? {
             val peer = reach(to) ?: return null
-            time.record { "greeting ${seat.number} ${peer.number} ${ProtoBuf.encodeToHexString(hello)}" }
-            val answer = peer.controller?.hello(asTold(hello, seat, peer)) ?: return null
+            time.record { "greeting ${seat.number} ${peer.number} ${ProtoBuf.encodeToHexString(heartbeat)}" }
+            val answer = peer.controller?.onPeerHeartbeat(asTold(heartbeat, seat, peer)) ?: return null
             time.record { "greeting ${seat.number} ${peer.number} answered ${ProtoBuf.encodeToHexString(answer)}" }
             return asTold(answer, peer, seat)
         }
 
-        private fun asTold(hello: PeerHello, from: ControllerSeat, to: ControllerSeat): PeerHello {
-            val told = to.version.hello(from.version.hello(hello))
+        private fun asTold(heartbeat: PeerHeartbeat, from: ControllerSeat, to: ControllerSeat): PeerHeartbeat {
+            val told = to.version.peerHeartbeat(from.version.peerHeartbeat(heartbeat))
             return if (world.agreesOnForms) told else told.copy(formatVersion = 0)
         }
 
-        override fun relay(to: Member, request: RelayRequest): RelayAnswer? {
+        override fun forward(to: Member, request: ForwardedRequest): ForwardedResponse? {
             val peer = reach(to) ?: return null
             val users = peer.controller?.users ?: return null
-            val read = peer.version.relayRequest(seat.version.relayRequest(request))
+            val read = peer.version.forwardedRequest(seat.version.forwardedRequest(request))
             time.record { "relay ${seat.number} ${peer.number} ${read.method} ${read.path} ${read.body}" }
             val id = read.path.removePrefix("/v1/jobs/").removeSuffix("/cancel")
             val answer = when {
-                read.path == "/v1/jobs" -> users.submit(read.body, relayed = true)
-                read.method == "POST" -> users.cancel(id, relayed = true)
-                else -> users.status(id, relayed = true)
+                read.path == "/v1/jobs" -> users.submit(read.body, isForwarded = true)
+                read.method == "POST" -> users.cancel(id, isForwarded = true)
+                else -> users.status(id, isForwarded = true)
             }
             time.record { "relay ${seat.number} ${peer.number} answered ${answer.status} ${answer.retryAfterS} ${answer.body}" }
-            return seat.version.relayAnswer(peer.version.relayAnswer(RelayAnswer(answer.status, answer.body, answer.retryAfterS)))
+            return seat.version.forwardedResponse(peer.version.forwardedResponse(ForwardedResponse(answer.status, answer.body, answer.retryAfterS)))
         }
     }
 
