--- a/src/test/kotlin/mountmast/standin/NodeVersion.kt
+++ b/src/test/kotlin/mountmast/standin/NodeVersion.kt
@@ -4,9 +4,9 @@
 import kotlinx.serialization.decodeFromByteArray
 import kotlinx.serialization.encodeToByteArray
 import kotlinx.serialization.protobuf.ProtoBuf
-import mountmast.protocol.PeerHello
-import mountmast.protocol.RelayAnswer
-import mountmast.protocol.RelayRequest
+import mountmast.protocol.ForwardedRequest
+import mountmast.protocol.ForwardedResponse
+import mountmast.protocol.PeerHeartbeat
 import mountmast.protocol.StateLimits
 import mountmast.standin.production.BrokenContract
 import mountmast.standin.production.ProductionForms
@@ -22,13 +22,13 @@
 
         override fun limits(limits: FallingLimits) = limits.present
 
-        override fun hello(hello: PeerHello): PeerHello =
-            ProtoBuf.decodeFromByteArray(ProductionForms.passHello(ProtoBuf.encodeToByteArray(hello)))
+        override fun peerHeartbeat(peerHeartbeat: PeerHeartbeat): PeerHeartbeat =
+            ProtoBuf.decodeFromByteArray(ProductionForms.passHello(ProtoBuf.encodeToByteArray(peerHeartbeat)))
 
-        override fun relayRequest(request: RelayRequest): RelayRequest =
+        override fun forwardedRequest(request: ForwardedRequest): ForwardedRequest =
             whole(request, ProtoBuf.decodeFromByteArray(ProductionForms.passRelayRequest(ProtoBuf.encodeToByteArray(request))))
 
-        override fun relayAnswer(answer: RelayAnswer): RelayAnswer =
+        override fun forwardedResponse(answer: ForwardedResponse): ForwardedResponse =
             whole(answer, ProtoBuf.decodeFromByteArray(ProductionForms.passRelayAnswer(ProtoBuf.encodeToByteArray(answer))))
 
         private fun <T> whole(sent: T, read: T): T {
@@ -46,12 +46,12 @@
     /** What a process of this version keeps to. */
     open fun limits(limits: FallingLimits): StateLimits = limits.known
 
-    /** [hello] as a process of this version sends or reads it. */
-    open fun hello(hello: PeerHello): PeerHello = hello
+    /** [peerHeartbeat] as a process of this version sends or reads it. */
+    open fun peerHeartbeat(peerHeartbeat: PeerHeartbeat): PeerHeartbeat = peerHeartbeat
 
     /** [request] as a process of this version sends or reads it; it loses nothing of it. */
-    open fun relayRequest(request: RelayRequest): RelayRequest = request
+    open fun forwardedRequest(request: ForwardedRequest): ForwardedRequest = request
 
     /** [answer] as a process of this version sends or reads it; it loses nothing of it. */
-    open fun relayAnswer(answer: RelayAnswer): RelayAnswer = answer
+    open fun forwardedResponse(answer: ForwardedResponse): ForwardedResponse = answer
 }
--- a/src/test/kotlin/mountmast/standin/StandInWorker.kt
+++ b/src/test/kotlin/mountmast/standin/StandInWorker.kt
@@ -187,20 +187,20 @@
 
     private fun start(task: TaskId, attempt: Attempt, known: Running?) {
         val spec = jobOf(task.job)
-        val refusal = when {
+        val errorBody = when {
             spec == null || task.index >= spec.tasks -> ExitCause.UNKNOWN
             known != null && known.state != TaskState.EXITED -> ExitCause.BUSY
             !spec.perTask.fitsIn(room()) -> ExitCause.NO_ROOM
             else -> null
         }
         if (spec == null) return
-        if (refusal == ExitCause.BUSY) return
+        if (errorBody == ExitCause.BUSY) return
         val fetchMs = if (spec.image in images) 0L else (spec.imageGb / type.fetchGbPerS * 1000).toLong()
         val running = Running(attempt, spec, TaskState.FETCHING, fetchMs)
         tasks[task] = running
-        if (refusal != null) {
+        if (errorBody != null) {
             running.state = TaskState.EXITED
-            running.cause = refusal
+            running.cause = errorBody
         } else if (fetchMs == 0L) {
             begin(task, running)
         }
--- a/src/test/kotlin/mountmast/standin/Users.kt
+++ b/src/test/kotlin/mountmast/standin/Users.kt
@@ -56,7 +56,7 @@
         jobs[spec.id] = spec
         rules.submitting(spec, time.now)
         val answer =
-            ask("submit", spec.id, SUBMIT_WAITS_MS, at) { it.users.submit(WireJson.encodeToString(spec), relayed = false) } ?: return null
+            ask("submit", spec.id, SUBMIT_WAITS_MS, at) { it.users.submit(WireJson.encodeToString(spec), isForwarded = false) } ?: return null
         rules.submissionAnswered(spec.id, answer.status)
         if (answer.status in 200..201) accepted += spec.id
         answer.state()?.let { rules.statusAnswered(spec.id, answer.status, it, time.now) }
@@ -75,7 +75,7 @@
     /** The status that a cancellation gets, or null where no answer comes in time. */
     fun cancel(id: JobId, at: ControllerSeat? = null): Int? {
         rules.cancelling(id)
-        val answer = ask("cancel", id, SUBMIT_WAITS_MS, at) { it.users.cancel(id.text, relayed = false) } ?: return null
+        val answer = ask("cancel", id, SUBMIT_WAITS_MS, at) { it.users.cancel(id.text, isForwarded = false) } ?: return null
         rules.statusAnswered(id, answer.status, answer.state(), time.now)
         if (answer.status == 200) cancelled += id
         return answer.status
@@ -84,7 +84,7 @@
     /** The state that a user is told, or null where no answer comes in time. */
     fun poll(id: JobId, at: ControllerSeat? = null): JobStatus? {
         val askedAt = time.now
-        val answer = ask("status", id, POLL_WAITS_MS, at) { it.users.status(id.text, relayed = false) }
+        val answer = ask("status", id, POLL_WAITS_MS, at) { it.users.status(id.text, isForwarded = false) }
         rules.asked(id, answer?.status == 200, time.now)
         if (answer == null) return null
         rules.statusAnswered(id, answer.status, answer.state(), time.now, askedAt)
@@ -122,7 +122,7 @@
             2 -> WireJson.encodeToJsonElement(good.copy(team = TeamId("nobody"))).jsonObject
             else -> WireJson.encodeToJsonElement(good.copy(types = listOf(TypeId("s")), memoryGb = 17.0)).jsonObject
         }
-        val answer = ask("odd", good.id, SUBMIT_WAITS_MS) { it.users.submit(odd.toString(), relayed = false) } ?: return
+        val answer = ask("odd", good.id, SUBMIT_WAITS_MS) { it.users.submit(odd.toString(), isForwarded = false) } ?: return
         rules.oddAnswered(odd.toString(), answer.status)
     }
 
--- a/src/test/kotlin/mountmast/standin/production/ProductionStore.kt
+++ b/src/test/kotlin/mountmast/standin/production/ProductionStore.kt
@@ -49,7 +49,7 @@
 
     private fun read(key: String, value: JsonElement): JsonElement {
         val read = ProductionForms.pass(key, value)
-        val lost = lostFields(value, read) - if (key.startsWith(OVER)) FIELDS_FOR_LATER_VERSIONS else emptySet()
+        val lost = lostFields(value, read) - if (key.startsWith(FINISHED)) FIELDS_FOR_LATER_VERSIONS else emptySet()
         if (lost.isNotEmpty()) throw BrokenContract("production reads past $lost of $key: $value")
         return read
     }
@@ -76,7 +76,7 @@
     override fun revokeLease(storeLease: StoreLeaseId) = inner.revokeLease(storeLease)
 
     private companion object {
-        const val OVER = "f/"
+        const val FINISHED = "f/"
 
         /** When a job ended and whether it was a service: production has no use for either and loses nothing by it. */
         val FIELDS_FOR_LATER_VERSIONS = setOf("at", "sv")
--- a/src/test/kotlin/mountmast/transport/PeersTest.kt
+++ b/src/test/kotlin/mountmast/transport/PeerClientTest.kt
@@ -3,7 +3,7 @@
 import com.sun.net.httpserver.HttpServer
 import mountmast.protocol.Member
 import mountmast.protocol.NodeId
-import mountmast.protocol.PeerHello
+import mountmast.protocol.PeerHeartbeat
 import mountmast.protocol.Zone
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -11,16 +11,16 @@
 import java.net.InetAddress
 import java.net.InetSocketAddress
 
-class PeersTest {
+class PeerClientTest {
     @Test
     fun `a greeting is answered, and nonsense or silence counts as no answer`() {
         var nonsense = false
-        val own = PeerHello("n-2", 7, serves = true, leads = false)
+        val own = PeerHeartbeat("n-2", 7, serves = true, leads = false)
         val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0)
         val users = object : UserService {
-            override fun submit(body: String, relayed: Boolean) = UserAnswer(201, "{}")
-            override fun status(id: String, relayed: Boolean) = UserAnswer(404, "{}")
-            override fun cancel(id: String, relayed: Boolean) = UserAnswer(200, "{}")
+            override fun submit(body: String, isForwarded: Boolean) = UserAnswer(201, "{}")
+            override fun status(id: String, isForwarded: Boolean) = UserAnswer(404, "{}")
+            override fun cancel(id: String, isForwarded: Boolean) = UserAnswer(200, "{}")
             override fun ready() = true
         }
         val real = org.http4k.server.HttpExchangeHandler(peerRoutes(users) { own })
@@ -31,11 +31,11 @@
         }
         server.start()
         val member = Member(NodeId("n-2"), Zone("a"), InetSocketAddress(InetAddress.getLoopbackAddress(), server.address.port))
-        val hello = PeerHello("n-1", 3, serves = false, leads = true)
-        assertEquals(own, HttpPeers().hello(member, hello))
+        val heartbeat = PeerHeartbeat("n-1", 3, serves = false, leads = true)
+        assertEquals(own, HttpPeerClient().exchangeHeartbeats(member, heartbeat))
         nonsense = true
-        assertNull(HttpPeers().hello(member, hello))
+        assertNull(HttpPeerClient().exchangeHeartbeats(member, heartbeat))
         server.stop(0)
-        assertNull(HttpPeers().hello(member, hello))
+        assertNull(HttpPeerClient().exchangeHeartbeats(member, heartbeat))
     }
 }
--- a/src/test/kotlin/mountmast/transport/RoutesTest.kt
+++ b/src/test/kotlin/mountmast/transport/RoutesTest.kt
@@ -18,7 +18,7 @@
     private val entered = CountDownLatch(MOST)
 
     private inner class Users : UserService {
-        override fun submit(body: String, relayed: Boolean): UserAnswer {
+        override fun submit(body: String, isForwarded: Boolean): UserAnswer {
             if (body == "block") {
                 entered.countDown()
                 blocked.await(10, TimeUnit.SECONDS)
@@ -27,8 +27,8 @@
             return UserAnswer(201, "{}")
         }
 
-        override fun status(id: String, relayed: Boolean) = UserAnswer(404, refusal("no such job"))
-        override fun cancel(id: String, relayed: Boolean) = UserAnswer(200, id)
+        override fun status(id: String, isForwarded: Boolean) = UserAnswer(404, errorBody("no such job"))
+        override fun cancel(id: String, isForwarded: Boolean) = UserAnswer(200, id)
         override fun ready() = true
     }
 
