--- a/src/main/kotlin/mountmast/coordination/autoscaling/Fleet.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/Fleet.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination.autoscaling
 
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaseTiming
 import mountmast.protocol.Clock
 import mountmast.transport.Cloud
 import mountmast.transport.CloudException
@@ -19,7 +19,7 @@
     /** Begins the names of rental requests; no other process ever uses the same. */
     rentalPrefix: String,
     policy: FleetPolicy,
-    timing: Timing,
+    timing: LeaseTiming,
     /** Calls a second that the cloud takes. */
     cloudRatePerS: Double,
 ) {
--- a/src/main/kotlin/mountmast/coordination/autoscaling/FleetInventory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/FleetInventory.kt
@@ -76,7 +76,7 @@
         machine.rentedAt = now + -(listed.ageS * MS_PER_S).toLong()
         machine.knownAt = now
         machine.address = listed.address
-        machine.answeredAt = known?.answeredAt ?: now
+        machine.leaseRenewedAt = known?.leaseRenewedAt ?: now
         known?.let(machine::takeOver)
         cluster.recalledImages.remove(listed.id)?.let(machine::recallImages)
         machine.listedRunning = listed.state == ListedState.RUNNING
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineRentals.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineRentals.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination.autoscaling
 
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
 import mountmast.protocol.MonotonicTime
@@ -22,7 +22,7 @@
     private val context: AutoscalingContext,
     private val cloud: Cloud,
     private val policy: FleetPolicy,
-    timing: Timing,
+    timing: LeaseTiming,
     history: OfferHistory,
     /** Begins the names of rental requests. */
     private val requestPrefix: String,
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineReturns.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineReturns.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination.autoscaling
 
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
 import mountmast.protocol.Clock
@@ -22,7 +22,7 @@
     private val cloud: Cloud,
     private val clock: Clock,
     private val policy: FleetPolicy,
-    private val timing: Timing,
+    private val timing: LeaseTiming,
     private val history: OfferHistory,
     /** Calls to the cloud that a round may make. */
     private val callsPerRound: Int,
--- a/src/main/kotlin/mountmast/coordination/autoscaling/RentalPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/RentalPlanner.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination.autoscaling
 
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.state.Job
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
@@ -13,7 +13,7 @@
  */
 class RentalPlanner(
     private val context: AutoscalingContext,
-    private val timing: Timing,
+    private val timing: LeaseTiming,
     private val history: OfferHistory,
     /** How many machines can be rented in a round at most. */
     private val mostPerRound: Int,
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -2,8 +2,8 @@
 
 import mountmast.coordination.autoscaling.Fleet
 import mountmast.coordination.autoscaling.FleetPolicy
-import mountmast.coordination.election.Leadership
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaderElection
+import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.jobs.JobRecordPrefetcher
 import mountmast.coordination.jobs.JobService
 import mountmast.coordination.membership.CancellationBroadcast
@@ -13,7 +13,7 @@
 import mountmast.coordination.scheduling.Policy
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.TaskLosses
-import mountmast.coordination.workers.LeaseHelper
+import mountmast.coordination.workers.LeaseRenewalDelegate
 import mountmast.protocol.Clock
 import mountmast.protocol.FencingToken
 import mountmast.protocol.Heartbeat
@@ -58,13 +58,13 @@
     metrics: Metrics = Metrics(),
 ) : HeartbeatService,
     PeerService {
-    private val timing = Timing.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.heartbeatIntervalS)
+    private val timing = LeaseTiming.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.heartbeatIntervalS)
     private val losses = TaskLosses(metrics)
     private val invariants = Invariants(metrics)
     private val wakeLag = metrics.timing(MetricNames.WAKE_LAG)
-    private val leadership = Leadership(store, settings.node, run, timing, clock, metrics)
+    private val election = LeaderElection(store, settings.node, run, timing, clock, metrics)
     private val cancellations = CancellationBroadcast(settings.members.map { it.node }, clock, timing.cancellationBroadcastMs)
-    private val helper = LeaseHelper(leadership, cancellations)
+    private val leaseRenewalDelegate = LeaseRenewalDelegate(election, cancellations)
 
     /** Whether every node of the deployment reads the current forms. */
     val formats = FormatNegotiation(store, settings.members.map { it.node })
@@ -83,7 +83,7 @@
     private val leaderComponents = AtomicReference<LeaderComponents?>()
 
     /** What this node measures of its own load. */
-    val loadReport = LoadReport(metrics, losses, leadership, ::leaderTerm, clock)
+    val loadReport = LoadReport(metrics, losses, election, ::leaderTerm, clock)
     private var stepsSinceTypes = 0
     private var uninformedSteps = 0
 
@@ -101,12 +101,12 @@
      * Renews, follows or tries to lead; about once a second. Nothing else is asked of the state service here: on a cold node, with
      * all workers and users upon it, each call took a second, and the hold ran out between two renewals.
      */
-    fun lead() {
-        leadership.step()
+    fun electionStep() {
+        election.step()
         val leaderTerm = leaderComponents.get()?.leaderTerm
         // Cut off from the workers alone, in either direction, this node would renew for ever while their leases run out.
-        val why = leaderTerm?.heartbeats?.unfit() ?: leaderTerm?.let(::whyUninformed)
-        if (leaderTerm != null && why != null && membership.serving() > 0) leadership.resign(leaderTerm.grant, why)
+        val why = leaderTerm?.heartbeats?.resignationReason() ?: leaderTerm?.let(::whyUninformed)
+        if (leaderTerm != null && why != null && membership.serving() > 0) election.resign(leaderTerm.leaderLease, why)
         syncLeaderComponents()
         weighUsers()
     }
@@ -126,7 +126,7 @@
 
     /** A leader that renews but learns of no cancellation may soon answer no worker any more; an outage is no such case. */
     private fun whyUninformed(leaderTerm: LeaderTerm): String? {
-        val renews = leadership.confirmedUntil(leaderTerm.grant)?.let { clock.now() - it < CONFIRMED_MS } == true
+        val renews = election.confirmedUntil(leaderTerm.leaderLease)?.let { clock.now() - it < CONFIRMED_MS } == true
         uninformedSteps = if (renews && (leaderTerm.uninformedMs() ?: 0) > timing.ttlMs) uninformedSteps + 1 else 0
         return if (uninformedSteps > MAX_UNINFORMED_STEPS) "the jobs cannot be followed" else null
     }
@@ -142,42 +142,42 @@
      * no more or one of the others is missing: the load balancer takes a node back ever more slowly.
      */
     private fun weighUsers() {
-        val grant = leadership.grant()
+        val leaderLease = election.leaderLease()
         val others = membership.serving()
         declinesUsers = when {
-            grant == null || others < maxOf(MIN_OTHERS, settings.members.size) -> false
-            else -> declinesUsers || (lagMs > BUSY_LAG_MS && clock.now() - grant.electedAt > SETTLING_MS)
+            leaderLease == null || others < maxOf(MIN_OTHERS, settings.members.size) -> false
+            else -> declinesUsers || (lagMs > BUSY_LAG_MS && clock.now() - leaderLease.electedAt > SETTLING_MS)
         }
     }
 
     /** Waits while another node leads; false where there is nothing to wait for. */
-    fun awaitVacancy(waitMs: Long): Boolean = leadership.awaitVacancy(waitMs)
+    fun awaitVacancy(waitMs: Long): Boolean = election.awaitVacancy(waitMs)
 
     private fun syncLeaderComponents() {
-        val grant = leadership.grant()
+        val leaderLease = election.leaderLease()
         val current = leaderComponents.get()
-        if (grant == null) {
+        if (leaderLease == null) {
             if (current != null) {
                 leaderComponents.set(null)
                 store.setRole(leader = false)
             }
             return
         }
-        if (current?.leaderTerm?.grant === grant) return
+        if (current?.leaderTerm?.leaderLease === leaderLease) return
         store.setRole(leader = true)
         val leaderTerm =
             LeaderTerm(
-                grant, store, workers, settings.teams, policy, timing, clock, { it in cancellations }, prerequisiteLists, jobService::noteRecord,
+                leaderLease, store, workers, settings.teams, policy, timing, clock, { it in cancellations }, prerequisiteLists, jobService::noteRecord,
                 losses, invariants,
             )
-        val writer = JournalCommitter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { leadership.lost() }
-        val fleet = Fleet(leaderTerm, cloud, clock, "${settings.node}-$run-${grant.token}", fleetPolicy, timing, settings.cloudRps)
+        val writer = JournalCommitter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { election.stepDown() }
+        val fleet = Fleet(leaderTerm, cloud, clock, "${settings.node}-$run-${leaderLease.token}", fleetPolicy, timing, settings.cloudRps)
         leaderComponents.set(LeaderComponents(leaderTerm, writer, fleet))
     }
 
     /**
      * Reads what earlier leaders wrote, if this node has just begun to lead; false where there is nothing to read.
-     * Not part of [lead]: reading takes seconds after a start, and the hold must be renewed meanwhile.
+     * Not part of [electionStep]: reading takes seconds after a start, and the hold must be renewed meanwhile.
      */
     fun load(): Boolean {
         val leaderTerm = leaderComponents.get()?.leaderTerm ?: return false
@@ -193,7 +193,7 @@
     fun pass() {
         val leaderTerm = leaderTerm() ?: return
         leaderTerm.pass()
-        leadership.confirmedUntil(leaderTerm.grant)?.let { leaderTerm.heartbeats.expireSilent(it) }
+        election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.heartbeats.expireSilent(it) }
     }
 
     /** Writes what the ledger changed; false where there was nothing to write. */
@@ -228,7 +228,7 @@
     /** Renting and returning cannot be taken back, so only a leader that was confirmed just now does either. */
     fun manageFleet() {
         val current = leaderComponents.get()?.takeIf { it.leaderTerm.ready } ?: return
-        val confirmed = leadership.confirmedUntil(current.leaderTerm.grant) ?: return
+        val confirmed = election.confirmedUntil(current.leaderTerm.leaderLease) ?: return
         if (clock.now() - confirmed < CONFIRMED_MS) current.fleet.step()
     }
 
@@ -239,18 +239,18 @@
     fun announceLeader(): Boolean = leaderTerm()?.dispatch?.announceNext() ?: false
 
     override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome {
-        leadership.observeToken(heartbeat.token)
-        val grant = leadership.grant() ?: return helper.help(heartbeat) ?: HeartbeatOutcome.Elsewhere(leadership.leader())
+        election.observeToken(heartbeat.token)
+        val leaderLease = election.leaderLease() ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat) ?: HeartbeatOutcome.Elsewhere(election.leader())
         val leaderTerm = leaderComponents.get()?.leaderTerm
-        if (!leadership.mayAnswerWorkers() || heartbeat.token.term > grant.token.term) return HeartbeatOutcome.Elsewhere(null)
-        if (leaderTerm == null || leaderTerm.grant !== grant || !leaderTerm.mayAnswerWorkers()) return HeartbeatOutcome.Elsewhere(null)
+        if (!election.mayRenewWorkerLeases() || heartbeat.token.term > leaderLease.token.term) return HeartbeatOutcome.Elsewhere(null)
+        if (leaderTerm == null || leaderTerm.leaderLease !== leaderLease || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Elsewhere(null)
         val receivedAt = clock.now()
         val answer = if (leaderTerm.ready) {
             leaderTerm.heartbeats.onHeartbeat(heartbeat)
         } else {
-            HeartbeatResponse(maxOf(grant.token, heartbeat.token), helper.stopsOf(heartbeat))
+            HeartbeatResponse(maxOf(leaderLease.token, heartbeat.token), leaseRenewalDelegate.stopCommandsFor(heartbeat))
         }
-        if (answer.token.number > 0u) leaderTerm.heartbeats.answers.note(heartbeat.machine, receivedAt)
+        if (answer.token.number > 0u) leaderTerm.heartbeats.renewals.note(heartbeat.machine, receivedAt)
         return HeartbeatOutcome.Accepted(answer)
     }
 
@@ -259,7 +259,7 @@
         cancellations.committed(id)
         val leaderTerm = leaderComponents.get()?.leaderTerm
         if (leaderTerm != null) return leaderTerm.jobs.cancellationsHeard(listOf(id))
-        val leader = leadership.leader() ?: return
+        val leader = election.leader() ?: return
         membership.exchangeHeartbeatIfAlive(leader)
     }
 
@@ -271,15 +271,15 @@
     private inner class OwnState : PeerMembership.Own {
         override fun ownHeartbeat() = PeerHeartbeat(
             settings.node.text,
-            leadership.highestToken().number.toLong(),
+            election.highestToken().number.toLong(),
             canServe(),
-            leadership.grant() != null,
+            election.leaderLease() != null,
             formatVersion = FORMAT_VERSION,
         )
 
         override fun onPeerHeartbeat(peerHeartbeat: PeerHeartbeat) {
             formats.heard(NodeId(peerHeartbeat.node), peerHeartbeat.formatVersion)
-            leadership.observeToken(FencingToken(peerHeartbeat.token.toULong()))
+            election.observeToken(FencingToken(peerHeartbeat.token.toULong()))
             val cancelled = peerHeartbeat.cancelled.mapNotNull(JobId::parse)
             if (cancelled.isEmpty()) return
             cancellations.heard(cancelled)
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -1,8 +1,8 @@
 package mountmast.coordination.controller
 
 import mountmast.coordination.autoscaling.AutoscalingContext
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaderLease
+import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.persistence.JournalState
 import mountmast.coordination.persistence.PersistenceContext
 import mountmast.coordination.persistence.StateLoader
@@ -38,12 +38,12 @@
 
 /** What one node does while it leads. All of its state is rebuilt by the next leader. */
 class LeaderTerm(
-    val grant: LeadershipGrant,
+    val leaderLease: LeaderLease,
     store: StateStore,
     workers: WorkerClient,
     teams: Map<TeamId, TeamQuota>,
     policy: Policy,
-    private val timing: Timing,
+    private val timing: LeaseTiming,
     private val clock: Clock,
     /** Whether another node told of a job's cancellation. */
     private val isCancelled: (JobId) -> Boolean = { false },
@@ -56,22 +56,22 @@
     AutoscalingContext {
     /** Guards the ledger and all parts of the term. Held for moments; never during I/O. */
     override val lock = ReentrantLock()
-    override val cluster = ClusterState(policy.runDecay, losses).apply { beginTerm(grant.token) }
+    override val cluster = ClusterState(policy.runDecay, losses).apply { beginTerm(leaderLease.token) }
 
     /** Where the journal stands in the store. */
     override val journal = JournalState()
     override val signals = TermSignals(lock)
-    val reachability = ReachabilityMonitor(cluster, grant, timing)
+    val reachability = ReachabilityMonitor(cluster, leaderLease, timing)
 
     /** Machine types that the store does not hold yet. */
     override var pendingTypes: MachineTypes? = null
 
     private val dependencies = JobDependencies(cluster)
-    val heartbeats = HeartbeatHandler(lock, cluster, grant, reachability, signals, timing, clock, invariants)
-    override val jobs = JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, grant.watermark, JobsListener())
+    val heartbeats = HeartbeatHandler(lock, cluster, leaderLease, reachability, signals, timing, clock, invariants)
+    override val jobs = JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, leaderLease.watermark, JobsListener())
 
     /** Commands to the workers. */
-    val dispatch = CommandDispatcher(lock, cluster, grant, workers, timing, clock, { now ->
+    val dispatch = CommandDispatcher(lock, cluster, leaderLease, workers, timing, clock, { now ->
         jobs.unknownForMs(now) < timing.ttlMs
     }, invariants) { heartbeat, now -> heartbeats.take(heartbeat, now, isHeartbeat = false) }
 
@@ -100,7 +100,7 @@
             heartbeats.takenFrom = clock.now()
             log.info(
                 "term {}: {} jobs, {} assignments on {} machines",
-                grant.token,
+                leaderLease.token,
                 cluster.jobs.size,
                 cluster.machines.values.sumOf { it.live.size },
                 cluster.machines.size,
@@ -114,8 +114,8 @@
      * node that the state service refuses, or whose reading hangs, does not hear of cancellations. Each lease that an answer
      * renews must run out before the first that may be unknown has to be carried out.
      */
-    fun mayAnswerWorkers(): Boolean = lock.withLock {
-        if (ready) jobs.unknownForMs(clock.now()) < timing.informedMs else clock.wall() < timing.uninformedUntil(grant.watermark)
+    fun mayRenewWorkerLeases(): Boolean = lock.withLock {
+        if (ready) jobs.unknownForMs(clock.now()) < timing.informedMs else clock.wall() < timing.uninformedUntil(leaderLease.watermark)
     }
 
     /** How long ago the jobs were last known, or null before they are. */
@@ -126,7 +126,7 @@
         heartbeats.takenFrom?.let(passes::run)
     }
 
-    override val leaderModRevision: ModRevision get() = grant.modRevision
+    override val leaderModRevision: ModRevision get() = leaderLease.modRevision
 
     override fun onStartCommitted(machine: MachineId) = dispatch.queue(machine)
 
--- a/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.election.Leadership
+import mountmast.coordination.election.LeaderElection
 import mountmast.coordination.state.LossCause
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.TaskLosses
@@ -20,7 +20,7 @@
 class LoadReport(
     private val metrics: Metrics,
     private val losses: TaskLosses,
-    private val leadership: Leadership,
+    private val election: LeaderElection,
     private val leaderTerm: () -> LeaderTerm?,
     private val clock: Clock,
 ) {
@@ -38,7 +38,7 @@
     private class Totals(val answered: Long, val refused: Long, val storeCalls: Long, val storeFailures: Long)
 
     init {
-        metrics.gauge(MetricNames.RENEWAL_AGE) { leadership.renewalAgeMs() ?: NOT_LEADING }
+        metrics.gauge(MetricNames.RENEWAL_AGE) { election.renewalAgeMs() ?: NOT_LEADING }
         metrics.gauge(MetricNames.PENDING_CHANGES) { ofTerm { it.cluster.pendingChanges.size } }
         metrics.gauge(MetricNames.LAST_WRITE_AGE) { ofTerm { term -> term.journal.writtenAt?.let { clock.now() - it } ?: NOT_LEADING } }
         metrics.gauge(MetricNames.MACHINES_UP) { ofTerm { term -> term.cluster.machines.values.count { it.state == MachineState.UP } } }
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -63,8 +63,8 @@
     /** Starts what every node does, whether it leads or not. */
     private fun startMembership() {
         loop("leadership") {
-            controller.lead()
-            if (controller.awaitVacancy(LEADERSHIP_MS)) LEADERSHIP_GAP_MS else LEADERSHIP_MS
+            controller.electionStep()
+            if (controller.awaitVacancy(ELECTION_STEP_MS)) ELECTION_GAP_MS else ELECTION_STEP_MS
         }
         var sleptAt = System.nanoTime()
         loop("pulse") {
@@ -147,8 +147,8 @@
         const val ANNOUNCER_THREADS = 8
         const val ANNOUNCE_GAP_MS = 500L
         const val STACK_BYTES = 256L * 1024
-        const val LEADERSHIP_MS = 700L
-        const val LEADERSHIP_GAP_MS = 50L
+        const val ELECTION_STEP_MS = 700L
+        const val ELECTION_GAP_MS = 50L
         const val PULSE_MS = 100L
         const val PEER_HEARTBEAT_MS = 2000L
         const val LOAD_REPORT_MS = 10_000L
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingPasses.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingPasses.kt
@@ -78,7 +78,7 @@
     private fun tidy(readyAt: MonotonicTime, now: MonotonicTime) {
         tidiedAt = now
         emptyNoticed(now)
-        cluster.health.noticeSlow(now)
+        cluster.health.detectStragglers(now)
         emptyQuarantined()
         dispatch.announceToWorkers(readyAt, now)
         delays.tellStalls(waiting, now)
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingSnapshots.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingSnapshots.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.scheduling.JobView
 import mountmast.coordination.scheduling.MachineIndex
 import mountmast.coordination.scheduling.MachineView
@@ -30,7 +30,7 @@
     private val cluster: ClusterState,
     private val dependencies: JobDependencies,
     private val teams: Map<TeamId, TeamQuota>,
-    private val timing: Timing,
+    private val timing: LeaseTiming,
     private val clock: Clock,
 ) {
     /** A machine's view, and what it was made from. */
--- a/src/main/kotlin/mountmast/coordination/election/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaderElection.kt
@@ -36,38 +36,38 @@
  * Decides which node leads. The leader's key hangs on a hold at the state service; the term is kept beside it for
  * good and rises with every election. Thread-safe; [step] is called by one thread, and makes no call under the lock.
  */
-class Leadership(
+class LeaderElection(
     private val store: StateStore,
     private val node: NodeId,
     /** Drawn anew at each start: an instant restart must not be taken for the holder it replaces. */
     private val run: String,
-    private val timing: Timing,
+    private val timing: LeaseTiming,
     private val clock: Clock,
     metrics: Metrics = Metrics(),
 ) {
     private val elections = metrics.counter(MetricNames.ELECTIONS)
     private val resignations = metrics.counter(MetricNames.RESIGNATIONS)
     private val lock = ReentrantLock()
-    private var grant: LeadershipGrant? = null
+    private var leaderLease: LeaderLease? = null
     private var confirmedAt = MonotonicTime(0)
     private var leader: NodeId? = null
     private var highestToken = FencingToken(0u)
     private var suspectsNewerLeader = false
     private var storeFailingSince: MonotonicTime? = null
-    private var abstainUntil = MonotonicTime(Long.MIN_VALUE)
+    private var electionBackoffUntil = MonotonicTime(Long.MIN_VALUE)
     private var unusedLease: StoreLeaseId? = null
     private var seenUpTo = Revision(0u)
-    private var helpUntil = WallTime(0)
+    private var delegationUntil = WallTime(0)
     private var delegatedToken = FencingToken(0u)
 
     /** What this node leads by, or null while it does not lead. */
-    fun grant(): LeadershipGrant? = lock.withLock { grant }
+    fun leaderLease(): LeaderLease? = lock.withLock { leaderLease }
 
     /** How long ago the last renewal that succeeded was asked for, or null while this node does not lead. */
-    fun renewalAgeMs(): Long? = lock.withLock { if (grant == null) null else clock.now() - confirmedAt }
+    fun renewalAgeMs(): Long? = lock.withLock { if (leaderLease == null) null else clock.now() - confirmedAt }
 
     /** The node that leads, as far as this one knows. */
-    fun leader(): NodeId? = lock.withLock { if (grant != null) node else leader }
+    fun leader(): NodeId? = lock.withLock { if (leaderLease != null) node else leader }
 
     /** The highest term that this node has heard of. */
     fun highestToken(): FencingToken = lock.withLock { highestToken }
@@ -76,29 +76,29 @@
      * Whether workers may be answered. A leader that cannot renew cannot tell an outage, in which every hold stays,
      * from a cut that concerns only itself; so it keeps workers alive for the grace, and a successor waits that long.
      */
-    fun mayAnswerWorkers(): Boolean = lock.withLock {
-        grant != null && clock.now() - confirmedAt < timing.ttlMs + timing.graceMs
+    fun mayRenewWorkerLeases(): Boolean = lock.withLock {
+        leaderLease != null && clock.now() - confirmedAt < timing.ttlMs + timing.graceMs
     }
 
     /**
      * Until when it is certain that nobody else led: a renewal that succeeded proves it for all time before it was
      * asked. Null once this node leads no more.
      */
-    fun confirmedUntil(own: LeadershipGrant): MonotonicTime? = lock.withLock { if (grant === own) confirmedAt else null }
+    fun confirmedUntil(own: LeaderLease): MonotonicTime? = lock.withLock { if (leaderLease === own) confirmedAt else null }
 
     /** The term in which this node may renew workers' leases for a leader just elected, or null. */
     fun delegatedToken(): FencingToken? = lock.withLock {
-        delegatedToken.takeIf { grant == null && it == highestToken && it.number > 0u && clock.wall() < helpUntil }
+        delegatedToken.takeIf { leaderLease == null && it == highestToken && it.number > 0u && clock.wall() < delegationUntil }
     }
 
     /** Gives the lead up, for another node to take; abstains for a while. */
-    fun resign(own: LeadershipGrant, why: String) {
+    fun resign(own: LeaderLease, why: String) {
         lock.withLock {
-            if (grant !== own) return
+            if (leaderLease !== own) return
             log.info("resigning in term {}: {}", own.token, why)
             resignations.add()
-            lost()
-            abstainUntil = clock.now() + ABSTAIN_MS
+            stepDown()
+            electionBackoffUntil = clock.now() + ELECTION_BACKOFF_MS
         }
         try {
             store.revokeLease(own.storeLease)
@@ -112,15 +112,15 @@
         val firstOfTerm = token.firstOfTerm()
         lock.withLock {
             if (firstOfTerm > highestToken) highestToken = firstOfTerm
-            val own = grant ?: return
+            val own = leaderLease ?: return
             if (firstOfTerm > own.token) suspectsNewerLeader = true
         }
     }
 
     /** The leader's key was found changed. */
-    fun lost() = lock.withLock {
-        grant?.let { log.info("no longer leading in term {}; last renewed {} ms ago", it.token, clock.now() - confirmedAt) }
-        grant = null
+    fun stepDown() = lock.withLock {
+        leaderLease?.let { log.info("no longer leading in term {}; last renewed {} ms ago", it.token, clock.now() - confirmedAt) }
+        leaderLease = null
         leader = null
         suspectsNewerLeader = false
     }
@@ -128,7 +128,7 @@
     /** One look at the state service: renews, follows or tries to lead. Called about once a second. */
     fun step() {
         try {
-            val own = grant()
+            val own = leaderLease()
             if (own == null) observeOrElect() else renew(own)
             storeFailingSince?.let { log.info("the state service answers again after {} ms", clock.now() - it) }
             storeFailingSince = null
@@ -136,9 +136,9 @@
             if (storeFailingSince == null) log.info("the state service does not serve this node: {}", e.message)
             storeFailingSince = storeFailingSince ?: clock.now()
             lock.withLock {
-                val own = grant ?: return
+                val own = leaderLease ?: return
                 val unconfirmed = clock.now() - confirmedAt >= timing.ttlMs
-                if (unconfirmed && suspectsNewerLeader) lost()
+                if (unconfirmed && suspectsNewerLeader) stepDown()
             }
         }
     }
@@ -148,8 +148,8 @@
      * leases run out as little as can be; false where this node need not wait for that.
      */
     fun awaitVacancy(waitMs: Long): Boolean {
-        val from = lock.withLock { seenUpTo.takeIf { grant == null && leader != null && leader != node && it.number > 0u } }
-        if (from == null || clock.now() < abstainUntil) return false
+        val from = lock.withLock { seenUpTo.takeIf { leaderLease == null && leader != null && leader != node && it.number > 0u } }
+        if (from == null || clock.now() < electionBackoffUntil) return false
         return try {
             val outcome = store.watch(Keys.LEADER, from, waitMs)
             if (outcome is WatchResult.Changes) lock.withLock { seenUpTo = outcome.upTo }
@@ -160,14 +160,14 @@
         }
     }
 
-    private fun renew(own: LeadershipGrant) {
+    private fun renew(own: LeaderLease) {
         val asked = clock.now()
-        if (!store.keepAlive(own.storeLease)) return lost()
+        if (!store.keepAlive(own.storeLease)) return stepDown()
         lock.withLock { confirmedAt = asked }
         if (lock.withLock { suspectsNewerLeader }) {
             // A worker or peer named a higher term. Only the store knows; a made-up number must not end a term.
             val entry = store.get(Keys.LEADER)
-            if (entry?.modRevision != own.modRevision) lost() else lock.withLock { suspectsNewerLeader = false }
+            if (entry?.modRevision != own.modRevision) stepDown() else lock.withLock { suspectsNewerLeader = false }
         }
     }
 
@@ -178,7 +178,7 @@
         if (record != null) observeToken(record.token)
         if (entry != null && record != null && record.run == run) {
             // A transaction of ours was carried out although no answer came.
-            unusedLease?.let { begin(record, entry.modRevision, it) }
+            unusedLease?.let { becomeLeader(record, entry.modRevision, it) }
             return
         }
         // This node's earlier process is dead, or this one would not run: its place can be taken at once.
@@ -187,12 +187,12 @@
                 leader = record.node
                 delegatedToken = record.token
                 // Whoever helps knows no cancellations either.
-                helpUntil = minOf(timing.helpUntil(record.since), timing.uninformedUntil(record.watermark))
+                delegationUntil = minOf(timing.delegationUntil(record.since), timing.uninformedUntil(record.watermark))
                 seenUpTo = maxOf(seenUpTo, Revision(entry.modRevision.number))
             }
             return
         }
-        if (clock.now() >= abstainUntil) elect(entry?.modRevision ?: ModRevision.ABSENT)
+        if (clock.now() >= electionBackoffUntil) elect(entry?.modRevision ?: ModRevision.ABSENT)
     }
 
     /** Tries to become leader; [modRevision] is that of the leader's key, which must not have changed since. */
@@ -210,7 +210,7 @@
         try {
             val transaction = electionTransaction(record, storeLease, modRevision, tokenEntry?.modRevision ?: ModRevision.ABSENT)
             when (val outcome = store.commit(transaction)) {
-                is TransactionResult.Committed -> begin(record, ModRevision(outcome.revision.number), storeLease)
+                is TransactionResult.Committed -> becomeLeader(record, ModRevision(outcome.revision.number), storeLease)
                 is TransactionResult.CompareFailed -> log.debug("another node was elected: {}", outcome.failed)
             }
         } catch (e: StoreLeaseExpiredException) {
@@ -230,9 +230,9 @@
         ),
     )
 
-    private fun begin(record: LeaderRecord, modRevision: ModRevision, storeLease: StoreLeaseId) = lock.withLock {
+    private fun becomeLeader(record: LeaderRecord, modRevision: ModRevision, storeLease: StoreLeaseId) = lock.withLock {
         val token = record.token
-        grant = LeadershipGrant(token, modRevision, storeLease, clock.now(), record.watermark)
+        leaderLease = LeaderLease(token, modRevision, storeLease, clock.now(), record.watermark)
         unusedLease = null
         leader = node
         suspectsNewerLeader = false
@@ -249,7 +249,7 @@
     }
 
     private companion object {
-        const val ABSTAIN_MS = 20_000L
+        const val ELECTION_BACKOFF_MS = 20_000L
     }
 
     private fun decode(value: JsonElement): LeaderRecord? = try {
--- a/src/main/kotlin/mountmast/coordination/election/LeadershipGrant.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaderLease.kt
@@ -7,7 +7,7 @@
 import mountmast.protocol.WallTime
 
 /** A time of leading: the term, and the version of the leader's key on which every write depends. */
-class LeadershipGrant(
+class LeaderLease(
     val token: FencingToken,
     val modRevision: ModRevision,
     val storeLease: StoreLeaseId,
--- a/src/main/kotlin/mountmast/coordination/election/Timing.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaseTiming.kt
@@ -3,7 +3,7 @@
 import mountmast.protocol.WallTime
 
 /** How long leaders may act without the state service, derived from what the workers are promised. */
-data class Timing(
+data class LeaseTiming(
     val ttlMs: Long,
     val graceMs: Long,
     val leaseMs: Long,
@@ -35,17 +35,17 @@
      * For this long after its election other nodes may renew workers' leases in a leader's name: one that has just
      * started is too slow for all workers at once, and their leases run out.
      */
-    val helpMs: Long get() = minOf(MAX_HELP_MS, graceMs)
+    val delegationMs: Long get() = minOf(MAX_DELEGATION_MS, graceMs)
 
     /** Until when, by any node's time of day, helpers may answer for a leader elected at [since] by its own. */
-    fun helpUntil(since: WallTime) = WallTime(since.ms + helpMs - 2 * clockOffMs - MARGIN_MS)
+    fun delegationUntil(since: WallTime) = WallTime(since.ms + delegationMs - 2 * clockOffMs - MARGIN_MS)
 
     /** Until when, by any node's time of day, those may answer workers who know no cancellation after [watermark]. */
     fun uninformedUntil(watermark: WallTime) = WallTime(watermark.ms + informedMs - 2 * clockOffMs - MARGIN_MS)
 
     companion object {
         private const val MARGIN_MS = 500L
-        private const val MAX_HELP_MS = 8000L
+        private const val MAX_DELEGATION_MS = 8000L
         private const val RETRY_MS = 1000L
         private const val QUIET_HEARTBEATS = 2.5
         private const val TTL_LEASE_SHARE = 0.35
@@ -63,12 +63,12 @@
          * The grace ends early enough that a task which only a cut-off leader can reach is gone within
          * `cancel_s` of its cancellation: the hold, the grace and the worker's lease run out one after another.
          */
-        fun of(leaseS: Double, cancelS: Double, clockOffMs: Double, heartbeatIntervalS: Double): Timing {
+        fun of(leaseS: Double, cancelS: Double, clockOffMs: Double, heartbeatIntervalS: Double): LeaseTiming {
             val lease = (leaseS * 1000).toLong()
             // A successor must be found, and be found by the workers, well before their leases run out.
             val ttl = (lease * TTL_LEASE_SHARE).toLong().coerceIn(MIN_TTL_MS, MAX_TTL_MS)
             val informed = (cancelS * 1000).toLong() - lease - CANCEL_RESERVE_MS
-            return Timing(
+            return LeaseTiming(
                 ttl,
                 (informed - ttl).coerceIn(0, MAX_GRACE_MS),
                 lease,
--- a/src/main/kotlin/mountmast/coordination/membership/CancellationBroadcast.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/CancellationBroadcast.kt
@@ -10,7 +10,7 @@
  * after another node has committed some; so that node tells all others, again with each greeting until one is answered.
  *
  * A notice may be lost and a node may end, so no rule rests on them: they only stop tasks sooner than the
- * bound on answers of those who cannot know does (`Timing.informedMs`).
+ * bound on answers of those who cannot know does (`LeaseTiming.informedMs`).
  */
 class CancellationBroadcast(private val members: List<NodeId>, private val clock: Clock, private val keepMs: Long) {
     private val lock = Any()
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
@@ -44,7 +44,7 @@
         }
         val known = cluster.machines.getOrPut(machine) {
             Machine(machine, null, null, false, MachineState.SILENT).apply {
-                answeredAt = now
+                leaseRenewedAt = now
                 heardAt = now
             }
         }
--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -73,11 +73,11 @@
         val job = assignment.job
         if (isSlow(job, machine.id, runS)) {
             slowTask(machine, assignment)
-        } else if (!assignment.calledSlow) {
+        } else if (!assignment.isStraggler) {
             machine.slowStrikes = 0
         }
         // A slow machine's run says nothing of what the job takes elsewhere.
-        if (!assignment.calledSlow) {
+        if (!assignment.isStraggler) {
             job.runs++
             job.runSumS += runS
         }
@@ -94,8 +94,8 @@
     }
 
     private fun slowTask(machine: Machine, assignment: Assignment) {
-        if (assignment.calledSlow) return
-        assignment.calledSlow = true
+        if (assignment.isStraggler) return
+        assignment.isStraggler = true
         assignment.job.slowOn += machine.id
         if (++machine.slowStrikes < SICK_STRIKES || machine.quarantined) return
         machine.quarantined = true
@@ -103,7 +103,7 @@
     }
 
     /** Notices machines whose tasks run on and on while others of the same jobs have long completed elsewhere. */
-    fun noticeSlow(now: MonotonicTime) {
+    fun detectStragglers(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
             if (machine.state != MachineState.UP) continue
             for (assignment in machine.live.values) {
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -64,7 +64,7 @@
     var beingWritten = false
     var written = false
 
-    var calledSlow = false
+    var isStraggler = false
 
     /** Direct commands with its start that wait for their answer. */
     var deliveriesInFlight = 0
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -44,7 +44,7 @@
     var expiredAt = MonotonicTime(0)
 
     /** When a report was last answered, or the session became known: its lease runs from then at the latest. */
-    var answeredAt = MonotonicTime(0)
+    var leaseRenewedAt = MonotonicTime(0)
 
     /** The report that this leader answered last, if any. */
     var answeredSequence: HeartbeatSequence? = null
--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.workers
 
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaderLease
+import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Invariants
@@ -30,9 +30,9 @@
 class CommandDispatcher(
     private val lock: ReentrantLock,
     private val cluster: ClusterState,
-    private val grant: LeadershipGrant,
+    private val leaderLease: LeaderLease,
     private val workers: WorkerClient,
-    private val timing: Timing,
+    private val timing: LeaseTiming,
     private val clock: Clock,
     /** Whether the jobs are known up to a moment ago; the caller holds the lock. */
     private val isInformed: (MonotonicTime) -> Boolean,
@@ -47,7 +47,7 @@
     private val announcementQueue = LinkedHashSet<MachineId>()
 
     /** The token for [machine]. */
-    fun token(machine: Machine) = grant.token.advancedBy(machine.tokenOffset)
+    fun token(machine: Machine) = leaderLease.token.advancedBy(machine.tokenOffset)
 
     /**
      * Commands without an answer may be executed minutes later, also when their job has long been cancelled. A higher token
@@ -62,8 +62,8 @@
 
     /** Takes note of the token that a worker of this term shows. */
     fun observeToken(machine: Machine, shown: FencingToken) {
-        if (shown.term != grant.token.term) return
-        val tokenOffset = (shown.number - grant.token.number).toInt()
+        if (shown.term != leaderLease.token.term) return
+        val tokenOffset = (shown.number - leaderLease.token.number).toInt()
         machine.tokenOffset = maxOf(machine.tokenOffset, tokenOffset)
         machine.mayStillStart.values.removeIf { it < tokenOffset }
     }
@@ -161,7 +161,7 @@
     private class Delivery(val machine: Machine, val incarnation: WorkerIncarnation, val tokenOffset: Int, val commands: List<WorkerCommand>)
 
     private fun send(delivery: Delivery) {
-        val message = CommandRequest(grant.token.advancedBy(delivery.tokenOffset), delivery.incarnation, delivery.commands)
+        val message = CommandRequest(leaderLease.token.advancedBy(delivery.tokenOffset), delivery.incarnation, delivery.commands)
         val outcome = workers.send(checkNotNull(delivery.machine.address), message)
         lock.withLock { onDelivered(delivery, outcome) }
     }
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.workers
 
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaderLease
+import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.LossCause
@@ -24,17 +24,17 @@
 class HeartbeatHandler(
     private val lock: ReentrantLock,
     private val cluster: ClusterState,
-    private val grant: LeadershipGrant,
+    private val leaderLease: LeaderLease,
     private val reachability: ReachabilityMonitor,
     private val signals: TermSignals,
-    private val timing: Timing,
+    private val timing: LeaseTiming,
     private val clock: Clock,
     private val invariants: Invariants = Invariants(),
 ) {
     private val reconciler = HeartbeatReconciler(cluster)
 
     /** The answers that left this node in this term. */
-    val answers = AnswerRecord()
+    val renewals = LeaseRenewalLog()
 
     /** Commands to the workers; set once, as each needs the other. */
     lateinit var dispatch: CommandDispatcher
@@ -72,7 +72,7 @@
      */
     private fun renew(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): HeartbeatResponse {
         machine.answeredHeartbeatSequence = heartbeat.sequence
-        machine.answeredAt = now
+        machine.leaseRenewedAt = now
         machine.answeredSequence = heartbeat.sequence
         val commands = dispatch.outstanding(machine, inHeartbeat = heartbeat.sequence)
         dispatch.fenceOffStoppedTasks(machine)
@@ -90,7 +90,7 @@
             machine.unacknowledgedHeartbeats += lostAnswers
             machine.lastHeartbeatAt = now
         }
-        val isOurs = heartbeat.token.term == grant.token.term
+        val isOurs = heartbeat.token.term == leaderLease.token.term
         if (isOurs) machine.hasShownCurrentTerm = true
         dispatch.observeToken(machine, heartbeat.token)
         if (isHeartbeat && isOurs) withdrawStopped(machine, heartbeat)
@@ -106,7 +106,7 @@
     private fun unacknowledgedAnswers(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): Int {
         val incarnation = machine.incarnation ?: return 0
         if (heartbeat.incarnation <= incarnation || machine.answeredSequence == null) return 0
-        return if (now - machine.answeredAt < timing.leaseMs) ReachabilityMonitor.MAX_UNACKNOWLEDGED_HEARTBEATS else 1
+        return if (now - machine.leaseRenewedAt < timing.leaseMs) ReachabilityMonitor.MAX_UNACKNOWLEDGED_HEARTBEATS else 1
     }
 
     /**
@@ -133,7 +133,7 @@
         val readyAt = takenFrom ?: return
         val now = clock.now()
         for (machine in cluster.machines.values) {
-            if (!isLeaseExpired(machine, ledUntil, readyAt) || !isUnanswered(machine, ledUntil)) continue
+            if (!isLeaseExpired(machine, ledUntil, readyAt) || !hasNoRenewalSince(machine, ledUntil)) continue
             log.info("machine {} silent: its lease is over, {} tasks lost", machine.id, machine.live.size)
             cluster.endIncarnation(machine, null, LossCause.LEASE_EXPIRED)
             machine.state = MachineState.EXPIRED
@@ -145,22 +145,22 @@
     private fun isLeaseExpired(machine: Machine, ledUntil: MonotonicTime, readyAt: MonotonicTime): Boolean {
         if (machine.state != MachineState.UP && machine.state != MachineState.SILENT) return false
         // Others may have answered in our name until then, and so did this node before it knew the machines.
-        val helpedUntil = maxOf(grant.electedAt + timing.helpMs, readyAt)
-        if (ledUntil - maxOf(machine.answeredAt, helpedUntil) < timing.leaseExpiryMs) return false
+        val delegatedUntil = maxOf(leaderLease.electedAt + timing.delegationMs, readyAt)
+        if (ledUntil - maxOf(machine.leaseRenewedAt, delegatedUntil) < timing.leaseExpiryMs) return false
         // Until the worker has shown our token, the leader before us may have answered it during its grace.
         return machine.hasShownCurrentTerm || ledUntil - readyAt >= timing.formerLeaderMs + timing.leaseExpiryMs
     }
 
     /** A lease is called over only where no answer that may have renewed it left this node meanwhile. */
-    private fun isUnanswered(machine: Machine, ledUntil: MonotonicTime): Boolean {
-        val answeredAt = answers.lastAnswer(machine.id) ?: return true
-        return invariants.check(ledUntil - answeredAt >= timing.leaseExpiryMs) {
-            "the lease of ${machine.id} was to be called over ${ledUntil - answeredAt} ms after an answer that the ledger does not know of"
+    private fun hasNoRenewalSince(machine: Machine, ledUntil: MonotonicTime): Boolean {
+        val leaseRenewedAt = renewals.lastRenewal(machine.id) ?: return true
+        return invariants.check(ledUntil - leaseRenewedAt >= timing.leaseExpiryMs) {
+            "the lease of ${machine.id} was to be called over ${ledUntil - leaseRenewedAt} ms after an answer that the ledger does not know of"
         }
     }
 
     /** Why this node had better not lead although the state service lets it, or null. */
-    fun unfit(): String? = lock.withLock {
+    fun resignationReason(): String? = lock.withLock {
         val now = clock.now()
         val readyAt = takenFrom ?: return null
         val up = cluster.machines.values.filter { it.state == MachineState.UP && !it.deleting }
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -67,7 +67,7 @@
         machine.answeredSequence = null
         machine.answeredHeartbeatSequence = HeartbeatSequence(0u)
         // A session that nobody answered yet lives a full lease from its beginning, which may have been just now.
-        machine.answeredAt = now
+        machine.leaseRenewedAt = now
     }
 
     private fun takeNotice(machine: Machine, noticeS: Double) {
--- a/src/main/kotlin/mountmast/coordination/workers/AnswerRecord.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaseRenewalLog.kt
@@ -8,14 +8,14 @@
  * When each worker was last given an answer that it may take, by whatever path. Kept where answers leave the node, apart from the
  * ledger: before a lease is called over, both are compared. Thread-safe.
  */
-class AnswerRecord {
-    private val answeredAt = ConcurrentHashMap<MachineId, MonotonicTime>()
+class LeaseRenewalLog {
+    private val leaseRenewedAt = ConcurrentHashMap<MachineId, MonotonicTime>()
 
     /** [machine] is about to be given such an answer, to a report that was taken in at [receivedAt]. */
     fun note(machine: MachineId, receivedAt: MonotonicTime) {
-        answeredAt.merge(machine, receivedAt, ::maxOf)
+        leaseRenewedAt.merge(machine, receivedAt, ::maxOf)
     }
 
     /** When [machine] was last given one in this term, or null where it never was. */
-    fun lastAnswer(machine: MachineId): MonotonicTime? = answeredAt[machine]
+    fun lastRenewal(machine: MachineId): MonotonicTime? = leaseRenewedAt[machine]
 }
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.workers
 
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaderLease
+import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Machine
@@ -16,7 +16,7 @@
 /**
  * Detects machines whose reports arrive while answers and commands do not reach them. Guarded as its [ClusterState] is.
  */
-class ReachabilityMonitor(private val cluster: ClusterState, private val grant: LeadershipGrant, private val timing: Timing) {
+class ReachabilityMonitor(private val cluster: ClusterState, private val leaderLease: LeaderLease, private val timing: LeaseTiming) {
     /** What a report tells of whether earlier answers arrived; both may be false. */
     private class Evidence(val isEffectMissing: Boolean, val isEffectShown: Boolean)
 
@@ -50,8 +50,8 @@
 
     private fun evidence(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): Evidence {
         val answered = machine.answeredSequence
-        val isTokenBehind = answered != null && answered < heartbeat.sequence && heartbeat.token < grant.token
-        val outlivesLease = now - machine.incarnationSince > timing.leaseExpiryMs && heartbeat.token.term == grant.token.term
+        val isTokenBehind = answered != null && answered < heartbeat.sequence && heartbeat.token < leaderLease.token
+        val outlivesLease = now - machine.incarnationSince > timing.leaseExpiryMs && heartbeat.token.term == leaderLease.token.term
         val toldStarts = machine.live.values.filter { isToldBefore(it, heartbeat) }
         val (missing, shown) = toldStarts.partition { it.reported == null }
         for (assignment in shown) assignment.startedInHeartbeat = null
--- a/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
@@ -26,7 +26,7 @@
         spec.id
     }
 
-    private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }
+    private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
     @Test
     fun `1700 machines are filled, all nodes end at once, and a third of the fleet is lost and made good`() {
--- a/src/test/kotlin/mountmast/coordination/controller/LargeFleetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/LargeFleetTest.kt
@@ -35,7 +35,7 @@
         return spec.id
     }
 
-    private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }
+    private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
     private fun assigned() = leader().cluster.machines.values.sumOf { it.live.size }
 
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -22,7 +22,7 @@
         assertEquals(emptyList<JobId>(), ids.filter { poll(it) != JobStatus.DONE })
     }
 
-    private fun World.leader() = seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }
+    private fun World.leader() = seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
     @Test
     fun `a poisoned job is backed off and evicts nobody, while others get done`() {
@@ -272,7 +272,7 @@
         leading.trouble.peersCutUntil = world.time.now + 40_000
         // The hold runs out, the successor waits a moment and calls the workers: well before the grace of 13 s.
         world.run(9000, busy = false)
-        val successor = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }
+        val successor = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
         assertTrue(successor !== leading.controller?.leaderTerm())
         assertTrue(
             successor.cluster.machines.values.filter {
--- a/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
@@ -32,7 +32,7 @@
         }
 
     private fun World.leading(): ControllerSeat? = seats.filter { it.controller?.leaderTerm() != null }
-        .maxByOrNull { checkNotNull(it.controller?.leaderTerm()).grant.token.number }
+        .maxByOrNull { checkNotNull(it.controller?.leaderTerm()).leaderLease.token.number }
 
     private fun ControllerSeat.upgrade(downMs: Long = 2000) {
         version = NodeVersion.CURRENT
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -11,8 +11,8 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.protobuf.ProtoBuf
 import mountmast.coordination.controller.LeaderTerm
-import mountmast.coordination.election.LeadershipGrant
-import mountmast.coordination.election.Timing
+import mountmast.coordination.election.LeaderLease
+import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.scheduling.Policy
 import mountmast.coordination.state.ClusterState
 import mountmast.protocol.CommandRequest
@@ -322,10 +322,10 @@
     /** What a leader reads from [store]. */
     private fun loaded(store: StateStore): LeaderTerm {
         val clock = time.clock(0.0, 0)
-        val grant = LeadershipGrant(FencingToken(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
-        val timing = Timing.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, heartbeatIntervalS = 1.0)
+        val leaderLease = LeaderLease(FencingToken(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
+        val timing = LeaseTiming.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, heartbeatIntervalS = 1.0)
         val lists = PrerequisiteLists(store, StateLimits(80.0, 30.0, 8.0, 16))
-        return LeaderTerm(grant, store, NoWorkerClient, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
+        return LeaderTerm(leaderLease, store, NoWorkerClient, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
     }
 
     /** In the form in which production's code described its own. */
--- a/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
@@ -95,7 +95,7 @@
             return perKind
         }
 
-        private fun pendingChanges() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.grant.token }.cluster.pendingChanges.size
+        private fun pendingChanges() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }.cluster.pendingChanges.size
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -81,7 +81,7 @@
         val assignment = place(0, "vm-1", 0)
         heartbeat("vm-1", 50_000, incarnation = 2u)
         assertEquals(Phase.ENDED, assignment.phase)
-        assertEquals(MonotonicTime(50_000), cluster.machines.getValue(MachineId("vm-1")).answeredAt)
+        assertEquals(MonotonicTime(50_000), cluster.machines.getValue(MachineId("vm-1")).leaseRenewedAt)
     }
 
     @Test
--- a/src/test/kotlin/mountmast/standin/ControllerSeat.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerSeat.kt
@@ -74,7 +74,7 @@
     private class Step(val everyMs: Long, val act: () -> Unit)
 
     private fun steps(running: Controller): List<Step> = listOf(
-        Step(1000L) { running.lead() },
+        Step(1000L) { running.electionStep() },
         Step(1000L) { running.refresh() },
         Step(100L) { if (!loadsNothing) running.load() },
         Step(2000L) { running.exchangePeerHeartbeats() },
--- a/src/test/kotlin/mountmast/standin/Failures.kt
+++ b/src/test/kotlin/mountmast/standin/Failures.kt
@@ -116,7 +116,7 @@
     }
 
     private fun leader() = seats.filter { it.controller?.leaderTerm() != null }.maxByOrNull {
-        it.controller?.leaderTerm()?.grant?.token ?: FencingToken(0u)
+        it.controller?.leaderTerm()?.leaderLease?.token ?: FencingToken(0u)
     }
 
     /** The state service refuses the leader alone, users cancel elsewhere at that moment, and then it is out for all. */
