--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -6,11 +6,11 @@
 import mountmast.protocol.Settings
 import mountmast.protocol.SystemClock
 import mountmast.storage.HttpStateStore
+import mountmast.transport.ConnectionBudget
 import mountmast.transport.HttpCloud
 import mountmast.transport.HttpPeerClient
 import mountmast.transport.HttpWorkerClient
 import mountmast.transport.Metrics
-import mountmast.transport.Sockets
 import java.security.SecureRandom
 import java.util.concurrent.CountDownLatch
 import kotlin.system.exitProcess
@@ -36,7 +36,7 @@
     System.setProperty("sun.net.httpserver.nodelay", "true")
     // A request that never arrives whole must not hold one of the few threads that read; reports may wait before their body is read.
     System.setProperty("sun.net.httpserver.maxReqTime", "10")
-    val sockets = Sockets.of(settings.maxConnections)
+    val sockets = ConnectionBudget.of(settings.maxConnections)
     System.setProperty("sun.net.httpserver.maxIdleConnections", sockets.idle.toString())
     System.setProperty("sun.net.httpserver.idleInterval", "60")
     System.setProperty("jdk.httpserver.maxConnections", sockets.accepted.toString())
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ExpectedMachines.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ExpectedMachines.kt
@@ -10,11 +10,11 @@
  * same room are counted rather than looked at one by one: thousands may boot at a time. Not thread-safe.
  */
 class ExpectedMachines {
-    private data class Key(val offer: Offer, val room: Resources)
+    private data class Key(val offering: MachineOffering, val room: Resources)
 
     private val counts = LinkedHashMap<Key, Int>()
 
-    fun add(offer: Offer, room: Resources) = add(Key(offer, room.rounded()), 1)
+    fun add(offering: MachineOffering, room: Resources) = add(Key(offering, room.rounded()), 1)
 
     private fun add(key: Key, count: Int) {
         if (count > 0) counts.merge(key, count, Int::plus)
@@ -30,15 +30,15 @@
         return taken
     }
 
-    /** The same on machines rented by [offer] that have [room] alone. */
-    fun takeFrom(offer: Offer, room: Resources, job: Job, most: Int, zones: ZoneShares): Int =
-        takeFrom(Key(offer, room.rounded()), job, most, zones)
+    /** The same on machines rented by [offering] that have [room] alone. */
+    fun takeFrom(offering: MachineOffering, room: Resources, job: Job, most: Int, zones: ZoneShares): Int =
+        takeFrom(Key(offering, room.rounded()), job, most, zones)
 
     private fun takeFrom(key: Key, job: Job, most: Int, zones: ZoneShares): Int {
         val count = counts[key] ?: return 0
-        val allowed = minOf(most, zones.left(key.offer.zone))
-        if (allowed <= 0 || !key.offer.isAllowedFor(job.spec)) return 0
-        val perMachine = job.perTask.timesIn(key.room, allowed)
+        val allowed = minOf(most, zones.left(key.offering.zone))
+        if (allowed <= 0 || !key.offering.isAllowedFor(job.spec)) return 0
+        val perMachine = job.perTask.instancesWithin(key.room, allowed)
         if (perMachine == 0) return 0
         val filled = minOf(count, allowed / perMachine)
         // The last machine takes what is left over, if any machine is left for it.
@@ -48,11 +48,11 @@
         add(key.after(job, perMachine), filled)
         if (onLast > 0) add(key.after(job, onLast), 1)
         val taken = filled * perMachine + onLast
-        zones.take(key.offer.zone, taken)
+        zones.take(key.offering.zone, taken)
         return taken
     }
 
-    private fun Key.after(job: Job, tasks: Int) = Key(offer, (room - job.perTask * tasks).rounded())
+    private fun Key.after(job: Job, tasks: Int) = Key(offering, (room - job.perTask * tasks).rounded())
 }
 
 /**
@@ -64,8 +64,8 @@
 
     /** How many more tasks [zone] may take. */
     fun left(zone: Zone): Int = when {
-        spec.oneZone && taken.keys.any { it != zone } -> 0
-        spec.spread -> spec.perZoneLimit - (taken[zone] ?: 0)
+        spec.singleZone && taken.keys.any { it != zone } -> 0
+        spec.spreadAcrossZones -> spec.maxTasksPerZone - (taken[zone] ?: 0)
         else -> Int.MAX_VALUE
     }
 
@@ -77,7 +77,7 @@
     companion object {
         /** The shares that the tasks of [job] leave which are on machines. */
         fun of(job: Job) = ZoneShares(job.spec).apply {
-            if (job.spec.oneZone || job.spec.spread) for (assignment in job.live.values) take(assignment.zone, 1)
+            if (job.spec.singleZone || job.spec.spreadAcrossZones) for (assignment in job.live.values) take(assignment.zone, 1)
         }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/FleetInventory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
@@ -12,7 +12,7 @@
 import kotlin.concurrent.withLock
 
 /** Keeps the ledger's machine types and machines as the cloud lists them. Called by one thread; takes the lock of [AutoscalingContext]. */
-class FleetInventory(private val context: AutoscalingContext, private val cloud: Cloud, private val policy: FleetPolicy) {
+class MachineInventory(private val context: AutoscalingContext, private val cloud: Cloud, private val policy: AutoscalingPolicy) {
     private val cluster get() = context.cluster
     private var typesReadAt: MonotonicTime? = null
     private var machinesReadAt: MonotonicTime? = null
--- a/src/main/kotlin/mountmast/coordination/autoscaling/Offer.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineOffering.kt
@@ -6,7 +6,7 @@
 import mountmast.protocol.Zone
 
 /** A kind of machine that can be rented. */
-data class Offer(val type: TypeId, val zone: Zone, val spot: Boolean) {
+data class MachineOffering(val type: TypeId, val zone: Zone, val spot: Boolean) {
     /** Whether the tasks of [job] may run on such a machine. */
     fun isAllowedFor(job: JobSpec): Boolean = (job.types == null || type in job.types) &&
         (job.zone == null || job.zone == zone) &&
@@ -14,8 +14,8 @@
 }
 
 /** The offer that this machine was rented by, or null while its type and zone are not known. */
-fun Machine.offer(): Offer? {
+fun Machine.offering(): MachineOffering? {
     val type = type ?: return null
     val zone = zone ?: return null
-    return Offer(type, zone, spot)
+    return MachineOffering(type, zone, spot)
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/OfferHistory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
@@ -6,18 +6,18 @@
 import mountmast.protocol.MonotonicTime
 
 /**
- * What became lately of the machines rented by each [Offer]: spot machines that were lost, and machines that did not boot in
+ * What became lately of the machines rented by each [MachineOffering]: spot machines that were lost, and machines that did not boot in
  * time. Counts decay by [decay]. Guarded as its [ClusterState] is.
  */
-class OfferHistory(private val cluster: ClusterState) {
-    private val spotLosses = HashMap<Offer, Double>()
-    private val neverBooted = HashMap<Offer, Double>()
+class OfferingHistory(private val cluster: ClusterState) {
+    private val spotLosses = HashMap<MachineOffering, Double>()
+    private val neverBooted = HashMap<MachineOffering, Double>()
 
     /** Takes note of a machine that is about to be returned. */
     fun noteReturn(machine: Machine) {
-        val offer = machine.offer() ?: return
-        if (machine.state == MachineState.BOOTING && !machine.listedFailed) neverBooted.merge(offer, 1.0, Double::plus)
-        if (machine.spot && (machine.state == MachineState.EXPIRED || machine.noticed)) spotLosses.merge(offer, 1.0, Double::plus)
+        val offering = machine.offering() ?: return
+        if (machine.state == MachineState.BOOTING && !machine.listedFailed) neverBooted.merge(offering, 1.0, Double::plus)
+        if (machine.spot && (machine.state == MachineState.EXPIRED || machine.reclaimNoticed)) spotLosses.merge(offering, 1.0, Double::plus)
     }
 
     /** Lets old events count less; called once in each round of renting. */
@@ -26,8 +26,8 @@
         neverBooted.replaceAll { _, count -> count * DECAY_PER_ROUND }
     }
 
-    /** By how much losses make [offer] look dearer than its price. */
-    fun priceFactor(offer: Offer): Double = 1 + (spotLosses[offer] ?: 0.0) * LOSS_WEIGHT
+    /** By how much losses make [offering] look dearer than its price. */
+    fun priceFactor(offering: MachineOffering): Double = 1 + (spotLosses[offering] ?: 0.0) * LOSS_WEIGHT
 
     /**
      * Whether a machine has booted for longer than machines mostly take. It may still come up, and is used then; but what waits
@@ -42,18 +42,18 @@
      * Offers of which most machines rented lately are late or never came up: whatever is rented there next would be late as
      * well. They are left alone while others can be had. Among many machines a few that never boot mean nothing.
      */
-    fun lateOffers(now: MonotonicTime): Set<Offer> {
-        val late = HashMap<Offer, Double>(neverBooted)
-        val booted = HashMap<Offer, Int>()
+    fun lateOffers(now: MonotonicTime): Set<MachineOffering> {
+        val late = HashMap<MachineOffering, Double>(neverBooted)
+        val booted = HashMap<MachineOffering, Int>()
         for (machine in cluster.machines.values) {
-            val offer = machine.offer() ?: continue
+            val offering = machine.offering() ?: continue
             if (machine.state != MachineState.BOOTING) {
-                if (now - machine.rentedAt < RECENT_MS) booted.merge(offer, 1, Int::plus)
+                if (now - machine.rentedAt < RECENT_MS) booted.merge(offering, 1, Int::plus)
             } else if (!machine.deleting && !machine.listedRunning && isLate(machine, now)) {
-                late.merge(offer, 1.0, Double::plus)
+                late.merge(offering, 1.0, Double::plus)
             }
         }
-        return late.filter { (offer, count) -> count >= MIN_LATE_MACHINES && count > (booted[offer] ?: 0) }.keys
+        return late.filter { (offering, count) -> count >= MIN_LATE_MACHINES && count > (booted[offering] ?: 0) }.keys
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineReturns.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleIn.kt
@@ -17,13 +17,13 @@
  * Returns machines that are idle, dead, sick or out of reach. A machine chosen once is returned for certain: its deletion is
  * asked for again until it is answered. Called by one thread; takes the lock of [AutoscalingContext].
  */
-class MachineReturns(
+class ScaleIn(
     private val context: AutoscalingContext,
     private val cloud: Cloud,
     private val clock: Clock,
-    private val policy: FleetPolicy,
+    private val policy: AutoscalingPolicy,
     private val timing: LeaseTiming,
-    private val history: OfferHistory,
+    private val history: OfferingHistory,
     /** Calls to the cloud that a round may make. */
     private val callsPerRound: Int,
 ) {
@@ -65,7 +65,7 @@
         machine.quarantined -> "sick"
         machine.unreachedSince != null -> "hears nothing"
         machine.state == MachineState.BOOTING -> "never came up"
-        machine.noticed -> "to be taken"
+        machine.reclaimNoticed -> "to be taken"
         else -> "idle"
     }
 
@@ -95,7 +95,7 @@
     }
 
     private fun isUnneeded(machine: Machine, type: MachineType, now: MonotonicTime): Boolean {
-        if (machine.quarantined || machine.noticed) return true
+        if (machine.quarantined || machine.reclaimNoticed) return true
         return machine.reservedFor == null &&
             now - machine.idleSince > idleReturnMs(machine, type) &&
             now - machine.rentedAt > MIN_PAID_MS
--- a/src/main/kotlin/mountmast/coordination/autoscaling/RentalPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
@@ -11,19 +11,19 @@
  * Decides what to rent: machines for the waiting tasks that those still booting will not have room for.
  * Guarded by the lock of [AutoscalingContext].
  */
-class RentalPlanner(
+class ScaleOutPlanner(
     private val context: AutoscalingContext,
     private val timing: LeaseTiming,
-    private val history: OfferHistory,
+    private val history: OfferingHistory,
     /** How many machines can be rented in a round at most. */
     private val mostPerRound: Int,
     /** Whether the cloud lately had no such machine. */
-    private val isPaused: (Offer, MonotonicTime) -> Boolean,
+    private val isPaused: (MachineOffering, MonotonicTime) -> Boolean,
 ) {
     private val cluster get() = context.cluster
 
     /** How many machines to rent by each offer, in the order of the tasks that need them. */
-    fun plan(now: MonotonicTime): Map<Offer, Int> {
+    fun plan(now: MonotonicTime): Map<MachineOffering, Int> {
         history.decay()
         val round = Round(now, history.lateOffers(now))
         for (waiting in context.waiting) {
@@ -33,19 +33,19 @@
         return round.rentals
     }
 
-    private inner class Round(private val now: MonotonicTime, private val lateOffers: Set<Offer>) {
-        val rentals = LinkedHashMap<Offer, Int>()
+    private inner class Round(private val now: MonotonicTime, private val lateOffers: Set<MachineOffering>) {
+        val rentals = LinkedHashMap<MachineOffering, Int>()
         private var rentalCount = 0
-        private val expected = ExpectedMachines().apply { offersOfExpected().forEach { add(it.offer, it.type.capacity) } }
+        private val expected = ExpectedMachines().apply { offeringsOfExpected().forEach { add(it.offering, it.type.capacity) } }
 
-        private fun offersOfExpected(): List<TypedOffer> {
+        private fun offeringsOfExpected(): List<TypedOffering> {
             // Where nothing else is to be had, or offer after offer is late, more machines would only be late as well: rentals
             // must not run away.
             val isElsewhere = lateOffers.size < MANY_LATE_OFFERS && allOffers().any { it !in lateOffers && !isPaused(it, now) }
             return cluster.machines.values
-                .filter { isExpectedSoon(it, now) || (!isElsewhere && it.offer() in lateOffers) }
-                .mapNotNull { it.offer() }
-                .mapNotNull { offer -> cluster.types[offer.type]?.let { TypedOffer(offer, it) } }
+                .filter { isExpectedSoon(it, now) || (!isElsewhere && it.offering() in lateOffers) }
+                .mapNotNull { it.offering() }
+                .mapNotNull { offering -> cluster.types[offering.type]?.let { TypedOffering(offering, it) } }
         }
 
         /** Finds room for [tasks] of [job], on expected machines first. */
@@ -54,10 +54,10 @@
             var left = tasks - expected.take(job, tasks, zones)
             while (left > 0 && rentalCount < mostPerRound) {
                 val best = bestOffer(job, left, zones) ?: return
-                rentals.merge(best.offer, 1, Int::plus)
+                rentals.merge(best.offering, 1, Int::plus)
                 rentalCount++
-                expected.add(best.offer, best.type.capacity)
-                val taken = expected.takeFrom(best.offer, best.type.capacity, job, left, zones)
+                expected.add(best.offering, best.type.capacity)
+                val taken = expected.takeFrom(best.offering, best.type.capacity, job, left, zones)
                 if (taken == 0) return
                 left -= taken
             }
@@ -65,7 +65,7 @@
 
         private fun bestOffer(job: Job, wanted: Int, zones: ZoneShares): PricedOffer? {
             val usable = allOffers().mapNotNull { price(it, job, wanted, zones) }.toList()
-            val punctual = usable.filter { it.offer !in lateOffers }
+            val punctual = usable.filter { it.offering !in lateOffers }
             val choices = punctual.ifEmpty { usable }
             val cheapest = choices.minOfOrNull { it.pricePerTask } ?: return null
             // Small machines fall idle sooner and leave the large ones, of which there are few, to tasks that need them.
@@ -73,23 +73,23 @@
                 .minWith(compareBy({ it.type.cpus }, { it.pricePerTask }))
         }
 
-        /** What [offer] costs for each of the [wanted] tasks that fit, or null where none of them can go there. */
-        private fun price(offer: Offer, job: Job, wanted: Int, zones: ZoneShares): PricedOffer? {
-            val type = cluster.types[offer.type] ?: return null
-            val taskCount = job.perTask.timesIn(type.capacity, minOf(wanted, zones.left(offer.zone)))
-            if (taskCount <= 0 || !offer.isAllowedFor(job.spec) || isPaused(offer, now)) return null
-            val price = (if (offer.spot) type.spotPrice else type.price) * history.priceFactor(offer)
-            return PricedOffer(offer, type, price / taskCount)
+        /** What [offering] costs for each of the [wanted] tasks that fit, or null where none of them can go there. */
+        private fun price(offering: MachineOffering, job: Job, wanted: Int, zones: ZoneShares): PricedOffer? {
+            val type = cluster.types[offering.type] ?: return null
+            val taskCount = job.perTask.instancesWithin(type.capacity, minOf(wanted, zones.left(offering.zone)))
+            if (taskCount <= 0 || !offering.isAllowedFor(job.spec) || isPaused(offering, now)) return null
+            val price = (if (offering.spot) type.spotPrice else type.price) * history.priceFactor(offering)
+            return PricedOffer(offering, type, price / taskCount)
         }
     }
 
-    private fun allOffers(): Sequence<Offer> = cluster.types.values.asSequence().flatMap { type ->
-        type.zones.asSequence().flatMap { zone -> sequenceOf(Offer(type.id, zone, true), Offer(type.id, zone, false)) }
+    private fun allOffers(): Sequence<MachineOffering> = cluster.types.values.asSequence().flatMap { type ->
+        type.zones.asSequence().flatMap { zone -> sequenceOf(MachineOffering(type.id, zone, true), MachineOffering(type.id, zone, false)) }
     }
 
     /** Whether it boots, or its worker has yet to show our token: no pass has given it work so far. */
     private fun isExpectedSoon(machine: Machine, now: MonotonicTime): Boolean = !machine.deleting &&
-        !machine.noticed &&
+        !machine.reclaimNoticed &&
         when (machine.state) {
             MachineState.BOOTING ->
                 if (machine.listedRunning) now - machine.knownAt < firstHeartbeatMs else !history.isLate(machine, now)
@@ -100,9 +100,9 @@
     /** A machine that was running when this leader came reports within this time, or never. */
     private val firstHeartbeatMs get() = timing.quietMs + SLOW_NODE_MARGIN_MS
 
-    private class TypedOffer(val offer: Offer, val type: MachineType)
+    private class TypedOffering(val offering: MachineOffering, val type: MachineType)
 
-    private class PricedOffer(val offer: Offer, val type: MachineType, val pricePerTask: Double)
+    private class PricedOffer(val offering: MachineOffering, val type: MachineType, val pricePerTask: Double)
 
     private companion object {
         const val MANY_LATE_OFFERS = 2
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.autoscaling.Fleet
-import mountmast.coordination.autoscaling.FleetPolicy
+import mountmast.coordination.autoscaling.Autoscaler
+import mountmast.coordination.autoscaling.AutoscalingPolicy
 import mountmast.coordination.election.LeaderElection
 import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.jobs.JobRecordPrefetcher
@@ -10,7 +10,7 @@
 import mountmast.coordination.membership.FormatNegotiation
 import mountmast.coordination.membership.PeerMembership
 import mountmast.coordination.persistence.JournalCommitter
-import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.TaskLosses
 import mountmast.coordination.workers.LeaseRenewalDelegate
@@ -46,8 +46,8 @@
  */
 class Controller(
     private val settings: Settings,
-    private val policy: Policy,
-    private val fleetPolicy: FleetPolicy,
+    private val policy: SchedulingPolicy,
+    private val autoscalingPolicy: AutoscalingPolicy,
     private val store: StateStore,
     private val cloud: Cloud,
     private val workers: WorkerClient,
@@ -78,7 +78,7 @@
 
     private val jobPrefetcher = JobRecordPrefetcher(store, jobService::noteRecord)
 
-    private class LeaderComponents(val leaderTerm: LeaderTerm, val writer: JournalCommitter, val fleet: Fleet)
+    private class LeaderComponents(val leaderTerm: LeaderTerm, val writer: JournalCommitter, val autoscaler: Autoscaler)
 
     private val leaderComponents = AtomicReference<LeaderComponents?>()
 
@@ -171,8 +171,8 @@
                 losses, invariants,
             )
         val writer = JournalCommitter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { election.stepDown() }
-        val fleet = Fleet(leaderTerm, cloud, clock, "${settings.node}-$run-${leaderLease.token}", fleetPolicy, timing, settings.cloudRps)
-        leaderComponents.set(LeaderComponents(leaderTerm, writer, fleet))
+        val autoscaler = Autoscaler(leaderTerm, cloud, clock, "${settings.node}-$run-${leaderLease.token}", autoscalingPolicy, timing, settings.cloudRps)
+        leaderComponents.set(LeaderComponents(leaderTerm, writer, autoscaler))
     }
 
     /**
@@ -190,9 +190,9 @@
     }
 
     /** One pass of the scheduler. */
-    fun pass() {
+    fun runSchedulingCycle() {
         val leaderTerm = leaderTerm() ?: return
-        leaderTerm.pass()
+        leaderTerm.runSchedulingCycle()
         election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.heartbeats.expireSilent(it) }
     }
 
@@ -226,10 +226,10 @@
     }
 
     /** Renting and returning cannot be taken back, so only a leader that was confirmed just now does either. */
-    fun manageFleet() {
+    fun autoscale() {
         val current = leaderComponents.get()?.takeIf { it.leaderTerm.ready } ?: return
         val confirmed = election.confirmedUntil(current.leaderTerm.leaderLease) ?: return
-        if (clock.now() - confirmed < CONFIRMED_MS) current.fleet.step()
+        if (clock.now() - confirmed < CONFIRMED_MS) current.autoscaler.step()
     }
 
     /** Sends commands to one worker; false where there were none to send. */
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -6,7 +6,7 @@
 import mountmast.coordination.persistence.JournalState
 import mountmast.coordination.persistence.PersistenceContext
 import mountmast.coordination.persistence.StateLoader
-import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.coordination.scheduling.Waiting
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.ClusterState
@@ -42,7 +42,7 @@
     store: StateStore,
     workers: WorkerClient,
     teams: Map<TeamId, TeamQuota>,
-    policy: Policy,
+    policy: SchedulingPolicy,
     private val timing: LeaseTiming,
     private val clock: Clock,
     /** Whether another node told of a job's cancellation. */
@@ -75,8 +75,8 @@
         jobs.unknownForMs(now) < timing.ttlMs
     }, invariants) { heartbeat, now -> heartbeats.take(heartbeat, now, isHeartbeat = false) }
 
-    private val snapshots = SchedulingSnapshots(cluster, dependencies, teams, timing, clock)
-    private val passes = SchedulingPasses(cluster, snapshots, dispatch, signals, policy, clock)
+    private val snapshots = SnapshotCache(cluster, dependencies, teams, timing, clock)
+    private val schedulingCycle = SchedulingCycle(cluster, snapshots, dispatch, signals, policy, clock)
     private val loader = StateLoader(lock, cluster, journal, jobs, store, clock)
 
     init {
@@ -87,7 +87,7 @@
     val ready: Boolean get() = heartbeats.takenFrom != null
 
     /** Open tasks that found no machine in the last pass; the caller holds the lock. */
-    override val waiting: List<Waiting> get() = passes.waiting
+    override val waiting: List<Waiting> get() = schedulingCycle.waiting
 
     /** How long a machine may hear nothing before it is returned. */
     override val unreachedPatienceMs: Long get() = 2 * timing.leaseExpiryMs
@@ -122,8 +122,8 @@
     fun uninformedMs(): Long? = lock.withLock { if (ready) jobs.unknownForMs(clock.now()) else null }
 
     /** One pass of the scheduler. */
-    fun pass() = lock.withLock {
-        heartbeats.takenFrom?.let(passes::run)
+    fun runSchedulingCycle() = lock.withLock {
+        heartbeats.takenFrom?.let(schedulingCycle::run)
     }
 
     override val leaderModRevision: ModRevision get() = leaderLease.modRevision
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -3,11 +3,11 @@
 import mountmast.protocol.Settings
 import mountmast.transport.AdmissionLimits
 import mountmast.transport.BoundedServer
+import mountmast.transport.ConnectionBudget
 import mountmast.transport.MetricNames
 import mountmast.transport.Metrics
 import mountmast.transport.QueueMetrics
-import mountmast.transport.RequestLane
-import mountmast.transport.Sockets
+import mountmast.transport.RequestBulkhead
 import mountmast.transport.peerRoutes
 import mountmast.transport.publicRoutes
 import org.agrona.ErrorHandler
@@ -28,23 +28,23 @@
 ) {
     /** Starts the servers, then the threads; they run until the process ends. */
     fun start() {
-        val sockets = Sockets.of(settings.maxConnections)
-        startServers(sockets)
+        val connectionBudget = ConnectionBudget.of(settings.maxConnections)
+        startServers(connectionBudget)
         startMembership()
-        startLeaderWork(sockets)
+        startLeaderWork(connectionBudget)
         log.info("{} serves on {}", settings.node, settings.serveOn)
     }
 
-    private fun startServers(sockets: Sockets) {
+    private fun startServers(connectionBudget: ConnectionBudget) {
         // What users submit is shed first: their polls have a limit of their own, and both leave threads to the workers.
         val admission = AdmissionLimits(operators.admission.limit(), operators.admission.limit())
         // When all workers connect at once, after an election, users would wait behind hundreds of reports.
-        val lanes = listOf(
-            RequestLane.forHeartbeats(heartbeatQueueMetrics()),
-            RequestLane.forOthers(USER_THREADS, sockets.waiting, requestQueueMetrics()),
+        val bulkheads = listOf(
+            RequestBulkhead.forHeartbeats(heartbeatQueueMetrics()),
+            RequestBulkhead.forOthers(USER_THREADS, connectionBudget.waiting, requestQueueMetrics()),
         )
         publicRoutes(controller.users, controller, admission, metrics)
-            .asServer(BoundedServer(settings.serveOn, "serve", BoundedServer.PUBLIC_READERS, sockets.accepted, lanes))
+            .asServer(BoundedServer(settings.serveOn, "serve", BoundedServer.PUBLIC_READERS, connectionBudget.accepted, bulkheads))
             .start()
         peerRoutes(controller.users, controller)
             .asServer(BoundedServer(settings.peerListen, "peer", PEER_THREADS, PEER_WAITING)).start()
@@ -90,8 +90,8 @@
     }
 
     /** Starts what only a leader does; these threads idle on any other node. */
-    private fun startLeaderWork(sockets: Sockets) {
-        whileLeading("pass", ::passAndWait)
+    private fun startLeaderWork(connectionBudget: ConnectionBudget) {
+        whileLeading("pass", ::runCycleAndWait)
         whileLeading("writer") { leaderTerm ->
             if (!controller.write()) leaderTerm.signals.awaitWritable(WRITE_IDLE_MS)
             WRITE_GAP_MS
@@ -99,21 +99,21 @@
         whileLeading("follow") { if (controller.watch(WATCH_JOBS_MS)) WATCH_JOBS_GAP_MS else FAILED_MS }
         whileLeading("prerequisites") { if (controller.resolvePrerequisites()) 0 else PREREQUISITES_MS }
         whileLeading("fleet") {
-            controller.manageFleet()
-            FLEET_MS
+            controller.autoscale()
+            AUTOSCALING_MS
         }
         repeat(ANNOUNCER_THREADS) { number -> whileLeading("caller-$number") { if (controller.announceLeader()) 0 else ANNOUNCE_GAP_MS } }
-        repeat(sockets.deliveryThreads) { number -> whileLeading("poster-$number") { if (controller.deliverCommands(DELIVERY_WAIT_MS)) 0 else DELIVERY_GAP_MS } }
+        repeat(connectionBudget.deliveryThreads) { number -> whileLeading("poster-$number") { if (controller.deliverCommands(DELIVERY_WAIT_MS)) 0 else DELIVERY_GAP_MS } }
     }
 
     /** Runs a pass and waits until the next is due or asked for; returns how long to pause at least. */
-    private fun passAndWait(leaderTerm: LeaderTerm): Long {
+    private fun runCycleAndWait(leaderTerm: LeaderTerm): Long {
         val began = System.nanoTime()
-        controller.pass()
+        controller.runSchedulingCycle()
         val tookMs = (System.nanoTime() - began) / NANOS_PER_MS
-        leaderTerm.signals.awaitPlacement(operators.policy.passMs)
+        leaderTerm.signals.awaitPlacement(operators.policy.cycleMs)
         // However large the ledger, passes leave most of the processor to the workers' reports.
-        return maxOf(PASS_GAP_MS, tookMs * PASS_SHARE)
+        return maxOf(CYCLE_GAP_MS, tookMs * CYCLE_SHARE)
     }
 
     /** Repeats [step] while this node leads. */
@@ -153,8 +153,8 @@
         const val PEER_HEARTBEAT_MS = 2000L
         const val LOAD_REPORT_MS = 10_000L
         const val REFRESH_MS = 1000L
-        const val PASS_GAP_MS = 200L
-        const val PASS_SHARE = 4
+        const val CYCLE_GAP_MS = 200L
+        const val CYCLE_SHARE = 4
         const val NANOS_PER_MS = 1_000_000L
         const val WRITE_GAP_MS = 120L
         const val WRITE_IDLE_MS = 500L
@@ -166,7 +166,7 @@
         /** A node that does not lead has a small share of the requests, and nothing rests on how old its watch is. */
         const val WATCH_MS = 10_000L
         const val WATCH_GAP_MS = 250L
-        const val FLEET_MS = 1000L
+        const val AUTOSCALING_MS = 1000L
         const val PREREQUISITES_MS = 200L
         const val DELIVERY_WAIT_MS = 1000L
         const val DELIVERY_GAP_MS = 50L
--- a/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.autoscaling.FleetPolicy
-import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.autoscaling.AutoscalingPolicy
+import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.protocol.InvalidSettingsException
 import mountmast.protocol.TeamId
 import mountmast.protocol.Urgency
@@ -23,8 +23,8 @@
  * elements known here, or outside their ranges, is refused with its line.
  */
 data class OperatorSettings(
-    val policy: Policy = Policy(),
-    val fleet: FleetPolicy = FleetPolicy(),
+    val policy: SchedulingPolicy = SchedulingPolicy(),
+    val fleet: AutoscalingPolicy = AutoscalingPolicy(),
     val admission: Admission = Admission(),
 ) {
     companion object {
@@ -76,10 +76,10 @@
                     "borrowing" -> policy.copy(borrowing = number(element, 1.0, 100.0))
                     "overhead-weight" -> policy.copy(overheadWeight = number(element, 0.0, 100.0))
                     "fragment-weight" -> policy.copy(fragmentWeight = number(element, 0.0, 100.0))
-                    "pass-ms" -> policy.copy(passMs = whole(element, 50, 60_000).toLong())
+                    "pass-ms" -> policy.copy(cycleMs = whole(element, 50, 60_000).toLong())
                     "run-decay" -> policy.copy(runDecay = number(element, 0.0, 0.99))
-                    "evictions-per-pass" -> policy.copy(evictionsPerPass = whole(element, 0, 1000))
-                    "starts-per-pass" -> policy.copy(startsPerPass = whole(element, 1, 10_000))
+                    "evictions-per-pass" -> policy.copy(preemptionsPerCycle = whole(element, 0, 1000))
+                    "starts-per-pass" -> policy.copy(startsPerCycle = whole(element, 1, 10_000))
                     else -> refuse("unknown element <$element>")
                 },
             )
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingPasses.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -1,9 +1,9 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.scheduling.Eviction
 import mountmast.coordination.scheduling.Plan
-import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.scheduling.Preemption
 import mountmast.coordination.scheduling.Scheduler
+import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.coordination.scheduling.Start
 import mountmast.coordination.scheduling.Waiting
 import mountmast.coordination.state.Assignment
@@ -25,16 +25,16 @@
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
 /** Brings what the [Scheduler] plans into the ledger, and stops what has to leave its machine. Guarded as its [ClusterState] is. */
-class SchedulingPasses(
+class SchedulingCycle(
     private val cluster: ClusterState,
-    private val snapshots: SchedulingSnapshots,
+    private val snapshots: SnapshotCache,
     private val dispatch: CommandDispatcher,
     private val signals: TermSignals,
-    policy: Policy,
+    policy: SchedulingPolicy,
     private val clock: Clock,
 ) {
     private val scheduler = Scheduler(policy)
-    private val delays = DelayReports(cluster)
+    private val stalledJobReporter = StalledJobReporter(cluster)
     private var assurance: Map<TeamId, Double> = emptyMap()
     private var tidiedAt = MonotonicTime(Long.MIN_VALUE / 2)
 
@@ -52,7 +52,7 @@
         assurance = plan.assurance
         waiting = plan.waiting
         for (start in plan.starts) place(start, plan, now)
-        for (eviction in plan.evictions) evict(eviction, now)
+        for (preemption in plan.preemptions) preempt(preemption, now)
         for (reservation in plan.reservations) reserve(reservation.machine, reservation.forJob, now)
         if (cluster.pendingChanges.isNotEmpty()) signals.wakeWriter()
     }
@@ -77,12 +77,12 @@
     /** What need not be looked at in each pass. */
     private fun tidy(readyAt: MonotonicTime, now: MonotonicTime) {
         tidiedAt = now
-        emptyNoticed(now)
+        drainReclaimed(now)
         cluster.health.detectStragglers(now)
-        emptyQuarantined()
+        drainQuarantined()
         dispatch.announceToWorkers(readyAt, now)
-        delays.tellStalls(waiting, now)
-        delays.tellLate { job -> snapshots.untilS(job.ownDue) }
+        stalledJobReporter.tellStalls(waiting, now)
+        stalledJobReporter.tellLate { job -> snapshots.untilS(job.ownDue) }
     }
 
     private fun reserve(id: MachineId, job: JobId, now: MonotonicTime) {
@@ -91,39 +91,39 @@
         machine.reservedUntil = now + RESERVATION_MS
     }
 
-    private fun evict(eviction: Eviction, now: MonotonicTime) {
-        val machine = cluster.machines[eviction.machine] ?: return
-        reserve(machine.id, eviction.forJob, now)
-        log.info("machine {} emptied for {}: {} tasks stopped", machine.id, eviction.forJob, eviction.victims.size)
+    private fun preempt(preemption: Preemption, now: MonotonicTime) {
+        val machine = cluster.machines[preemption.machine] ?: return
+        reserve(machine.id, preemption.forJob, now)
+        log.info("machine {} emptied for {}: {} tasks stopped", machine.id, preemption.forJob, preemption.victims.size)
         val victims = ArrayList<String>()
         for (assignment in machine.live.values) {
-            if (assignment.stopGraceS != null) continue
-            assignment.stopGraceS = assignment.job.spec.saveS
-            assignment.evicted = true
+            if (assignment.terminationGraceS != null) continue
+            assignment.terminationGraceS = assignment.job.spec.checkpointSaveS
+            assignment.preempted = true
             victims += assignment.taskName
         }
         // The pass's evictions go out in one state write, together with its starts.
-        victims.chunked(VICTIMS_PER_ENTRY).forEach { cluster.pendingChanges += PendingChange.Reserved(machine.id, eviction.forJob, it) }
+        victims.chunked(VICTIMS_PER_ENTRY).forEach { cluster.pendingChanges += PendingChange.Reserved(machine.id, preemption.forJob, it) }
         dispatch.queue(machine.id)
     }
 
     /** Stops what would not complete before the cloud takes its machine, so that it saves and goes on elsewhere. */
-    private fun emptyNoticed(now: MonotonicTime) {
+    private fun drainReclaimed(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
-            if (machine.noticed) stopOn(machine) { snapshots.remainingS(it, now) >= machine.noticeS }
+            if (machine.reclaimNoticed) drain(machine) { snapshots.remainingS(it, now) >= machine.reclaimNoticeS }
         }
     }
 
     /** A sick or slow machine's tasks are better begun again elsewhere; it is returned once it is empty. */
-    private fun emptyQuarantined() {
-        for (machine in cluster.machines.values) if (machine.quarantined) stopOn(machine) { true }
+    private fun drainQuarantined() {
+        for (machine in cluster.machines.values) if (machine.quarantined) drain(machine) { true }
     }
 
-    private inline fun stopOn(machine: Machine, which: (Assignment) -> Boolean) {
+    private inline fun drain(machine: Machine, which: (Assignment) -> Boolean) {
         if (machine.state != MachineState.UP) return
         for (assignment in machine.live.values) {
-            if (assignment.stopGraceS != null || assignment.phase != Phase.COMMITTED || !which(assignment)) continue
-            assignment.stopGraceS = assignment.job.spec.saveS
+            if (assignment.terminationGraceS != null || assignment.phase != Phase.COMMITTED || !which(assignment)) continue
+            assignment.terminationGraceS = assignment.job.spec.checkpointSaveS
             dispatch.queue(machine.id)
         }
     }
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingSnapshots.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -1,11 +1,11 @@
 package mountmast.coordination.controller
 
 import mountmast.coordination.election.LeaseTiming
+import mountmast.coordination.scheduling.ClusterSnapshot
 import mountmast.coordination.scheduling.JobView
 import mountmast.coordination.scheduling.MachineIndex
 import mountmast.coordination.scheduling.MachineView
 import mountmast.coordination.scheduling.Resident
-import mountmast.coordination.scheduling.Snapshot
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Job
@@ -26,7 +26,7 @@
  * Turns the ledger into what the scheduler decides on. A job that waits for others is left out: it is no demand yet.
  * Guarded as the [ClusterState] is.
  */
-class SchedulingSnapshots(
+class SnapshotCache(
     private val cluster: ClusterState,
     private val dependencies: JobDependencies,
     private val teams: Map<TeamId, TeamQuota>,
@@ -34,7 +34,7 @@
     private val clock: Clock,
 ) {
     /** A machine's view, and what it was made from. */
-    private class KeptView(val machine: Machine, val changes: Int, val view: MachineView) {
+    private class CachedView(val machine: Machine, val changes: Int, val view: MachineView) {
         /** The pass that used it last. */
         var usedInPass = 0L
 
@@ -42,18 +42,18 @@
             this.machine === machine && changes == machine.changes && view.type === type && !view.isPlanned
     }
 
-    private val keptViews = LinkedHashMap<MachineId, KeptView>()
+    private val cachedViews = LinkedHashMap<MachineId, CachedView>()
     private val index = MachineIndex()
     private var passes = 0L
 
     /** What a pass decides on; [assurance] holds the smoothed degrees of the pass before. */
-    fun take(now: MonotonicTime, assurance: Map<TeamId, Double>): Snapshot {
+    fun take(now: MonotonicTime, assurance: Map<TeamId, Double>): ClusterSnapshot {
         val machines = usableMachines(now)
         val jobs = ArrayList<JobView>(cluster.jobs.size)
         // What waits for other jobs is no demand yet, whatever it has been promised.
-        dependencies.refreshClaims()
+        dependencies.refreshInheritedPriorities()
         for (job in cluster.jobs.values) if (!job.cancelled && job.isReleased) jobs += view(job, now)
-        return Snapshot(machines, jobs, teams.keys.associateWith { cluster.use(it) }, teams, assurance, index)
+        return ClusterSnapshot(machines, jobs, teams.keys.associateWith { cluster.use(it) }, teams, assurance, index)
     }
 
     /** Looks at each machine once; only those that changed since the pass before are grouped anew. */
@@ -65,18 +65,18 @@
             if (!machine.usable(now) || now - machine.lastHeartbeatAt > timing.quietMs) continue
             machines += currentView(machine) ?: continue
         }
-        if (keptViews.size > machines.size) dropUnused()
+        if (cachedViews.size > machines.size) dropUnused()
         return machines
     }
 
     private fun currentView(machine: Machine): MachineView? {
         val type = cluster.types[machine.type] ?: return null
         val zone = machine.zone ?: return null
-        var kept = keptViews[machine.id]
+        var kept = cachedViews[machine.id]
         if (kept == null || !kept.isCurrent(machine, type)) {
             kept?.let { index.remove(it.view) }
-            kept = KeptView(machine, machine.changes, view(machine, type, zone))
-            keptViews[machine.id] = kept
+            kept = CachedView(machine, machine.changes, view(machine, type, zone))
+            cachedViews[machine.id] = kept
             index.add(kept.view)
         } else {
             kept.view.forgetResidents()
@@ -94,7 +94,7 @@
     }
 
     private fun dropUnused() {
-        val views = keptViews.values.iterator()
+        val views = cachedViews.values.iterator()
         while (views.hasNext()) {
             val kept = views.next()
             if (kept.usedInPass == passes) continue
@@ -116,14 +116,14 @@
             TaskId(job.id, assignment.index),
             job.schedulingSpec,
             remainingS(assignment, now),
-            job.evictions.get(assignment.index),
-            assignment.stopGraceS != null || assignment.phase == Phase.ENDED,
+            job.preemptions.get(assignment.index),
+            assignment.terminationGraceS != null || assignment.phase == Phase.ENDED,
         )
     }
 
     private fun view(job: Job, now: MonotonicTime): JobView {
         val runS = cluster.runEstimateS(job)
-        val perZone = if (!job.spec.oneZone && !job.spec.spread) {
+        val perZone = if (!job.spec.singleZone && !job.spec.spreadAcrossZones) {
             emptyMap()
         } else {
             job.live.values.groupingBy { it.zone }.eachCount()
--- a/src/main/kotlin/mountmast/coordination/controller/DelayReports.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
@@ -9,7 +9,7 @@
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
 /** Tells operators which jobs stall or are late. Guarded as its [ClusterState] is. */
-class DelayReports(private val cluster: ClusterState) {
+class StalledJobReporter(private val cluster: ClusterState) {
     /** Tells operators once of each job whose deadline has passed. */
     fun tellLate(untilDueS: (Job) -> Double) {
         for (job in cluster.jobs.values) {
@@ -23,7 +23,7 @@
         log.info("job {} is late: {} of {} tasks are done, {} placed", job.id, job.doneCount, job.spec.tasks, job.live.size)
 
     private fun tellWaiting(job: Job) {
-        val open = job.release.open
+        val open = job.unmetDependencies.open
         log.info("job {} is late: it waits for {} jobs, among them {}", job.id, open.size, open.take(MAX_NAMED))
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
@@ -30,8 +30,8 @@
         if (known.isComplete) cluster.finishing += known
     }
 
-    override fun evictedBefore(task: TaskId, times: Int) {
-        cluster.jobs[task.job]?.evictions?.put(task.index, times)
+    override fun preemptedBefore(task: TaskId, times: Int) {
+        cluster.jobs[task.job]?.preemptions?.put(task.index, times)
     }
 
     override fun started(task: TaskId, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone) {
@@ -50,7 +50,7 @@
         }
         val assignment = Assignment(job, task.index, machine, incarnation, attempt, zone, Phase.COMMITTED, now)
         assignment.written = true
-        if (job.cancelled) assignment.stopGraceS = 0.0
+        if (job.cancelled) assignment.terminationGraceS = 0.0
         cluster.place(assignment, known)
     }
 
@@ -60,15 +60,15 @@
             job.setDone(task.index)
             if (job.isComplete) cluster.finishing += job
         }
-        if (end == TaskEnd.EVICTED) job.evictions.addTo(task.index, 1)
+        if (end == TaskEnd.PREEMPTED) job.preemptions.addTo(task.index, 1)
         job.live.get(task.index)?.let { cluster.release(it, now) }
     }
 
     override fun reserved(machine: MachineId, job: JobId, victims: List<TaskId>) {
         for (victim in victims) {
             val assignment = cluster.jobs[victim.job]?.live?.get(victim.index) ?: continue
-            assignment.stopGraceS = assignment.stopGraceS ?: assignment.job.spec.saveS
-            assignment.evicted = true
+            assignment.terminationGraceS = assignment.terminationGraceS ?: assignment.job.spec.checkpointSaveS
+            assignment.preempted = true
         }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -84,7 +84,7 @@
 
     private fun endOf(assignment: Assignment): TaskEnd = when {
         assignment.completed -> TaskEnd.DONE
-        assignment.evicted -> TaskEnd.EVICTED
+        assignment.preempted -> TaskEnd.PREEMPTED
         else -> TaskEnd.UNDONE
     }
 
--- a/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
@@ -16,8 +16,8 @@
 }
 
 /** Splits each team's work into guaranteed and borrowed, and computes degrees of assurance (the paper's Eq. 1 and 2). */
-class AssuranceAssessment(private val policy: Policy) {
-    fun assess(snapshot: Snapshot): Assurance {
+class AssuranceAssessment(private val policy: SchedulingPolicy) {
+    fun assess(snapshot: ClusterSnapshot): Assurance {
         val guaranteedTasks = HashMap<JobId, Int>()
         val degrees = HashMap<TeamId, Double>()
         for ((team, jobs) in snapshot.jobs.groupBy { it.spec.team }) {
@@ -36,7 +36,7 @@
         for (job in jobs.sortedWith(compareBy({ it.submitted }, { it.spec.id }))) {
             if (!isGuaranteed(job, quota)) continue
             val left = Resources(quota.cpus - claimed.cpus, quota.gpus - claimed.gpus, Double.MAX_VALUE)
-            val covered = job.spec.perTask.copy(memoryGb = 0.0).timesIn(left, job.unfinished)
+            val covered = job.spec.perTask.copy(memoryGb = 0.0).instancesWithin(left, job.unfinished)
             guaranteedTasks[job.spec.id] = covered
             claimed += job.spec.perTask * covered
             demanded += job.spec.perTask * job.unfinished
--- a/src/main/kotlin/mountmast/coordination/scheduling/SchedulingView.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/ClusterSnapshot.kt
@@ -14,7 +14,7 @@
 import mountmast.protocol.Zone
 
 /** The open values of the design. */
-data class Policy(
+data class SchedulingPolicy(
     /** λ: weight of the newest degree of assurance. */
     val smoothing: Double = 0.3,
     /** η: borrowed work of a team goes up to this many times its guarantee. */
@@ -26,9 +26,9 @@
     /** Jobs at least this urgent are guaranteed. */
     val guaranteedFrom: Urgency = Urgency.NORMAL,
     val guaranteedFromOf: Map<TeamId, Urgency> = emptyMap(),
-    val passMs: Long = 1000,
-    val evictionsPerPass: Int = 4,
-    val startsPerPass: Int = 2000,
+    val cycleMs: Long = 1000,
+    val preemptionsPerCycle: Int = 4,
+    val startsPerCycle: Int = 2000,
     /** Weight of the past in a team's mean run time. */
     val runDecay: Double = 0.7,
 ) {
@@ -124,7 +124,7 @@
 )
 
 /** What the scheduler decides on: nothing else enters a decision. */
-class Snapshot(
+class ClusterSnapshot(
     val machines: List<MachineView>,
     val jobs: List<JobView>,
     val uses: Map<TeamId, Resources>,
@@ -142,7 +142,7 @@
 
 data class Start(val job: JobId, val index: Int, val machine: MachineId)
 
-data class Eviction(val machine: MachineId, val forJob: JobId, val victims: List<TaskId>)
+data class Preemption(val machine: MachineId, val forJob: JobId, val victims: List<TaskId>)
 
 /** A machine kept for a job whose tasks are too large for the room that comes free at once. */
 data class MachineReservation(val machine: MachineId, val forJob: JobId)
@@ -152,7 +152,7 @@
 
 class Plan(
     val starts: List<Start>,
-    val evictions: List<Eviction>,
+    val preemptions: List<Preemption>,
     val reservations: List<MachineReservation>,
     val waiting: List<Waiting>,
     val assurance: Map<TeamId, Double>,
--- a/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
@@ -4,7 +4,7 @@
 import mountmast.protocol.TeamQuota
 
 /** In which order jobs are placed, and which of them an exception of the design applies to. */
-class JobPriorities(private val snapshot: Snapshot, private val policy: Policy, assurance: Assurance) {
+class JobPriorities(private val snapshot: ClusterSnapshot, private val policy: SchedulingPolicy, assurance: Assurance) {
     /** The design's order: rising degree of assurance, then shorter remaining run. */
     val byAssurance: Comparator<JobView> =
         compareBy({ assurance.degree(it.spec.team) }, { it.remainingS }, { it.submitted }, { it.spec.id })
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
@@ -4,7 +4,7 @@
  * Exception to the design: keeps the machines where room for large tasks comes free soonest, stopping nothing; otherwise
  * smaller tasks take every piece of room as it comes, and the large ones wait for good. Not thread-safe.
  */
-class MachineReservations(private val snapshot: Snapshot, private val placement: Placement) {
+class MachineReservations(private val snapshot: ClusterSnapshot, private val placement: Placement) {
     private val smallestOpenCpus = snapshot.jobs.filter { it.openCount > 0 }.minOfOrNull { it.spec.cpus } ?: 0.0
     private var jobCount = 0
     private val planned = ArrayList<MachineReservation>()
@@ -25,7 +25,7 @@
             if (left <= 0) break
             snapshot.index.reserve(machine, job.spec.id)
             planned += MachineReservation(machine.id, job.spec.id)
-            left -= job.spec.perTask.timesIn(machine.type.capacity, left)
+            left -= job.spec.perTask.instancesWithin(machine.type.capacity, left)
         }
     }
 
@@ -46,10 +46,10 @@
     /** How soon [machine] has room for a task of [job], as far as estimates tell. */
     private fun roomInS(job: JobView, machine: MachineView): Double {
         var room = machine.room
-        if (job.spec.perTask.fitsIn(room)) return 0.0
+        if (job.spec.perTask.fitsWithin(room)) return 0.0
         for (resident in machine.residents.sortedBy { it.remainingS }) {
             room += resident.spec.perTask
-            if (job.spec.perTask.fitsIn(room)) return resident.remainingS
+            if (job.spec.perTask.fitsWithin(room)) return resident.remainingS
         }
         return Double.MAX_VALUE
     }
--- a/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
@@ -8,7 +8,7 @@
 import mountmast.protocol.Zone
 
 /** The starts of one pass, and the room, use and zones that they leave. Not thread-safe. */
-class Placement(private val snapshot: Snapshot, private val policy: Policy, private val priorities: JobPriorities) {
+class Placement(private val snapshot: ClusterSnapshot, private val policy: SchedulingPolicy, private val priorities: JobPriorities) {
     private val uses: HashMap<TeamId, Resources> = HashMap(snapshot.uses)
     private val tasksPerZone = HashMap<JobId, HashMap<Zone, Int>>()
     private val startedOn = HashSet<MachineId>()
@@ -39,7 +39,7 @@
         val candidates = candidates(job) ?: return allowed
         var placed = 0
         while (placed < allowed) {
-            if (startedCount >= policy.startsPerPass) return 0
+            if (startedCount >= policy.startsPerCycle) return 0
             val machine = candidates.poll() ?: break
             // Each start changes the room, and may fill the zone's share.
             if (!fits(job, machine)) continue
@@ -75,19 +75,19 @@
         startedOn += machine.id
         snapshot.index.changeRoom(machine, machine.room - spec.perTask)
         uses.merge(spec.team, spec.perTask) { a, b -> a + b }
-        if (spec.oneZone || spec.spread) zonesOf(job).merge(machine.zone, 1, Int::plus)
+        if (spec.singleZone || spec.spreadAcrossZones) zonesOf(job).merge(machine.zone, 1, Int::plus)
     }
 
     private fun zonesOf(job: JobView) = tasksPerZone.getOrPut(job.spec.id) { HashMap(job.perZone) }
 
     /** Machines with room for a task of [job], the best first; null where it has to be in one zone, and none can take it. */
     private fun candidates(job: JobView): PlacementCandidates? {
-        val home = if (job.spec.oneZone) homeZone(job) ?: return null else null
+        val home = if (job.spec.singleZone) homeZone(job) ?: return null else null
         val groups = snapshot.index.groups.filter { (home == null || it.zone == home) && isKindAllowed(job, it.type, it.zone, it.spot) }
         return PlacementCandidates(job, groups, { group, holdsImage -> score(job, group, holdsImage) }) { isAllowed(job, it) }
     }
 
-    private fun fits(job: JobView, machine: MachineView) = job.spec.perTask.fitsIn(machine.room) && isAllowed(job, machine)
+    private fun fits(job: JobView, machine: MachineView) = job.spec.perTask.fitsWithin(machine.room) && isAllowed(job, machine)
 
     /** Lower is better: first machines that hold the image, then those that would be left with the least room. */
     private fun score(job: JobView, group: MachineGroup, holdsImage: Boolean): Double {
@@ -118,19 +118,19 @@
         return (!isReservedForOther || ignoresReservations) && (machine.id !in job.avoid || priorities.isOverdue(job))
     }
 
-    private fun isShareLeft(job: JobView, zone: Zone) = !job.spec.spread || (zonesOf(job)[zone] ?: 0) < job.spec.perZoneLimit
+    private fun isShareLeft(job: JobView, zone: Zone) = !job.spec.spreadAcrossZones || (zonesOf(job)[zone] ?: 0) < job.spec.maxTasksPerZone
 
     /** Tells whether a machine, once it is empty, takes a task of [job]. */
     fun servingMachines(job: JobView): (MachineView) -> Boolean {
-        val home = if (job.spec.oneZone) homeZone(job) else null
+        val home = if (job.spec.singleZone) homeZone(job) else null
         return { machine ->
-            job.spec.perTask.fitsIn(machine.type.capacity) && isAllowed(job, machine) && (!job.spec.oneZone || home == machine.zone)
+            job.spec.perTask.fitsWithin(machine.type.capacity) && isAllowed(job, machine) && (!job.spec.singleZone || home == machine.zone)
         }
     }
 
     /** How many of [wanted] tasks of [job] the machines reserved for it take once they are empty. */
     fun reservedCapacity(job: JobView, wanted: Int): Int =
-        snapshot.index.reservedFor(job.spec.id).sumOf { job.spec.perTask.timesIn(it.type.capacity, wanted) }
+        snapshot.index.reservedFor(job.spec.id).sumOf { job.spec.perTask.instancesWithin(it.type.capacity, wanted) }
 
     /** The zone of the job's tasks, or the one with most room for them, of equals the first by name. */
     private fun homeZone(job: JobView): Zone? {
@@ -140,7 +140,7 @@
         for (group in snapshot.index.groups) {
             val usable = group.size - (excluded[group] ?: 0)
             if (usable == 0 || !isKindAllowed(job, group.type, group.zone, group.spot) || !isShareLeft(job, group.zone)) continue
-            roomByZone.merge(group.zone, usable * job.spec.perTask.timesIn(group.room, job.openCount), Int::plus)
+            roomByZone.merge(group.zone, usable * job.spec.perTask.instancesWithin(group.room, job.openCount), Int::plus)
         }
         return roomByZone.entries.maxWithOrNull(compareBy<Map.Entry<Zone, Int>> { it.value }.thenByDescending { it.key.text })?.key
     }
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
@@ -22,7 +22,7 @@
 
     init {
         for (group in groups) {
-            if (!job.spec.perTask.fitsIn(group.room)) continue
+            if (!job.spec.perTask.fitsWithin(group.room)) continue
             if (group.holds(image)) runs += Run(score(group, true)) { group.nextHolding(image, it) }
             if (!group.allHold(image)) runs += Run(score(group, false)) { nextWithoutImage(group, it) }
         }
--- a/src/main/kotlin/mountmast/coordination/scheduling/EvictionPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PreemptionPlanner.kt
@@ -9,18 +9,18 @@
 import mountmast.protocol.Zone
 
 /** Reserves machines for blocked tasks by evicting all their residents (the paper's Eq. 3 to 5). Not thread-safe. */
-class EvictionPlanner(
-    private val snapshot: Snapshot,
-    private val policy: Policy,
+class PreemptionPlanner(
+    private val snapshot: ClusterSnapshot,
+    private val policy: SchedulingPolicy,
     private val assurance: Assurance,
     private val placement: Placement,
 ) {
-    private val planned = ArrayList<Eviction>()
+    private val planned = ArrayList<Preemption>()
 
-    val evictions: List<Eviction> get() = planned
+    val preemptions: List<Preemption> get() = planned
 
     /** A larger fleet gives its guarantees as fast as a small one only if it may evict on as large a share of it. */
-    private val mostEvictions = maxOf(policy.evictionsPerPass, snapshot.machines.size / MACHINES_PER_EVICTION)
+    private val mostEvictions = maxOf(policy.preemptionsPerCycle, snapshot.machines.size / MACHINES_PER_EVICTION)
 
     /** Machines whose residents may all be stopped if who they are allows it, the cheapest first. */
     private val emptiable: List<MachineView> by lazy(LazyThreadSafetyMode.NONE) {
@@ -42,7 +42,7 @@
     )
 
     /** Empties the cheapest machines for [blocked] tasks, as far as a pass may evict. */
-    fun evictFor(job: JobView, blocked: Int, isGuaranteed: Boolean) {
+    fun preemptFor(job: JobView, blocked: Int, isGuaranteed: Boolean) {
         val demand = demand(job, isGuaranteed)
         if (planned.size >= mostEvictions || (demand != null && demand in unmet)) return
         var left = blocked - placement.reservedCapacity(job, blocked)
@@ -51,9 +51,9 @@
         for (machine in emptiable) {
             if (left <= 0 || planned.size >= mostEvictions) return
             if (!canEmpty(machine, job, isGuaranteed) || !canServe(machine)) continue
-            planned += Eviction(machine.id, job.spec.id, machine.residents.map { it.task })
+            planned += Preemption(machine.id, job.spec.id, machine.residents.map { it.task })
             snapshot.index.reserve(machine, job.spec.id)
-            left -= job.spec.perTask.timesIn(machine.type.capacity, left)
+            left -= job.spec.perTask.instancesWithin(machine.type.capacity, left)
         }
         if (left > 0 && demand != null) unmet += demand
     }
@@ -61,7 +61,7 @@
     /** Null where more decides than a job's own record. */
     private fun demand(job: JobView, isGuaranteed: Boolean): Demand? {
         val spec = job.spec
-        if (spec.oneZone || spec.spread || job.avoid.isNotEmpty()) return null
+        if (spec.singleZone || spec.spreadAcrossZones || job.avoid.isNotEmpty()) return null
         return Demand(spec.team, spec.urgency, spec.perTask, spec.types, spec.zone, spec.spotAllowed, isGuaranteed)
     }
 
--- a/src/main/kotlin/mountmast/coordination/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Scheduler.kt
@@ -8,16 +8,16 @@
  * borrowed jobs up to η times quota; a blocked guaranteed task reserves the machine that is cheapest to empty.
  * Pure: the same snapshot gives the same plan.
  */
-class Scheduler(private val policy: Policy) {
+class Scheduler(private val policy: SchedulingPolicy) {
     private val assessment = AssuranceAssessment(policy)
 
-    fun plan(snapshot: Snapshot): Plan = Pass(snapshot).run()
+    fun plan(snapshot: ClusterSnapshot): Plan = Pass(snapshot).run()
 
-    private inner class Pass(private val snapshot: Snapshot) {
+    private inner class Pass(private val snapshot: ClusterSnapshot) {
         private val assurance = assessment.assess(snapshot)
         private val priorities = JobPriorities(snapshot, policy, assurance)
         private val placement = Placement(snapshot, policy, priorities)
-        private val evictions = EvictionPlanner(snapshot, policy, assurance, placement)
+        private val preemptions = PreemptionPlanner(snapshot, policy, assurance, placement)
         private val reservations = MachineReservations(snapshot, placement)
         private val waiting = ArrayList<Waiting>()
         private val guaranteedWaiting = HashSet<JobId>()
@@ -30,7 +30,7 @@
             // Where neither a bound nor a failure holds tasks back, room has been looked for already.
             val overdue = open.filter { priorities.isOverdue(it) && priorities.isHeldBack(it) }
             for (job in overdue.sortedBy { it.submitted }) placeOverdue(job)
-            return Plan(placement.starts(), evictions.evictions, reservations.reservations, waiting, assurance.degrees)
+            return Plan(placement.starts(), preemptions.preemptions, reservations.reservations, waiting, assurance.degrees)
         }
 
         /**
@@ -52,7 +52,7 @@
             if (blocked <= 0) return
             waiting += Waiting(job.spec.id, blocked, guaranteed = true)
             guaranteedWaiting += job.spec.id
-            evictions.evictFor(job, blocked, isGuaranteed = true)
+            preemptions.preemptFor(job, blocked, isGuaranteed = true)
         }
 
         private fun placeBorrowed(job: JobView) {
@@ -73,7 +73,7 @@
          */
         private fun makeRoomWithoutGuarantee(job: JobView, blocked: Int) {
             val isPressing = job.spec.urgency < Urgency.NORMAL && job.waitedS >= EVICTION_PATIENCE_S
-            if (isPressing) evictions.evictFor(job, blocked, isGuaranteed = false)
+            if (isPressing) preemptions.preemptFor(job, blocked, isGuaranteed = false)
             if (reservations.mayReserveForAnother() && !priorities.isHopeless(job)) reservations.reserveFor(job, blocked)
         }
 
--- a/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -97,7 +97,7 @@
         val text = JournalText()
         for (job in jobs.values) {
             for (ranges in Ranges.encode(job.done, LONGEST_RANGES)) text.done(job.id, ranges)
-            for (times in job.evictions.int2IntEntrySet()) text.evictedBefore("${job.id}/${times.intKey}", times.intValue)
+            for (times in job.preemptions.int2IntEntrySet()) text.preemptedBefore("${job.id}/${times.intKey}", times.intValue)
             for (it in job.live.values) if (it.written) text.started(it.taskName, it.machine, it.incarnation, it.attempt, it.zone)
         }
         return text.take()
@@ -142,8 +142,8 @@
         if (completed) {
             job.setDone(assignment.index)
             if (job.isComplete) finishing += job
-        } else if (assignment.evicted) {
-            job.evictions.addTo(assignment.index, 1)
+        } else if (assignment.preempted) {
+            job.preemptions.addTo(assignment.index, 1)
         }
         // What was only intended is released when its turn to be written comes.
         if (assignment.written || assignment.beingWritten) pendingChanges += PendingChange.Ended(assignment)
--- a/src/main/kotlin/mountmast/coordination/state/DependentClaims.kt
+++ b/src/main/kotlin/mountmast/coordination/state/InheritedPriorities.kt
@@ -12,7 +12,7 @@
  * anything. Where a dependent is taken away, what it alone claimed is worked out anew before the next pass, once
  * for each job however many of its dependents went. Guarded as the [ClusterState] is.
  */
-class DependentClaims(private val dependents: Map<JobId, Set<Job>>) {
+class InheritedPriorities(private val dependents: Map<JobId, Set<Job>>) {
     private val weakened = LinkedHashSet<Job>()
 
     /** [job] waits for the jobs that it names, among which those in [live] take over its claim. */
@@ -20,7 +20,7 @@
 
     /** Jobs that wait for [job] may have been known before it. */
     fun prerequisiteAdded(job: Job) {
-        job.claim = claimOfDependents(job)
+        job.inheritedPriority = priorityFromDependents(job)
     }
 
     /** A dependent of [job] was taken away. */
@@ -35,10 +35,10 @@
         weakened.clear()
         while (pending.isNotEmpty()) {
             val job = pending.removeFirst()
-            val claim = claimOfDependents(job)
-            if (claim == job.claim) continue
-            job.claim = claim
-            job.release.open.mapNotNullTo(pending) { live[it] }
+            val inheritedPriority = priorityFromDependents(job)
+            if (inheritedPriority == job.inheritedPriority) continue
+            job.inheritedPriority = inheritedPriority
+            job.unmetDependencies.open.mapNotNullTo(pending) { live[it] }
         }
     }
 
@@ -47,24 +47,24 @@
         while (pending.isNotEmpty()) {
             val dependent = pending.removeFirst()
             val passed = passedOnBy(dependent)
-            for (id in dependent.release.open) {
+            for (id in dependent.unmetDependencies.open) {
                 val prerequisite = live[id] ?: continue
-                val claim = prerequisite.claim.tightenedBy(passed)
-                if (claim == prerequisite.claim) continue
-                prerequisite.claim = claim
+                val inheritedPriority = prerequisite.inheritedPriority.tightenedBy(passed)
+                if (inheritedPriority == prerequisite.inheritedPriority) continue
+                prerequisite.inheritedPriority = inheritedPriority
                 pending += prerequisite
             }
         }
     }
 
-    private fun claimOfDependents(job: Job): Claim = dependents[job.id].orEmpty().filter {
+    private fun priorityFromDependents(job: Job): InheritedPriority = dependents[job.id].orEmpty().filter {
         !it.cancelled
-    }.fold(Claim.NONE) { claim, dependent -> claim.tightenedBy(passedOnBy(dependent)) }
+    }.fold(InheritedPriority.NONE) { inheritedPriority, dependent -> inheritedPriority.tightenedBy(passedOnBy(dependent)) }
 
     /** What the prerequisites of [job] have to meet for it: they must be done one run of it before it is due. */
-    private fun passedOnBy(job: Job): Claim {
+    private fun passedOnBy(job: Job): InheritedPriority {
         val startBy = job.effectiveDue?.let { WallTime(it.ms - (job.spec.estimateS * MS_PER_S).toLong()) }
-        return Claim(job.effectiveUrgency, startBy)
+        return InheritedPriority(job.effectiveUrgency, startBy)
     }
 
     private companion object {
@@ -73,13 +73,13 @@
 }
 
 /** The strictest urgency and due time that others ask of a job. */
-data class Claim(val urgency: Urgency, val due: WallTime?) {
+data class InheritedPriority(val urgency: Urgency, val due: WallTime?) {
     /** This claim and [other] together. */
-    fun tightenedBy(other: Claim) = Claim(minOf(urgency, other.urgency), earlier(due, other.due))
+    fun tightenedBy(other: InheritedPriority) = InheritedPriority(minOf(urgency, other.urgency), earlier(due, other.due))
 
     companion object {
         /** Asks for nothing. */
-        val NONE = Claim(Urgency.BEST_EFFORT, null)
+        val NONE = InheritedPriority(Urgency.BEST_EFFORT, null)
 
         /** The earlier of two times, of which either may be missing. */
         fun earlier(one: WallTime?, other: WallTime?): WallTime? = if (one == null || other == null) one ?: other else minOf(one, other)
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -54,11 +54,11 @@
     var runningSince: MonotonicTime? = null
 
     /** Set once the task is to be stopped: how long it may save. */
-    var stopGraceS: Double? = null
+    var terminationGraceS: Double? = null
     var completed = false
 
     /** Whether it is stopped to make room for another. */
-    var evicted = false
+    var preempted = false
 
     /** Whether a transaction that lists it is on its way, and whether one was carried out. */
     var beingWritten = false
@@ -94,27 +94,27 @@
             cancelled = true
             cancelledAfter = after
             // Nobody gains from what a cancelled job's tasks do.
-            for (assignment in live.values) assignment.stopGraceS = 0.0
+            for (assignment in live.values) assignment.terminationGraceS = 0.0
         }
         cancelRecorded = cancelRecorded || recorded
     }
 
     /** What it waits for. */
-    val release = JobRelease()
+    val unmetDependencies = UnmetDependencies()
 
     /** Whether every job that it waits for is known to be done: before that none of its tasks may start. */
-    val isReleased: Boolean get() = release.isListKnown && release.open.isEmpty()
+    val isReleased: Boolean get() = unmetDependencies.isListKnown && unmetDependencies.open.isEmpty()
 
     /** What the jobs that need this one ask of it. */
-    var claim = Claim.NONE
+    var inheritedPriority = InheritedPriority.NONE
         set(value) {
             field = value
             schedulingSpec = if (effectiveUrgency == spec.urgency) spec else spec.copy(urgency = effectiveUrgency)
         }
-    val effectiveUrgency: Urgency get() = minOf(spec.urgency, claim.urgency)
+    val effectiveUrgency: Urgency get() = minOf(spec.urgency, inheritedPriority.urgency)
 
     /** When it should be done, by its own user or for the jobs that need it. */
-    val effectiveDue: WallTime? get() = Claim.earlier(ownDue, claim.due)
+    val effectiveDue: WallTime? get() = InheritedPriority.earlier(ownDue, inheritedPriority.due)
     val ownDue: WallTime? = spec.deadlineS?.let { WallTime(submitted.ms + (it * MS_PER_S).toLong()) }
 
     /** The job as it is scheduled: with the highest urgency of those that need it. */
@@ -122,7 +122,7 @@
         private set
 
     /** From when its waiting counts: from the end of the last job that it waited for, or from its submission. */
-    val waitingFrom: WallTime get() = release.lastDoneAt?.let { maxOf(it, submitted) } ?: submitted
+    val waitingFrom: WallTime get() = unmetDependencies.lastDoneAt?.let { maxOf(it, submitted) } ?: submitted
 
     /** Tasks whose completion is known. */
     val done = BitSet()
@@ -136,7 +136,7 @@
     val live = Int2ObjectOpenHashMap<Assignment>()
 
     /** How often each of its tasks gave way to others. */
-    val evictions = Int2IntOpenHashMap()
+    val preemptions = Int2IntOpenHashMap()
 
     /** Runs of its completed tasks. */
     var runs = 0
--- a/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
@@ -29,7 +29,7 @@
     /** Jobs whose list of prerequisites is kept apart from their record and was not read yet. */
     private val unreadLists = LinkedHashMap<JobId, JobRecord>()
     private val finalStates = LinkedHashMap<JobId, FinishedJobRecord>()
-    private val claims = DependentClaims(dependents)
+    private val inheritedPriorities = InheritedPriorities(dependents)
 
     /** Whether this leader ended [id] a while ago. */
     fun isRememberedAsFinished(id: JobId) = id in finalStates
@@ -37,10 +37,10 @@
     /** Takes in a live job that this leader has not seen before. */
     fun added(job: Job, record: JobRecord, now: MonotonicTime) {
         unresolved.remove(job.id)
-        claims.prerequisiteAdded(job)
+        inheritedPriorities.prerequisiteAdded(job)
         when {
             record.prerequisiteList != null -> {
-                job.release.isListKnown = false
+                job.unmetDependencies.isListKnown = false
                 unreadLists[job.id] = record
             }
             record.spec.prerequisites.isNotEmpty() -> addPrerequisites(job, record.spec.prerequisites, now)
@@ -51,24 +51,24 @@
     fun listRead(id: JobId, prerequisites: List<JobId>, now: MonotonicTime) {
         unreadLists.remove(id) ?: return
         val job = cluster.jobs[id] ?: return
-        job.release.isListKnown = true
+        job.unmetDependencies.isListKnown = true
         addPrerequisites(job, prerequisites, now)
     }
 
     private fun addPrerequisites(job: Job, prerequisites: List<JobId>, now: MonotonicTime) {
-        job.release.prerequisites = prerequisites
+        job.unmetDependencies.prerequisites = prerequisites
         for (id in prerequisites) {
             val known = finalStates[id]
             if (known?.status == JobStatus.DONE) {
-                job.release.noteDone(known.endedAt)
+                job.unmetDependencies.noteDone(known.endedAt)
                 continue
             }
-            job.release.open += id
+            job.unmetDependencies.open += id
             dependents.getOrPut(id) { LinkedHashSet() } += job
             if (known == null && id !in cluster.jobs) unresolved[id] = now
         }
         if (prerequisites.any(::isCancelled)) cancelAll(listOf(job))
-        claims.dependentAdded(job, cluster.jobs)
+        inheritedPriorities.dependentAdded(job, cluster.jobs)
     }
 
     private fun isCancelled(id: JobId) = finalStates[id]?.status == JobStatus.CANCELLED || cluster.jobs[id]?.cancelRecorded == true
@@ -106,8 +106,8 @@
             return false
         }
         for (job in waiting) {
-            job.release.open -= id
-            job.release.noteDone(record.endedAt)
+            job.unmetDependencies.open -= id
+            job.unmetDependencies.noteDone(record.endedAt)
             if (!job.isReleased) continue
             // Its waiting for room begins now.
             job.lastProgress = now
@@ -125,10 +125,10 @@
     /** Forgets [job], which is over, as one that waits for others. */
     fun removed(job: Job) {
         unreadLists.remove(job.id)
-        for (id in job.release.open) {
+        for (id in job.unmetDependencies.open) {
             val others = dependents[id] ?: continue
             others -= job
-            cluster.jobs[id]?.let(claims::weaken)
+            cluster.jobs[id]?.let(inheritedPriorities::weaken)
             if (others.isNotEmpty()) continue
             dependents.remove(id)
             unresolved.remove(id)
@@ -136,7 +136,7 @@
     }
 
     /** Brings urgencies and due times up to date for jobs that lost a dependent. */
-    fun refreshClaims() = claims.refresh(cluster.jobs)
+    fun refreshInheritedPriorities() = inheritedPriorities.refresh(cluster.jobs)
 
     /** Prerequisites to be looked up in the state service now, at most [most]; the same are due again after a pause. */
     fun takeUnresolved(most: Int, now: MonotonicTime): List<JobId> {
@@ -155,7 +155,7 @@
 }
 
 /** What a job still waits for before any of its tasks may start. Guarded as its [ClusterState] is. */
-class JobRelease {
+class UnmetDependencies {
     /** All jobs that it names. */
     var prerequisites: List<JobId> = emptyList()
 
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -56,10 +56,10 @@
     var notBefore = MonotonicTime(Long.MIN_VALUE)
 
     /** The cloud will take it back. */
-    var noticed = false
+    var reclaimNoticed = false
 
     /** What the cloud's notice said at first. */
-    var noticeS = 0.0
+    var reclaimNoticeS = 0.0
     var deleting = false
     var listedFailed = false
 
@@ -84,7 +84,7 @@
     val images = LinkedHashMap<ImageId, Double>()
 
     /** Tasks in the last report that the ledger has no assignment for. */
-    var unknownTasks = emptyList<UnknownTask>()
+    var unassignedTasks = emptyList<UnassignedTask>()
 
     /**
      * Attempts whose start was in commands that got no answer, and with how many fences those were sent. Such commands may
@@ -132,7 +132,7 @@
     fun usable(now: MonotonicTime) = state == MachineState.UP &&
         hasShownCurrentTerm &&
         unreachedSince == null &&
-        !noticed &&
+        !reclaimNoticed &&
         !deleting &&
         !quarantined &&
         incarnation != null &&
@@ -164,4 +164,4 @@
 }
 
 /** A task on a machine that the ledger has no assignment for. */
-class UnknownTask(val taskName: String, val attempt: Attempt, val exited: Boolean, val completed: Boolean)
+class UnassignedTask(val taskName: String, val attempt: Attempt, val exited: Boolean, val completed: Boolean)
--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -8,7 +8,7 @@
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
-import mountmast.coordination.state.UnknownTask
+import mountmast.coordination.state.UnassignedTask
 import mountmast.protocol.Clock
 import mountmast.protocol.CommandRequest
 import mountmast.protocol.CommandType
@@ -55,7 +55,7 @@
      */
     fun fenceOffStoppedTasks(machine: Machine) {
         for (assignment in machine.live.values) {
-            if (assignment.stopGraceS == null || assignment.reported != null) continue
+            if (assignment.terminationGraceS == null || assignment.reported != null) continue
             machine.tokenOffset = maxOf(machine.tokenOffset, (machine.mayStillStart[assignment.key] ?: continue) + 1)
         }
     }
@@ -75,7 +75,7 @@
         val mayStart = isInformed(clock.now())
         for (assignment in machine.live.values) {
             if (assignment.phase != Phase.COMMITTED || assignment.incarnation != machine.incarnation) continue
-            val grace = assignment.stopGraceS
+            val grace = assignment.terminationGraceS
             if (grace == null && assignment.reported == null && mayStart && isStartable(assignment)) {
                 commands += WorkerCommand(CommandType.START, assignment.taskName, assignment.attempt)
                 if (inHeartbeat != null) assignment.startedInHeartbeat = inHeartbeat
@@ -83,11 +83,11 @@
             if (grace != null) commands += WorkerCommand(CommandType.STOP, assignment.taskName, assignment.attempt, grace)
         }
         if (inHeartbeat != null) {
-            for (unknownTask in machine.unknownTasks) {
-                if (!unknownTask.exited) {
-                    commands += WorkerCommand(CommandType.STOP, unknownTask.taskName, unknownTask.attempt, 0.0)
-                } else if (mayBeForgotten(unknownTask, machine)) {
-                    commands += WorkerCommand(CommandType.FORGET, unknownTask.taskName, unknownTask.attempt)
+            for (unassignedTask in machine.unassignedTasks) {
+                if (!unassignedTask.exited) {
+                    commands += WorkerCommand(CommandType.STOP, unassignedTask.taskName, unassignedTask.attempt, 0.0)
+                } else if (mayBeForgotten(unassignedTask, machine)) {
+                    commands += WorkerCommand(CommandType.FORGET, unassignedTask.taskName, unassignedTask.attempt)
                 }
             }
         }
@@ -109,8 +109,8 @@
      * A start that comes once more, even one that was carried out and answered, runs an attempt again that the worker has
      * forgotten: beside the next attempt, or long after its job was cancelled. What completed would only complete again.
      */
-    private fun mayBeForgotten(unknownTask: UnknownTask, machine: Machine) = (unknownTask.completed || machine.unknownTasks.size > MAX_KEPT) &&
-        unknownTask.taskName to unknownTask.attempt !in machine.mayStillStart
+    private fun mayBeForgotten(unassignedTask: UnassignedTask, machine: Machine) = (unassignedTask.completed || machine.unassignedTasks.size > MAX_KEPT) &&
+        unassignedTask.taskName to unassignedTask.attempt !in machine.mayStillStart
 
     /** Has the commands for a machine sent soon; the caller holds the lock. */
     fun queue(id: MachineId) {
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -115,7 +115,7 @@
      */
     private fun withdrawStopped(machine: Machine, heartbeat: Heartbeat) {
         for (assignment in machine.live.values) {
-            if (assignment.phase != Phase.COMMITTED || assignment.stopGraceS == null || assignment.reported != null) continue
+            if (assignment.phase != Phase.COMMITTED || assignment.terminationGraceS == null || assignment.reported != null) continue
             val inHeartbeat = assignment.startedInHeartbeat
             val mayArrive = assignment.deliveriesInFlight > 0 ||
                 assignment.key in machine.mayStillStart ||
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -6,7 +6,7 @@
 import mountmast.coordination.state.Machine
 import mountmast.coordination.state.MachineState
 import mountmast.coordination.state.Phase
-import mountmast.coordination.state.UnknownTask
+import mountmast.coordination.state.UnassignedTask
 import mountmast.protocol.ExitCause
 import mountmast.protocol.Heartbeat
 import mountmast.protocol.HeartbeatSequence
@@ -35,7 +35,7 @@
         machine.sequence = heartbeat.sequence
         machine.address = heartbeat.address
         machine.heardAt = now
-        heartbeat.noticeS?.let { takeNotice(machine, it) }
+        heartbeat.reclaimNoticeS?.let { takeNotice(machine, it) }
         readTasks(machine, heartbeat, now)
         return true
     }
@@ -70,24 +70,24 @@
         machine.leaseRenewedAt = now
     }
 
-    private fun takeNotice(machine: Machine, noticeS: Double) {
-        if (machine.noticed) return
-        machine.noticed = true
-        machine.noticeS = noticeS
-        log.info("machine {} will be taken in {} s", machine.id, noticeS)
+    private fun takeNotice(machine: Machine, reclaimNoticeS: Double) {
+        if (machine.reclaimNoticed) return
+        machine.reclaimNoticed = true
+        machine.reclaimNoticeS = reclaimNoticeS
+        log.info("machine {} will be taken in {} s", machine.id, reclaimNoticeS)
     }
 
     private fun readTasks(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) {
-        val unknownTasks = ArrayList<UnknownTask>()
+        val unassignedTasks = ArrayList<UnassignedTask>()
         for (reported in heartbeat.tasks) {
             val assignment = machine.live[reported.task]?.takeIf { it.attempt == reported.attempt && it.incarnation == heartbeat.incarnation }
-            if (assignment == null) unknownTasks += unknown(reported) else readTask(machine, assignment, reported, now)
+            if (assignment == null) unassignedTasks += unknown(reported) else readTask(machine, assignment, reported, now)
         }
-        machine.unknownTasks = unknownTasks
+        machine.unassignedTasks = unassignedTasks
     }
 
     private fun unknown(reported: ReportedTask) =
-        UnknownTask(reported.task, reported.attempt, reported.state == TaskState.EXITED, reported.cause == ExitCause.DONE)
+        UnassignedTask(reported.task, reported.attempt, reported.state == TaskState.EXITED, reported.cause == ExitCause.DONE)
 
     private fun readTask(machine: Machine, assignment: Assignment, reported: ReportedTask, now: MonotonicTime) {
         if (assignment.phase >= Phase.ENDED) return
--- a/src/main/kotlin/mountmast/protocol/Ids.kt
+++ b/src/main/kotlin/mountmast/protocol/Ids.kt
@@ -95,7 +95,7 @@
 /** Name of a rental request; never used twice. */
 @Serializable
 @JvmInline
-value class RentalId(val text: String) {
+value class RentalRequestId(val text: String) {
     override fun toString() = text
 }
 
@@ -217,10 +217,10 @@
 
     private fun rounded(amount: Double) = Math.rint(amount * ROUNDED_STEPS) / ROUNDED_STEPS
 
-    fun fitsIn(room: Resources) = cpus <= room.cpus + EPSILON && gpus <= room.gpus + EPSILON && memoryGb <= room.memoryGb + EPSILON
+    fun fitsWithin(room: Resources) = cpus <= room.cpus + EPSILON && gpus <= room.gpus + EPSILON && memoryGb <= room.memoryGb + EPSILON
 
     /** How many times this fits into [room], at most [most]. */
-    fun timesIn(room: Resources, most: Int): Int {
+    fun instancesWithin(room: Resources, most: Int): Int {
         var times = most.toDouble()
         if (cpus > 0) times = minOf(times, Math.floor((room.cpus + EPSILON) / cpus))
         if (gpus > 0) times = minOf(times, Math.floor((room.gpus + EPSILON) / gpus))
--- a/src/main/kotlin/mountmast/protocol/JobValidation.kt
+++ b/src/main/kotlin/mountmast/protocol/JobValidation.kt
@@ -53,12 +53,12 @@
         imageGb = amount(body, "sizeGb"),
         types = strings(body, "hulls")?.map { TypeId(it) },
         zone = optional(body, "yard")?.let { zone(string(it, "yard")) },
-        oneZone = flag(body, "together"),
-        spread = flag(body, "scatter"),
+        singleZone = flag(body, "together"),
+        spreadAcrossZones = flag(body, "scatter"),
         spotAllowed = flag(body, "loaners"),
         estimateS = amount(body, "expectedS"),
         checkpointEveryS = amount(body, "markEveryS"),
-        saveS = amount(body, "markCostS"),
+        checkpointSaveS = amount(body, "markCostS"),
         deadlineS = optional(body, "dueS")?.let { amount(it, "dueS") },
         prerequisites = strings(body, PREREQUISITES).orEmpty()
             .map { JobId.parse(it) ?: throw Malformed("$PREREQUISITES: not a job id") }
@@ -72,7 +72,7 @@
         val fitting = types.filter { type ->
             (job.types == null || type.id in job.types) &&
                 (job.zone == null || job.zone in type.zones) &&
-                job.perTask.fitsIn(type.capacity)
+                job.perTask.fitsWithin(type.capacity)
         }
         if (fitting.isEmpty()) return "a task fits no allowed machine type"
         val atOnce = if (job.shape == Shape.SERVICE) job.perTask * job.tasks else job.perTask
--- a/src/main/kotlin/mountmast/protocol/Wire.kt
+++ b/src/main/kotlin/mountmast/protocol/Wire.kt
@@ -56,12 +56,12 @@
     @SerialName("sizeGb") val imageGb: Double,
     @SerialName("hulls") val types: List<TypeId>? = null,
     @SerialName("yard") val zone: Zone? = null,
-    @SerialName("together") val oneZone: Boolean,
-    @SerialName("scatter") val spread: Boolean,
+    @SerialName("together") val singleZone: Boolean,
+    @SerialName("scatter") val spreadAcrossZones: Boolean,
     @SerialName("loaners") val spotAllowed: Boolean,
     @SerialName("expectedS") val estimateS: Double,
     @SerialName("markEveryS") val checkpointEveryS: Double,
-    @SerialName("markCostS") val saveS: Double,
+    @SerialName("markCostS") val checkpointSaveS: Double,
     @SerialName("dueS") val deadlineS: Double? = null,
     /** The jobs that have to be done before any task of this one starts. */
     @SerialName("waitsOn") val prerequisites: List<JobId> = emptyList(),
@@ -70,7 +70,7 @@
     val perTask: Resources = Resources(cpus, gpus, memoryGb)
 
     /** Most tasks that may be in one zone. */
-    val perZoneLimit: Int get() = if (spread) (tasks + 1) / 2 else tasks
+    val maxTasksPerZone: Int get() = if (spreadAcrossZones) (tasks + 1) / 2 else tasks
 }
 
 /** State of a job as users see it; its serial names are stored, and so the contract between versions. */
@@ -176,7 +176,7 @@
     @SerialName("watch") val incarnation: WorkerIncarnation,
     @SerialName("tally") val sequence: HeartbeatSequence,
     @SerialName("helm") val token: FencingToken = FencingToken(0u),
-    @SerialName("recallS") val noticeS: Double? = null,
+    @SerialName("recallS") val reclaimNoticeS: Double? = null,
     @SerialName("pieces") val tasks: List<ReportedTask> = emptyList(),
 )
 
@@ -199,7 +199,7 @@
     @SerialName("verb") val type: CommandType,
     @SerialName("piece") val task: String,
     @SerialName("try") val attempt: Attempt,
-    @SerialName("windDownS") val graceS: Double? = null,
+    @SerialName("windDownS") val terminationGraceS: Double? = null,
 )
 
 /** Answer to a worker's report. */
@@ -242,7 +242,7 @@
 /** Request for machines. */
 @Serializable
 data class RentalRequest(
-    @SerialName("charter") val id: RentalId,
+    @SerialName("charter") val id: RentalRequestId,
     @SerialName("hull") val type: TypeId,
     @SerialName("yard") val zone: Zone,
     @SerialName("loaners") val spot: Boolean,
--- a/src/main/kotlin/mountmast/storage/JournalText.kt
+++ b/src/main/kotlin/mountmast/storage/JournalText.kt
@@ -17,13 +17,13 @@
     UNDONE('-'),
 
     /** It has to run again, since it gave way to another. */
-    EVICTED('~'),
+    PREEMPTED('~'),
 }
 
 /** Takes in what a journal or snapshot says, entry by entry, in the order in which it happened. */
 interface JournalReader {
     fun done(job: JobId, ranges: String)
-    fun evictedBefore(task: TaskId, times: Int)
+    fun preemptedBefore(task: TaskId, times: Int)
     fun started(task: TaskId, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone)
     fun ended(task: TaskId, end: TaskEnd)
     fun reserved(machine: MachineId, job: JobId, victims: List<TaskId>)
@@ -42,7 +42,7 @@
 
     fun done(job: JobId, ranges: String) = entry(DONE).append(job.text).append(FIELD_END).append(ranges).append(ENTRY_END).done()
 
-    fun evictedBefore(task: String, times: Int) =
+    fun preemptedBefore(task: String, times: Int) =
         entry(EVICTED_BEFORE).append(task).append(FIELD_END).append(times).append(ENTRY_END).done()
 
     fun started(task: String, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone) =
@@ -95,7 +95,7 @@
             if (fields.size < 2) return false
             when (mark) {
                 DONE -> reader.done(JobId.parse(fields[0]) ?: return false, fields[1])
-                EVICTED_BEFORE -> reader.evictedBefore(TaskId.parse(fields[0]) ?: return false, fields[1].toIntOrNull() ?: return false)
+                EVICTED_BEFORE -> reader.preemptedBefore(TaskId.parse(fields[0]) ?: return false, fields[1].toIntOrNull() ?: return false)
                 RESERVED -> reader.reserved(
                     MachineId(fields[0]),
                     JobId.parse(fields[1]) ?: return false,
--- a/src/main/kotlin/mountmast/transport/BoundedServer.kt
+++ b/src/main/kotlin/mountmast/transport/BoundedServer.kt
@@ -25,7 +25,7 @@
  * A request that has waited for [patienceMs] is refused without being looked at: whoever sent it is about to give up, and what
  * is spent on it is missing for those that can still be answered in time.
  */
-class RequestLane(
+class RequestBulkhead(
     val path: String,
     val threads: Int,
     val waiting: Int,
@@ -53,10 +53,10 @@
 
         /** The lane of workers' reports. */
         fun forHeartbeats(metrics: QueueMetrics = QueueMetrics.NONE) =
-            RequestLane(HEARTBEAT_PATH, HEARTBEAT_THREADS, MAX_HEARTBEATS_WAITING, metrics, HEARTBEAT_PATIENCE_MS)
+            RequestBulkhead(HEARTBEAT_PATH, HEARTBEAT_THREADS, MAX_HEARTBEATS_WAITING, metrics, HEARTBEAT_PATIENCE_MS)
 
         /** The lane of all that no other lane takes. */
-        fun forOthers(threads: Int, waiting: Int, metrics: QueueMetrics = QueueMetrics.NONE) = RequestLane("/", threads, waiting, metrics)
+        fun forOthers(threads: Int, waiting: Int, metrics: QueueMetrics = QueueMetrics.NONE) = RequestBulkhead("/", threads, waiting, metrics)
     }
 }
 
@@ -81,7 +81,7 @@
     private val name: String,
     private val threads: Int,
     private val waiting: Int,
-    private val lanes: List<RequestLane> = emptyList(),
+    private val bulkheads: List<RequestBulkhead> = emptyList(),
 ) : ServerConfig {
     override val stopMode = ServerConfig.StopMode.Immediate
 
@@ -90,11 +90,11 @@
         val handler = HttpExchangeHandler(http)
         val pools = arrayListOf(pool(name, threads, waiting, QueueMetrics.NONE))
         server.executor = pools.first()
-        if (lanes.none { it.path == ANY_PATH }) server.createContext(ANY_PATH, handler)
-        for (lane in lanes) {
-            val pool = pool("$name-lane", lane.threads, lane.waiting, lane.metrics)
+        if (bulkheads.none { it.path == ANY_PATH }) server.createContext(ANY_PATH, handler)
+        for (bulkhead in bulkheads) {
+            val pool = pool("$name-lane", bulkhead.threads, bulkhead.waiting, bulkhead.metrics)
             pools += pool
-            server.createContext(lane.path) { exchange -> handOver(exchange, handler, pool, lane) }
+            server.createContext(bulkhead.path) { exchange -> handOver(exchange, handler, pool, bulkhead) }
         }
         return object : Http4kServer {
             override fun start() = apply { server.start() }
@@ -124,21 +124,21 @@
     }
 
     /** The exchange is answered by another thread; the one that read it is free for the next. */
-    private fun handOver(exchange: HttpExchange, handler: JdkHandler, pool: ThreadPoolExecutor, lane: RequestLane) {
+    private fun handOver(exchange: HttpExchange, handler: JdkHandler, pool: ThreadPoolExecutor, bulkhead: RequestBulkhead) {
         val queuedAt = System.nanoTime()
         try {
             pool.execute {
                 val waitedMs = (System.nanoTime() - queuedAt) / NANOS_PER_MS
-                if (lane.isWorthAnswering(waitedMs)) answer(exchange, handler) else refuse(exchange, lane)
+                if (bulkhead.isWorthAnswering(waitedMs)) answer(exchange, handler) else refuse(exchange, bulkhead)
             }
         } catch (e: RejectedExecutionException) {
             log.debug("a request is refused: {}", e.message)
-            refuse(exchange, lane)
+            refuse(exchange, bulkhead)
         }
     }
 
-    private fun refuse(exchange: HttpExchange, lane: RequestLane) {
-        lane.metrics.refused.add()
+    private fun refuse(exchange: HttpExchange, bulkhead: RequestBulkhead) {
+        bulkhead.metrics.refused.add()
         try {
             exchange.responseHeaders.add("Retry-After", "1")
             exchange.sendResponseHeaders(HttpURLConnection.HTTP_UNAVAILABLE, NO_BODY)
--- a/src/main/kotlin/mountmast/transport/Sockets.kt
+++ b/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
@@ -5,7 +5,7 @@
  * what comes in; the rest stay free for peers, the state service, the cloud and direct commands, so that a flood from
  * outside never keeps a leader from renewing.
  */
-data class Sockets(
+data class ConnectionBudget(
     /** Connections taken in at most; more are refused by closing them. */
     val accepted: Int,
     /** Connections kept open between requests: closing those of workers only makes them connect again. */
@@ -17,10 +17,10 @@
 ) {
     companion object {
         /** The shares of [most] sockets. */
-        fun of(most: Int): Sockets {
+        fun of(most: Int): ConnectionBudget {
             val own = maxOf(minOf(MIN_OWN, most / 2), most / OWN_SHARE)
             val accepted = most - own
-            return Sockets(
+            return ConnectionBudget(
                 accepted,
                 accepted,
                 (most / WAITING_SHARE).coerceIn(MIN_WAITING, MAX_WAITING),
--- a/src/test/kotlin/mountmast/contract/SerializedExamples.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedExamples.kt
@@ -30,8 +30,8 @@
 import mountmast.protocol.NodeId
 import mountmast.protocol.PeerHeartbeat
 import mountmast.protocol.Redirect
-import mountmast.protocol.RentalId
 import mountmast.protocol.RentalRequest
+import mountmast.protocol.RentalRequestId
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.Revision
 import mountmast.protocol.Shape
@@ -91,12 +91,12 @@
         imageGb = 4.5,
         types = listOf(TypeId("large"), TypeId("small")),
         zone = Zone("north"),
-        oneZone = true,
-        spread = false,
+        singleZone = true,
+        spreadAcrossZones = false,
         spotAllowed = true,
         estimateS = 600.5,
         checkpointEveryS = 30.0,
-        saveS = 0.75,
+        checkpointSaveS = 0.75,
         deadlineS = 9000.0,
         prerequisites = listOf(JobId("j-000003"), JobId("j-000004")),
     )
@@ -113,12 +113,12 @@
         memoryGb = 0.5,
         image = ImageId("base"),
         imageGb = 0.0,
-        oneZone = false,
-        spread = true,
+        singleZone = false,
+        spreadAcrossZones = true,
         spotAllowed = false,
         estimateS = 60.0,
         checkpointEveryS = 0.0,
-        saveS = 0.0,
+        checkpointSaveS = 0.0,
     )
 
     val fullType = MachineType(
@@ -149,7 +149,7 @@
     private val fullTask =
         ReportedTask("j-000412/3", Attempt(5u), TaskState.EXITED, ExitCause.NO_ROOM, saved = true)
     private val leastTask = ReportedTask("j-1/0", Attempt(1u), TaskState.RUNNING)
-    private val fullCommand = WorkerCommand(CommandType.STOP, "j-000412/3", Attempt(5u), graceS = 2.5)
+    private val fullCommand = WorkerCommand(CommandType.STOP, "j-000412/3", Attempt(5u), terminationGraceS = 2.5)
     private val leastCommand = WorkerCommand(CommandType.START, "j-1/0", Attempt(1u))
     private val fullListed =
         ListedMachine(MachineId("vm-12"), "10.0.0.4:7070", TypeId("large"), Zone("north"), spot = true, ListedState.RUNNING, ageS = 12.5)
@@ -165,7 +165,7 @@
         example("zone", Zone("north 1")),
         example("type-id", TypeId("large")),
         example("image-id", ImageId("img-9")),
-        example("rental-id", RentalId("c-77")),
+        example("rental-id", RentalRequestId("c-77")),
         example("fencing-token", FencingToken(ULong.MAX_VALUE)),
         example("worker-epoch", WorkerIncarnation(ULong.MAX_VALUE)),
         example("report-number", HeartbeatSequence(ULong.MAX_VALUE)),
@@ -215,7 +215,7 @@
                 incarnation = WorkerIncarnation(6u),
                 sequence = HeartbeatSequence(901u),
                 token = FencingToken(3_145_729u),
-                noticeS = 28.5,
+                reclaimNoticeS = 28.5,
                 tasks = listOf(fullTask, leastTask),
             ),
         ),
@@ -242,7 +242,7 @@
         example("machine-type-least", leastType),
         example("machine-types-full", MachineTypes(listOf(fullType, leastType))),
         example("machine-types-least", MachineTypes(emptyList())),
-        example("rental-request", RentalRequest(RentalId("c-77"), TypeId("large"), Zone("north"), spot = true, count = 12)),
+        example("rental-request", RentalRequest(RentalRequestId("c-77"), TypeId("large"), Zone("north"), spot = true, count = 12)),
         example("machine-names-full", MachineNames(listOf(MachineId("vm-12"), MachineId("vm-13")))),
         example("machine-names-least", MachineNames(emptyList())),
         example("listed-machine-full", fullListed),
--- a/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
@@ -205,7 +205,7 @@
             entries += listOf("done", job, ranges)
         }
 
-        override fun evictedBefore(task: TaskId, times: Int) {
+        override fun preemptedBefore(task: TaskId, times: Int) {
             entries += listOf("evicted before", task, times)
         }
 
@@ -231,7 +231,7 @@
         val machine = MachineId("vm-12")
         val entries = listOf(
             Triple("done", written { done(job, "0-4,7") }, listOf("done", job, "0-4,7")),
-            Triple("evicted-before", written { evictedBefore("j-000412/3", 2) }, listOf("evicted before", task, 2)),
+            Triple("evicted-before", written { preemptedBefore("j-000412/3", 2) }, listOf("evicted before", task, 2)),
             Triple(
                 "started",
                 written { started("j-000412/3", machine, WorkerIncarnation(6u), Attempt(5u), Zone("north 1")) },
@@ -239,7 +239,7 @@
             ),
             Triple("ended-done", written { ended("j-000412/3", TaskEnd.DONE) }, listOf("ended", task, TaskEnd.DONE)),
             Triple("ended-undone", written { ended("j-000412/3", TaskEnd.UNDONE) }, listOf("ended", task, TaskEnd.UNDONE)),
-            Triple("ended-evicted", written { ended("j-000412/3", TaskEnd.EVICTED) }, listOf("ended", task, TaskEnd.EVICTED)),
+            Triple("ended-evicted", written { ended("j-000412/3", TaskEnd.PREEMPTED) }, listOf("ended", task, TaskEnd.PREEMPTED)),
             Triple(
                 "reserved-full",
                 written { reserved(machine, job, listOf("j-1/0", "j-1/2")) },
@@ -373,7 +373,10 @@
                 StoreLeaseId(77u),
                 true,
                 Unit,
-                WatchResult.Changes(listOf(WatchEvent("term", value, ModRevision(9u)), WatchEvent("j/j-1", null, ModRevision(10u))), Revision(13u)),
+                WatchResult.Changes(
+                    listOf(WatchEvent("term", value, ModRevision(9u)), WatchEvent("j/j-1", null, ModRevision(10u))),
+                    Revision(13u),
+                ),
                 WatchResult.Changes(emptyList(), Revision(13u)),
             )
             assertEquals(expected, results, "calls.txt, the lines of the answers")
--- a/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
@@ -18,7 +18,7 @@
         val spec = world.job(number) {
             it.copy(
                 team = TeamId("free"), shape = Shape.ARRAY, urgency = Urgency.NORMAL, tasks = TASKS, cpus = 2.0, memoryGb = 4.0,
-                image = ImageId("i"), imageGb = 0.2, types = null, zone = null, oneZone = false, spread = false,
+                image = ImageId("i"), imageGb = 0.2, types = null, zone = null, singleZone = false, spreadAcrossZones = false,
                 spotAllowed = true, estimateS = runS, checkpointEveryS = 0.0, deadlineS = null,
             )
         }
--- a/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
@@ -157,7 +157,7 @@
 
     @Test
     fun `a job bound to the zone of its first tasks gets machines there when it loses some`() =
-        meeting(jobs = 1, { it.copy(oneZone = true, tasks = 6, cpus = 4.0, estimateS = 40.0) }) {
+        meeting(jobs = 1, { it.copy(singleZone = true, tasks = 6, cpus = 4.0, estimateS = 40.0) }) {
             val home = world.rules.zonesOf(jobs.first()).keys.single()
             world.cloud.workers.filter { it.busy }.drop(1).forEach { world.cloud.take(it.id) }
             world.run(15_000, busy = false)
--- a/src/test/kotlin/mountmast/coordination/controller/LargeFleetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/LargeFleetTest.kt
@@ -25,7 +25,10 @@
     private fun spec(number: Int, tasks: Int, cpus: Double, runS: Double, needs: List<JobId> = emptyList()): JobSpec = world.job(number) {
         it.copy(
             team = TeamId("free"), shape = Shape.ARRAY, urgency = Urgency.NORMAL, tasks = tasks, cpus = cpus, memoryGb = 2 * cpus,
-            image = ImageId("i"), imageGb = 0.2, types = null, zone = null, oneZone = false, spread = false, spotAllowed = true,
+            image = ImageId(
+                "i",
+            ),
+            imageGb = 0.2, types = null, zone = null, singleZone = false, spreadAcrossZones = false, spotAllowed = true,
             estimateS = runS, checkpointEveryS = 0.0, deadlineS = null, prerequisites = needs,
         )
     }
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -142,7 +142,7 @@
         val id = world.accept(world.plainJob(2))
         val leading = world.seats.first { it.controller?.leaderTerm() != null }.controller!!
         leading.watch(0)
-        leading.pass()
+        leading.runSchedulingCycle()
         assertTrue(world.leader().cluster.jobs.getValue(id).live.values.all { it.phase == Phase.INTENDED })
         assertEquals(200, world.cancel(id))
         world.run(5000, busy = false)
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -13,7 +13,7 @@
 import mountmast.coordination.controller.LeaderTerm
 import mountmast.coordination.election.LeaderLease
 import mountmast.coordination.election.LeaseTiming
-import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.coordination.state.ClusterState
 import mountmast.protocol.CommandRequest
 import mountmast.protocol.FencingToken
@@ -94,7 +94,7 @@
 
     private val plainSpec = JobSpec(
         JobId("j-000008"), "c", TeamId("free"), Shape.ARRAY, Urgency.NORMAL, 4, 2.0, 0.0, 4.0, ImageId("i1"), 0.5, null, null,
-        oneZone = false, spread = false, spotAllowed = true, estimateS = 30.0, checkpointEveryS = 0.0, saveS = 0.0,
+        singleZone = false, spreadAcrossZones = false, spotAllowed = true, estimateS = 30.0, checkpointEveryS = 0.0, checkpointSaveS = 0.0,
     )
 
     @Test
@@ -121,7 +121,10 @@
     @Test
     fun `the fields of production's records are taken for what they are`() {
         val elected = WallTime(1_700_000_000_110)
-        assertEquals(LeaderRecord(NodeId("node-0"), "254-0-0", FencingToken(1_048_576u), elected, elected), stored<LeaderRecord>(Keys.LEADER))
+        assertEquals(
+            LeaderRecord(NodeId("node-0"), "254-0-0", FencingToken(1_048_576u), elected, elected),
+            stored<LeaderRecord>(Keys.LEADER),
+        )
         assertEquals(TermRecord(FencingToken(1_048_576u)), stored<TermRecord>(Keys.TERM))
         assertEquals(CancellationWatermarkRecord(WallTime(1_700_000_080_881)), stored<CancellationWatermarkRecord>(Keys.WATERMARK))
         assertEquals(SnapshotRecord(generation = 1, upTo = 48, parts = 1), stored<SnapshotRecord>(Keys.SNAPSHOT))
@@ -141,7 +144,7 @@
     fun `jobs that production accepted are what their users submitted`() {
         val urgent = plainSpec.copy(
             id = JobId("j-000001"), jobClass = "train", urgency = Urgency.HIGH, tasks = 2, types = listOf(TypeId("l"), TypeId("s")),
-            zone = Zone("a"), spotAllowed = false, estimateS = 60.0, checkpointEveryS = 2.0, saveS = 0.5, deadlineS = 900.0,
+            zone = Zone("a"), spotAllowed = false, estimateS = 60.0, checkpointEveryS = 2.0, checkpointSaveS = 0.5, deadlineS = 900.0,
         )
         val replicas = plainSpec.copy(
             id = JobId("j-000002"),
@@ -149,7 +152,7 @@
             shape = Shape.SERVICE,
             urgency = Urgency.BEST_EFFORT,
             tasks = 3,
-            oneZone = true,
+            singleZone = true,
             estimateS = 60.0,
         )
         assertEquals(JobRecord(urgent, WallTime(1_700_000_010_088)), stored<JobRecord>(Keys.job(urgent.id)))
@@ -325,7 +328,18 @@
         val leaderLease = LeaderLease(FencingToken(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
         val timing = LeaseTiming.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, heartbeatIntervalS = 1.0)
         val lists = PrerequisiteLists(store, StateLimits(80.0, 30.0, 8.0, 16))
-        return LeaderTerm(leaderLease, store, NoWorkerClient, emptyMap(), Policy(), timing, clock, prerequisiteLists = lists).apply { load() }
+        return LeaderTerm(
+            leaderLease,
+            store,
+            NoWorkerClient,
+            emptyMap(),
+            SchedulingPolicy(),
+            timing,
+            clock,
+            prerequisiteLists = lists,
+        ).apply {
+            load()
+        }
     }
 
     /** In the form in which production's code described its own. */
@@ -334,9 +348,9 @@
         val lines = arrayListOf("journal next ${journal.next} snapshotUpTo ${journal.snapshotUpTo} generation ${journal.generation}")
         for (job in leaderTerm.cluster.jobs.values.sortedBy { it.id }) {
             lines += "job ${job.id} cancelled ${job.cancelled} done ${job.done}"
-            for (it in job.evictions.int2IntEntrySet().sortedBy { it.intKey }) lines += "evicted ${job.id}/${it.intKey} ${it.intValue}"
+            for (it in job.preemptions.int2IntEntrySet().sortedBy { it.intKey }) lines += "evicted ${job.id}/${it.intKey} ${it.intValue}"
             for (it in job.live.values.sortedBy { it.index }) {
-                val end = "evicted ${it.evicted} stop ${it.stopGraceS}"
+                val end = "evicted ${it.preempted} stop ${it.terminationGraceS}"
                 lines += "live ${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone} $end"
             }
         }
--- a/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
@@ -34,7 +34,7 @@
             val spec = world.job(submitted++) {
                 it.copy(
                     team = TeamId("free"), shape = Shape.ARRAY, urgency = Urgency.NORMAL, tasks = TASKS_PER_JOB, cpus = 1.2, memoryGb = 2.0,
-                    image = ImageId("i"), imageGb = 0.2, types = null, zone = null, oneZone = false, spread = false,
+                    image = ImageId("i"), imageGb = 0.2, types = null, zone = null, singleZone = false, spreadAcrossZones = false,
                     spotAllowed = true, estimateS = RUN_S, checkpointEveryS = 0.0, deadlineS = null,
                 )
             }
@@ -95,7 +95,9 @@
             return perKind
         }
 
-        private fun pendingChanges() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }.cluster.pendingChanges.size
+        private fun pendingChanges() = world.seats.mapNotNull {
+            it.controller?.leaderTerm()
+        }.maxBy { it.leaderLease.token }.cluster.pendingChanges.size
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/scheduling/PlacementTest.kt
+++ b/src/test/kotlin/mountmast/coordination/scheduling/PlacementTest.kt
@@ -53,9 +53,9 @@
             JobId("j-$number"), "c", team.id, Shape.ARRAY, Urgency.entries.random(random), tasks, cpus,
             if (random.nextInt(8) == 0) 1.0 else 0.0, cpus * random.nextInt(1, 6), ImageId("i${random.nextInt(1, 8)}"), 2.0,
             if (random.nextInt(4) == 0) types.shuffled(random).take(2).map { it.id } else null,
-            if (random.nextInt(5) == 0) zones.random(random) else null, oneZone = random.nextInt(5) == 0,
-            spread = random.nextInt(5) == 0, spotAllowed = random.nextInt(3) != 0, estimateS = 50.0,
-            checkpointEveryS = if (random.nextBoolean()) 20.0 else 0.0, saveS = 1.0,
+            if (random.nextInt(5) == 0) zones.random(random) else null, singleZone = random.nextInt(5) == 0,
+            spreadAcrossZones = random.nextInt(5) == 0, spotAllowed = random.nextInt(3) != 0, estimateS = 50.0,
+            checkpointEveryS = if (random.nextBoolean()) 20.0 else 0.0, checkpointSaveS = 1.0,
         )
         val avoid = if (random.nextInt(3) == 0) fleet.shuffled(random).take(5).mapTo(HashSet()) { it.id } else emptySet()
         val perZone = if (random.nextInt(3) == 0) mapOf(zones.random(random) to random.nextInt(1, 4)) else emptyMap()
@@ -74,7 +74,7 @@
         fun place(job: JobView) {
             val spec = job.spec
             val perZone = HashMap(job.perZone)
-            val home = if (spec.oneZone) perZone.entries.firstOrNull { it.value > 0 }?.key ?: widestZone(job) ?: return else null
+            val home = if (spec.singleZone) perZone.entries.firstOrNull { it.value > 0 }?.key ?: widestZone(job) ?: return else null
             repeat(job.openCount) {
                 val best = machines.filter { (home == null || it.zone == home) && fits(job, it, perZone) }
                     .minWithOrNull(compareBy<MachineView> { score(job, it) }.thenBy { it.id.text }) ?: return
@@ -85,11 +85,11 @@
         }
 
         private fun widestZone(job: JobView): Zone? = machines.filter { isAllowed(job, it, emptyMap()) }.groupBy { it.zone }
-            .mapValues { (_, all) -> all.sumOf { job.spec.perTask.timesIn(room.getValue(it), job.openCount) } }
+            .mapValues { (_, all) -> all.sumOf { job.spec.perTask.instancesWithin(room.getValue(it), job.openCount) } }
             .entries.sortedBy { it.key.text }.maxByOrNull { it.value }?.key
 
         private fun fits(job: JobView, machine: MachineView, perZone: Map<Zone, Int>) =
-            job.spec.perTask.fitsIn(room.getValue(machine)) && isAllowed(job, machine, perZone)
+            job.spec.perTask.fitsWithin(room.getValue(machine)) && isAllowed(job, machine, perZone)
 
         private fun isAllowed(job: JobView, machine: MachineView, perZone: Map<Zone, Int>): Boolean {
             val spec = job.spec
@@ -98,7 +98,7 @@
                 (spec.types == null || machine.type.id in spec.types!!) &&
                 (spec.zone == null || machine.zone == spec.zone) &&
                 (machine.id !in job.avoid || job.waitedS > 70) &&
-                (!spec.spread || (perZone[machine.zone] ?: 0) < spec.perZoneLimit)
+                (!spec.spreadAcrossZones || (perZone[machine.zone] ?: 0) < spec.maxTasksPerZone)
         }
 
         private fun score(job: JobView, machine: MachineView): Double {
@@ -112,9 +112,9 @@
         }
     }
 
-    private fun placement(snapshot: Snapshot): Placement {
-        val assurance = AssuranceAssessment(Policy()).assess(snapshot)
-        return Placement(snapshot, Policy(startsPerPass = 100_000), JobPriorities(snapshot, Policy(), assurance))
+    private fun placement(snapshot: ClusterSnapshot): Placement {
+        val assurance = AssuranceAssessment(SchedulingPolicy()).assess(snapshot)
+        return Placement(snapshot, SchedulingPolicy(startsPerCycle = 100_000), JobPriorities(snapshot, SchedulingPolicy(), assurance))
     }
 
     @Test
@@ -125,7 +125,7 @@
             val machines = List(random.nextInt(1, 120)) { machine(random, it) }.shuffled(random)
             val jobs = (1..random.nextInt(1, 14)).map { job(random, it, machines) }
             val scan = Scan(machines).apply { jobs.forEach(::place) }
-            val snapshot = Snapshot(machines, jobs, emptyMap(), teams, emptyMap())
+            val snapshot = ClusterSnapshot(machines, jobs, emptyMap(), teams, emptyMap())
             val placement = placement(snapshot)
             jobs.forEach { placement.place(it, it.openCount) { true } }
             assertEquals(scan.starts, placement.starts().map { it.job to it.machine }, "seed $seed")
--- a/src/test/kotlin/mountmast/coordination/scheduling/SchedulerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/scheduling/SchedulerTest.kt
@@ -24,7 +24,7 @@
     private val blue = TeamQuota(TeamId("blue"), 8.0, 32.0, 0.0, 0.0)
     private val free = TeamQuota(TeamId("free"), 0.0, 0.0, 0.0, 0.0)
     private val teams = listOf(red, blue, free).associateBy { it.id }
-    private val scheduler = Scheduler(Policy())
+    private val scheduler = Scheduler(SchedulingPolicy())
 
     private fun machine(
         name: String,
@@ -56,14 +56,14 @@
         slackS: Double = 100.0,
         waitedS: Double = 10.0,
         poisoned: Boolean = false,
-        spread: Boolean = false,
+        spreadAcrossZones: Boolean = false,
         perZone: Map<Zone, Int> = emptyMap(),
     ): JobView {
         val spec = JobSpec(
             JobId(
                 "j-$number",
             ),
-            "c", team.id, Shape.ARRAY, urgency, tasks + live, cpus, 0.0, cpus, ImageId("i"), 5.0, null, null, false, spread,
+            "c", team.id, Shape.ARRAY, urgency, tasks + live, cpus, 0.0, cpus, ImageId("i"), 5.0, null, null, false, spreadAcrossZones,
             true, estimateS, 0.0, 0.0,
         )
         return JobView(
@@ -78,7 +78,7 @@
         val uses = jobs.groupBy {
             it.spec.team
         }.mapValues { (_, of) -> of.fold(Resources.NONE) { sum, job -> sum + job.spec.perTask * job.live } }
-        return scheduler.plan(Snapshot(machines, jobs, uses, teams, assurance))
+        return scheduler.plan(ClusterSnapshot(machines, jobs, uses, teams, assurance))
     }
 
     @Test
@@ -106,8 +106,8 @@
         val short = machine("short", 0.0, listOf(resident(borrowed, 0, 5.0), resident(borrowed, 1, 5.0)))
         // The first two of blue's tasks are within its guarantee; machines with any of those are not emptied.
         val plan = plan(listOf(short, long), listOf(borrowed, job(2, red)))
-        assertEquals(listOf(MachineId("long")), plan.evictions.map { it.machine })
-        assertEquals(2, plan.evictions.single().victims.size)
+        assertEquals(listOf(MachineId("long")), plan.preemptions.map { it.machine })
+        assertEquals(2, plan.preemptions.single().victims.size)
         assertTrue(plan.starts.isEmpty())
     }
 
@@ -115,19 +115,19 @@
     fun `guaranteed work is never evicted, nor anything for a poisoned job`() {
         val guaranteed = job(1, blue, tasks = 0, live = 2)
         val full = machine("m", 0.0, listOf(resident(guaranteed, 0), resident(guaranteed, 1)))
-        assertTrue(plan(listOf(full), listOf(guaranteed, job(2, red, urgency = Urgency.PRODUCTION))).evictions.isEmpty())
+        assertTrue(plan(listOf(full), listOf(guaranteed, job(2, red, urgency = Urgency.PRODUCTION))).preemptions.isEmpty())
         val borrowed = job(3, free, tasks = 0, live = 2)
         val other = machine("n", 0.0, listOf(resident(borrowed, 0), resident(borrowed, 1)))
-        assertTrue(plan(listOf(other), listOf(borrowed, job(4, red, poisoned = true))).evictions.isEmpty())
-        assertEquals(1, plan(listOf(other), listOf(borrowed, job(4, red))).evictions.size)
+        assertTrue(plan(listOf(other), listOf(borrowed, job(4, red, poisoned = true))).preemptions.isEmpty())
+        assertEquals(1, plan(listOf(other), listOf(borrowed, job(4, red))).preemptions.size)
     }
 
     @Test
     fun `without guarantees only the more urgent evicts, and least slack goes first among equals`() {
         val running = job(1, free, tasks = 0, live = 2)
         fun full() = machine("m", 0.0, listOf(resident(running, 0), resident(running, 1)))
-        assertTrue(plan(listOf(full()), listOf(running, job(2, free))).evictions.isEmpty())
-        assertEquals(1, plan(listOf(full()), listOf(running, job(2, free, urgency = Urgency.HIGH))).evictions.size)
+        assertTrue(plan(listOf(full()), listOf(running, job(2, free))).preemptions.isEmpty())
+        assertEquals(1, plan(listOf(full()), listOf(running, job(2, free, urgency = Urgency.HIGH))).preemptions.size)
         val order = plan(
             listOf(machine("m", 40.0)),
             listOf(
@@ -144,9 +144,10 @@
     fun `tasks go where the image is, and spread as the job asks`() {
         val start = plan(listOf(machine("without"), machine("with", images = setOf("i"))), listOf(job(1, red))).starts.single()
         assertEquals(MachineId("with"), start.machine)
-        val spread = plan(listOf(machine("m", 100.0), machine("n", 100.0, zone = "b")), listOf(job(1, free, tasks = 5, spread = true)))
-        val inA = spread.starts.count { it.machine.text == "m" }
-        assertTrue(inA in 2..3 && spread.starts.size == 5, "$inA of ${spread.starts.size}")
+        val spreadAcrossZones =
+            plan(listOf(machine("m", 100.0), machine("n", 100.0, zone = "b")), listOf(job(1, free, tasks = 5, spreadAcrossZones = true)))
+        val inA = spreadAcrossZones.starts.count { it.machine.text == "m" }
+        assertTrue(inA in 2..3 && spreadAcrossZones.starts.size == 5, "$inA of ${spreadAcrossZones.starts.size}")
     }
 
     @Test
@@ -172,7 +173,7 @@
         val plan =
             plan(machines, listOf(running, job(2, free, tasks = 2, cpus = 4.0), job(3, free, tasks = 20, cpus = 1.0, slackS = 500.0)))
         assertEquals(listOf(MachineReservation(MachineId("soon"), JobId("j-2"))), plan.reservations)
-        assertTrue(plan.evictions.isEmpty())
+        assertTrue(plan.preemptions.isEmpty())
         assertTrue(plan.starts.none { it.machine.text == "soon" }, "kept for the large tasks")
     }
 
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -31,15 +31,20 @@
     private val job = cluster.putJob(JobRecord(spec, WallTime(0)), ModRevision(1u), MonotonicTime(0))
     private var sequence = 0uL
 
-    private fun heartbeat(machine: String, at: Long, vararg tasks: ReportedTask, incarnation: ULong = 1u): Boolean = HeartbeatReconciler(cluster).take(
-        Heartbeat(
-            MachineId(
-                machine,
+    private fun heartbeat(machine: String, at: Long, vararg tasks: ReportedTask, incarnation: ULong = 1u): Boolean =
+        HeartbeatReconciler(cluster).take(
+            Heartbeat(
+                MachineId(
+                    machine,
+                ),
+                "127.0.0.1:1",
+                TypeId(
+                    "s",
+                ),
+                Zone("a"), false, WorkerIncarnation(incarnation), HeartbeatSequence(++sequence), FencingToken(0u), null, tasks.toList(),
             ),
-            "127.0.0.1:1", TypeId("s"), Zone("a"), false, WorkerIncarnation(incarnation), HeartbeatSequence(++sequence), FencingToken(0u), null, tasks.toList(),
-        ),
-        MonotonicTime(at),
-    )
+            MonotonicTime(at),
+        )
 
     private fun place(index: Int, machine: String, at: Long): Assignment =
         cluster.assign(job, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
--- a/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
@@ -157,7 +157,7 @@
         add(3, 2) { it.copy(urgency = Urgency.HIGH, deadlineS = 100.0) }
         add(4, 2) { it.copy(deadlineS = 200.0) }
         end(3, JobStatus.CANCELLED)
-        dependencies.refreshClaims()
+        dependencies.refreshInheritedPriorities()
         assertEquals(Urgency.NORMAL, second.effectiveUrgency)
         assertEquals(listOf(190_000L, 180_000L), listOf(second, first).map { it.effectiveDue?.ms })
     }
--- a/src/test/kotlin/mountmast/soak/StoreServer.kt
+++ b/src/test/kotlin/mountmast/soak/StoreServer.kt
@@ -82,7 +82,14 @@
         return ok(buildJsonObject { put("hold", number(storeLease.number)) })
     }
 
-    private fun renew(storeLease: StoreLeaseId) = if (clock.locked { view.keepAlive(storeLease) }) StandInAnswer(200, "{}") else StandInAnswer(404, "{}")
+    private fun renew(storeLease: StoreLeaseId) = if (clock.locked {
+            view.keepAlive(storeLease)
+        }
+    ) {
+        StandInAnswer(200, "{}")
+    } else {
+        StandInAnswer(404, "{}")
+    }
 
     private fun drop(storeLease: StoreLeaseId): StandInAnswer {
         clock.locked { view.revokeLease(storeLease) }
@@ -116,7 +123,8 @@
                 Write.Put(text(write, "write"), write.getValue("data"), storeLease)
             }
         }
-        val isNewJob = writes.size == 1 && compares.any { it.modRevision == ModRevision.ABSENT && it.key == writes[0].key && it.key.startsWith("j/") }
+        val isNewJob =
+            writes.size == 1 && compares.any { it.modRevision == ModRevision.ABSENT && it.key == writes[0].key && it.key.startsWith("j/") }
         val isLost = losesJobs && isNewJob && newJobs++ % LOST_ONE_IN == 0
         val transaction = if (isLost) Transaction(compares, emptyList()) else Transaction(compares, writes)
         return when (val outcome = clock.locked { view.commit(transaction) }) {
--- a/src/test/kotlin/mountmast/soak/WorkerFleet.kt
+++ b/src/test/kotlin/mountmast/soak/WorkerFleet.kt
@@ -80,7 +80,13 @@
         )
     }
 
-    private fun obeyed(commands: List<WorkerCommand>) = if (run.breakage == Breakage.STOPS_IGNORED) commands.filter { it.type != CommandType.STOP } else commands
+    private fun obeyed(commands: List<WorkerCommand>) = if (run.breakage ==
+        Breakage.STOPS_IGNORED
+    ) {
+        commands.filter { it.type != CommandType.STOP }
+    } else {
+        commands
+    }
 
     private fun submit(act: () -> Unit) {
         try {
--- a/src/test/kotlin/mountmast/standin/ControllerSeat.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerSeat.kt
@@ -1,8 +1,8 @@
 package mountmast.standin
 
-import mountmast.coordination.autoscaling.FleetPolicy
+import mountmast.coordination.autoscaling.AutoscalingPolicy
 import mountmast.coordination.controller.Controller
-import mountmast.coordination.scheduling.Policy
+import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.protocol.Member
 import mountmast.protocol.NodeId
 import mountmast.protocol.Settings
@@ -38,7 +38,7 @@
         val store = world.store.View(world.random, trouble, Random(world.seed))
         metrics = Metrics()
         controller = Controller(
-            settings(), Policy(), FleetPolicy(idleReturnMs = IDLE_RETURN_MS), version.store(store), world.cloud.View(trouble),
+            settings(), SchedulingPolicy(), AutoscalingPolicy(idleReturnMs = IDLE_RETURN_MS), version.store(store), world.cloud.View(trouble),
             world.network.workersOf(trouble), world.network.peersOf(this, trouble),
             world.time.clock(drift, world.random.nextLong(-CLOCK_OFF_MS, CLOCK_OFF_MS)), "${world.seed}-$number-${starts++}",
             metrics,
@@ -78,10 +78,10 @@
         Step(1000L) { running.refresh() },
         Step(100L) { if (!loadsNothing) running.load() },
         Step(2000L) { running.exchangePeerHeartbeats() },
-        Step(300L) { running.pass() },
+        Step(300L) { running.runSchedulingCycle() },
         Step(100L) { running.write() },
         Step(150L) { if (running.watch(0)) running.resolvePrerequisites() },
-        Step(1000L) { running.manageFleet() },
+        Step(1000L) { running.autoscale() },
         Step(300L) { running.watchJobs(0) },
         Step(100L) { while (running.deliverCommands(0) || running.announceLeader()) Unit },
     )
--- a/src/test/kotlin/mountmast/standin/Rules.kt
+++ b/src/test/kotlin/mountmast/standin/Rules.kt
@@ -141,9 +141,9 @@
         if (spec.zone != null && spec.zone != place.zone) broken("wrong_place", "$task in ${place.zone}")
         if (place.spot && !spec.spotAllowed) broken("wrong_place", "$task on spot")
         val others = running.of(task.job).filterKeys { it != task }.values
-        if (spec.oneZone && others.any { it.zone != place.zone }) broken("wrong_place", "$task apart from its job")
-        if (spec.spread &&
-            others.count { it.zone == place.zone } + 1 > spec.perZoneLimit
+        if (spec.singleZone && others.any { it.zone != place.zone }) broken("wrong_place", "$task apart from its job")
+        if (spec.spreadAcrossZones &&
+            others.count { it.zone == place.zone } + 1 > spec.maxTasksPerZone
         ) {
             broken("wrong_place", "$task: too many in ${place.zone}")
         }
--- a/src/test/kotlin/mountmast/standin/RulesTest.kt
+++ b/src/test/kotlin/mountmast/standin/RulesTest.kt
@@ -18,7 +18,7 @@
     private val spec = world.job(1) {
         it.copy(
             team = TeamId("red"), shape = Shape.ARRAY, tasks = 6, cpus = 20.0, types = listOf(TypeId("l")), zone = null,
-            oneZone = false, spread = false, spotAllowed = false,
+            singleZone = false, spreadAcrossZones = false, spotAllowed = false,
         )
     }
     private val rules = Rules(world.teams, 1000).apply { submitting(spec) }
@@ -45,16 +45,16 @@
     fun `the wrong type, kind or zone`() {
         breaks("wrong_place") { rules.taskStarts(TaskId(spec.id, 0), good.copy(type = TypeId("s")), 0) }
         breaks("wrong_place") { rules.taskStarts(TaskId(spec.id, 0), good.copy(spot = true), 0) }
-        val together = spec.copy(oneZone = true, cpus = 1.0).also(rules::submitting)
+        val together = spec.copy(singleZone = true, cpus = 1.0).also(rules::submitting)
         rules.taskStarts(TaskId(together.id, 0), good, 0)
         breaks("wrong_place") { rules.taskStarts(TaskId(together.id, 1), good.copy(zone = Zone("b")), 0) }
     }
 
     @Test
     fun `too many in one zone`() {
-        val spread = spec.copy(spread = true, cpus = 1.0).also(rules::submitting)
-        repeat(3) { rules.taskStarts(TaskId(spread.id, it), good, 0) }
-        breaks("wrong_place") { rules.taskStarts(TaskId(spread.id, 3), good, 0) }
+        val spreadAcrossZones = spec.copy(spreadAcrossZones = true, cpus = 1.0).also(rules::submitting)
+        repeat(3) { rules.taskStarts(TaskId(spreadAcrossZones.id, it), good, 0) }
+        breaks("wrong_place") { rules.taskStarts(TaskId(spreadAcrossZones.id, 3), good, 0) }
     }
 
     @Test
--- a/src/test/kotlin/mountmast/standin/StandInCloud.kt
+++ b/src/test/kotlin/mountmast/standin/StandInCloud.kt
@@ -6,8 +6,8 @@
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachinePage
 import mountmast.protocol.MachineType
-import mountmast.protocol.RentalId
 import mountmast.protocol.RentalRequest
+import mountmast.protocol.RentalRequestId
 import mountmast.protocol.WireJson
 import mountmast.transport.Cloud
 import mountmast.transport.CloudException
@@ -27,7 +27,7 @@
     }
 
     private val machines = LinkedHashMap<MachineId, Rented>()
-    private val answers = HashMap<RentalId, List<MachineId>>()
+    private val answers = HashMap<RentalRequestId, List<MachineId>>()
     private var lists = ArrayDeque<Pair<Long, List<ListedMachine>>>()
     private var outageUntil = 0L
     private var number = 0
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -155,7 +155,12 @@
         writes += transaction.writes.size
         mostOps = maxOf(mostOps, transaction.writes.size)
         for (write in transaction.writes) {
-            if (write is Write.Put && write.storeLease != null && write.storeLease!!.number.toLong() !in holds) throw StoreLeaseExpiredException(write.storeLease!!)
+            if (write is Write.Put &&
+                write.storeLease != null &&
+                write.storeLease!!.number.toLong() !in holds
+            ) {
+                throw StoreLeaseExpiredException(write.storeLease!!)
+            }
         }
         val failed = transaction.compares.filter { (values[it.key]?.modRevision ?: 0L).toULong() != it.modRevision.number }
         if (failed.isNotEmpty()) return TransactionResult.CompareFailed(failed.map { it.key })
@@ -294,7 +299,9 @@
             )
         }
 
-        private fun text(page: EntryPage) = "${page.entries.map { "${it.key}@${it.modRevision.number}" }} ${page.more} ${page.revision.number}"
+        private fun text(page: EntryPage) = "${page.entries.map {
+            "${it.key}@${it.modRevision.number}"
+        }} ${page.more} ${page.revision.number}"
 
         private fun text(outcome: WatchResult) = when (outcome) {
             is WatchResult.Changes -> "${outcome.changes.map { "${it.key}@${it.modRevision.number}" }} ${outcome.upTo.number}"
--- a/src/test/kotlin/mountmast/standin/StandInWorker.kt
+++ b/src/test/kotlin/mountmast/standin/StandInWorker.kt
@@ -180,7 +180,7 @@
         val known = tasks[task]
         when (command.type) {
             CommandType.START -> if (known?.attempt != command.attempt) start(task, command.attempt, known)
-            CommandType.STOP -> if (known != null && known.attempt == command.attempt) stop(task, known, command.graceS ?: 0.0)
+            CommandType.STOP -> if (known != null && known.attempt == command.attempt) stop(task, known, command.terminationGraceS ?: 0.0)
             CommandType.FORGET -> if (known != null && known.attempt == command.attempt && known.state == TaskState.EXITED) tasks -= task
         }
     }
@@ -190,7 +190,7 @@
         val errorBody = when {
             spec == null || task.index >= spec.tasks -> ExitCause.UNKNOWN
             known != null && known.state != TaskState.EXITED -> ExitCause.BUSY
-            !spec.perTask.fitsIn(room()) -> ExitCause.NO_ROOM
+            !spec.perTask.fitsWithin(room()) -> ExitCause.NO_ROOM
             else -> null
         }
         if (spec == null) return
@@ -206,15 +206,15 @@
         }
     }
 
-    private fun stop(task: TaskId, it: Running, graceS: Double) {
+    private fun stop(task: TaskId, it: Running, terminationGraceS: Double) {
         if (it.state == TaskState.EXITED) return
-        val saves = it.state == TaskState.RUNNING && it.spec.checkpointEveryS > 0 && graceS >= it.spec.saveS
+        val saves = it.state == TaskState.RUNNING && it.spec.checkpointEveryS > 0 && terminationGraceS >= it.spec.checkpointSaveS
         when {
             saves -> {
                 it.state = TaskState.SAVING
-                it.leftMs = (it.spec.saveS * 1000).toLong()
+                it.leftMs = (it.spec.checkpointSaveS * 1000).toLong()
             }
-            it.state == TaskState.SAVING && graceS > 0 -> {}
+            it.state == TaskState.SAVING && terminationGraceS > 0 -> {}
             else -> exit(task, it, ExitCause.STOPPED)
         }
     }
--- a/src/test/kotlin/mountmast/standin/WaitingCheck.kt
+++ b/src/test/kotlin/mountmast/standin/WaitingCheck.kt
@@ -20,12 +20,12 @@
 
     private fun hasRoomFor(spec: JobSpec, worker: StandInWorker): Boolean {
         // The team's use is added up over all that runs, so it is asked for last.
-        if (!spec.perTask.fitsIn(worker.room())) return false
+        if (!spec.perTask.fitsWithin(worker.room())) return false
         if (spec.types?.contains(worker.type.id) == false || (worker.spot && !spec.spotAllowed)) return false
         if (spec.zone != null && spec.zone != worker.zone) return false
         val zones = rules.zonesOf(spec.id)
-        if (spec.oneZone && zones.keys.any { it != worker.zone }) return false
-        if (spec.spread && (zones[worker.zone] ?: 0) >= spec.perZoneLimit) return false
+        if (spec.singleZone && zones.keys.any { it != worker.zone }) return false
+        if (spec.spreadAcrossZones && (zones[worker.zone] ?: 0) >= spec.maxTasksPerZone) return false
         return world.teams.getValue(spec.team).limitAllows(rules.useOf(spec.team) + spec.perTask)
     }
 
--- a/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
+++ b/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
@@ -46,7 +46,9 @@
         assertEquals(3002, rejected.largestBytes)
         assertEquals(3, rejected.changes)
         answer = """{"error":"no such lease"}"""
-        assertThrows(StoreLeaseExpiredException::class.java) { store.commit(Transaction(emptyList(), listOf(put("lead", "x", StoreLeaseId(3u))))) }
+        assertThrows(StoreLeaseExpiredException::class.java) {
+            store.commit(Transaction(emptyList(), listOf(put("lead", "x", StoreLeaseId(3u)))))
+        }
         status = 429
         assertThrows(StoreUnavailableException::class.java) { store.commit(transaction) }
     }
--- a/src/test/kotlin/mountmast/transport/BoundedServerTest.kt
+++ b/src/test/kotlin/mountmast/transport/BoundedServerTest.kt
@@ -59,14 +59,14 @@
         val entered = CountDownLatch(1)
         val release = CountDownLatch(1)
         var queued = { 0 }
-        val lane = RequestLane("/slow", threads = 1, waiting = 2, QueueMetrics(Timing(), Counter()) { queued = it })
+        val bulkhead = RequestBulkhead("/slow", threads = 1, waiting = 2, QueueMetrics(Timing(), Counter()) { queued = it })
         val server = { request: org.http4k.core.Request ->
             if (request.uri.path == "/slow") {
                 entered.countDown()
                 release.await(20, TimeUnit.SECONDS)
             }
             Response(Status.OK).body("served")
-        }.startWith(lane)
+        }.startWith(bulkhead)
         val at = server.address()
         val answers = ConcurrentLinkedQueue<Int>()
         fun askSlow() = thread { answers += HttpCaller().call(at, "GET", "/slow", null, 30_000).status }
@@ -94,13 +94,13 @@
         val handled = AtomicInteger()
         var queued = { 0 }
         val metrics = QueueMetrics(Timing(), Counter()) { queued = it }
-        val lane = RequestLane("/slow", threads = 1, waiting = 10, metrics, patienceMs = 300)
+        val bulkhead = RequestBulkhead("/slow", threads = 1, waiting = 10, metrics, patienceMs = 300)
         val server = { _: org.http4k.core.Request ->
             handled.incrementAndGet()
             entered.countDown()
             release.await(20, TimeUnit.SECONDS)
             Response(Status.OK).body("served")
-        }.startWith(lane)
+        }.startWith(bulkhead)
         val at = server.address()
         val answers = ConcurrentLinkedQueue<Int>()
         fun ask() = thread { answers += HttpCaller().call(at, "GET", "/slow", null, 30_000).status }
@@ -118,8 +118,9 @@
         server.stop()
     }
 
-    private fun HttpHandler.startWith(vararg lanes: RequestLane): Http4kServer =
-        asServer(BoundedServer(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), "test", THREADS, WAITING, lanes.toList())).start()
+    private fun HttpHandler.startWith(vararg bulkheads: RequestBulkhead): Http4kServer = asServer(
+        BoundedServer(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), "test", THREADS, WAITING, bulkheads.toList()),
+    ).start()
 
     private fun Http4kServer.address() = InetSocketAddress(InetAddress.getLoopbackAddress(), port())
 
--- a/src/test/kotlin/mountmast/transport/HeartbeatLoad.kt
+++ b/src/test/kotlin/mountmast/transport/HeartbeatLoad.kt
@@ -5,10 +5,10 @@
 
 /**
  * Workers that report to one node, as PROTOCOL describes them, and the processor of that node, in virtual time. Requests are read
- * by [readers] threads; whether a report may wait, and whether it is answered, is [lane]'s to say. A worker that is refused or not
+ * by [readers] threads; whether a report may wait, and whether it is answered, is [bulkhead]'s to say. A worker that is refused or not
  * answered in time asks the next node, which sends it back.
  */
-class HeartbeatLoad(seed: Long, workers: Int, private val readers: Int, private val lane: RequestLane) {
+class HeartbeatLoad(seed: Long, workers: Int, private val readers: Int, private val bulkhead: RequestBulkhead) {
     private class Worker(var answeredSentAt: Long = 0, var awaited: Request? = null)
 
     private class Request(val worker: Worker, val sentAt: Long, var queuedAt: Long = 0)
@@ -95,7 +95,7 @@
     private fun work() {
         if (isBusy || nowMicros < stoppedUntil) return
         val reading = minOf(readers, unread.size)
-        val answering = minOf(lane.threads, queue.size)
+        val answering = minOf(bulkhead.threads, queue.size)
         if (reading + answering == 0) return
         if (random.nextInt(reading + answering) < reading) read(unread.removeFirst()) else answer(queue.removeFirst())
     }
@@ -111,12 +111,12 @@
 
     private fun read(request: Request) = spend(READ_MICROS) {
         request.queuedAt = nowMicros
-        if (lane.admits(queue.size)) queue += request else refuse(request)
+        if (bulkhead.admits(queue.size)) queue += request else refuse(request)
     }
 
     private fun answer(request: Request) {
         val waitedMs = (nowMicros - request.queuedAt) / MICROS_PER_MS
-        if (!lane.isWorthAnswering(waitedMs)) return refuse(request)
+        if (!bulkhead.isWorthAnswering(waitedMs)) return refuse(request)
         spend(ANSWER_MICROS) { answered(request) }
     }
 
--- a/src/test/kotlin/mountmast/transport/HeartbeatOverloadTest.kt
+++ b/src/test/kotlin/mountmast/transport/HeartbeatOverloadTest.kt
@@ -11,7 +11,7 @@
  */
 class HeartbeatOverloadTest {
     private fun play(seed: Long, stopMs: Long): HeartbeatLoad {
-        val load = HeartbeatLoad(seed, WORKERS, BoundedServer.PUBLIC_READERS, RequestLane.forHeartbeats())
+        val load = HeartbeatLoad(seed, WORKERS, BoundedServer.PUBLIC_READERS, RequestBulkhead.forHeartbeats())
         load.run(20_000)
         assertEquals(0, load.leasesLost, "leases lost before the stop, seed $seed")
         load.stop(stopMs)
