--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -24,7 +24,12 @@
 
 private val log = LoggerFactory.getLogger("mountmast.store")
 
-/** The state service over HTTP. This node's share of its two rates is kept here, before anything is sent. */
+/**
+ * The state service over HTTP. This node's share of the service's two rates is kept here, before anything is sent. Thread-safe.
+ *
+ * @property at address of the state service
+ * @property nodes number of controller nodes that share the rates
+ */
 class HttpStateStore(
     private val at: InetSocketAddress,
     private val limits: StateLimits,
@@ -37,43 +42,43 @@
 
     private val requests = RateLimiter.create(limits.requestsPerSecond / nodes)
     private val writes = TokenBucket(limits.writesPerSecond / nodes, System::nanoTime)
-    private val rejections = ConcurrentHashMap.newKeySet<String>()
+    private val rejectedKeys = ConcurrentHashMap.newKeySet<String>()
 
     @Volatile
-    private var lastOkNanos = System.nanoTime()
+    private var lastAnswerNanos = System.nanoTime()
 
     @Volatile
-    private var lastOk = false
+    private var wasLastCallAnswered = false
 
     override val isReachable: Boolean
-        get() = lastOk || System.nanoTime() - lastOkNanos < REACHED_NANOS
+        get() = wasLastCallAnswered || System.nanoTime() - lastAnswerNanos < REACHABLE_NANOS
 
     override fun setRole(leader: Boolean) {
         requests.rate = StoreRateQuota.requests(limits, nodes, leader)
         writes.setRate(StoreRateQuota.writes(limits, nodes, leader))
     }
 
-    override fun writeBudget(): WriteBudget = writes.room()
+    override fun writeBudget(): WriteBudget = writes.budget()
 
     override fun get(key: String): Entry? {
         val reply = call("GET", "/store/$key", null)
         return when (reply.status) {
             200 -> decode<EntryBody>(reply).toEntry()
             404 -> null
-            else -> throw refused(reply)
+            else -> throw unavailable(reply)
         }
     }
 
     override fun list(prefix: String, after: String?, limit: Int): EntryPage {
         val from = after?.let { "&from=$it" } ?: ""
         val reply = call("GET", "/store?starts=$prefix$from&page=$limit", null)
-        if (!reply.ok) throw refused(reply)
+        if (!reply.ok) throw unavailable(reply)
         val page = decode<PageBody>(reply)
         return EntryPage(page.items.map { it.toEntry() }, page.more, page.revision)
     }
 
     override fun commit(transaction: Transaction): TransactionResult {
-        takeWrites(transaction.writes.size)
+        awaitWriteQuota(transaction.writes.size)
         val body = CommitBody(
             transaction.compares.map { CompareBody(it.key, it.modRevision) },
             transaction.writes.map { write ->
@@ -86,17 +91,17 @@
         val reply = call("POST", "/commit", WireJson.encodeToString(body))
         return when {
             reply.ok -> TransactionResult.Committed(decode<RevisionBody>(reply).revision)
-            reply.status == 409 -> TransactionResult.CompareFailed(decode<ConflictBody>(reply).failed)
+            reply.status == 409 -> TransactionResult.CompareFailed(decode<CompareFailedBody>(reply).failed)
             reply.status == 400 && "no such lease" in reply.text ->
                 throw StoreLeaseExpiredException(transaction.writes.firstNotNullOf { (it as? Write.Put)?.storeLease })
-            reply.status == 400 -> throw rejected(transaction, reply)
-            else -> throw refused(reply)
+            reply.status == 400 -> throw rejection(transaction, reply)
+            else -> throw unavailable(reply)
         }
     }
 
     override fun grantLease(ttlMs: Long): StoreLeaseId {
         val reply = call("POST", "/holds", WireJson.encodeToString(TtlBody(ttlMs)))
-        if (!reply.ok) throw refused(reply)
+        if (!reply.ok) throw unavailable(reply)
         return decode<LeaseBody>(reply).storeLease
     }
 
@@ -105,7 +110,7 @@
         return when (reply.status) {
             200 -> true
             404 -> false
-            else -> throw refused(reply)
+            else -> throw unavailable(reply)
         }
     }
 
@@ -117,32 +122,32 @@
         val reply = call("GET", "/follow?starts=$prefix&from=$from&waitMs=$waitMs", null, WAIT_MS + waitMs.toInt())
         return when (reply.status) {
             200 -> decode<WatchBody>(reply).let { body ->
-                WatchResult.Changes(body.news.map { it.toChange() }, body.revision)
+                WatchResult.Changes(body.news.map { it.toEvent() }, body.revision)
             }
             410 -> WatchResult.Compacted
-            else -> throw refused(reply)
+            else -> throw unavailable(reply)
         }
     }
 
     private fun call(method: String, path: String, body: String?, waitMs: Int = WAIT_MS): Reply {
         val began = System.nanoTime()
-        if (!requests.tryAcquire(RATE_WAIT_MS, TimeUnit.MILLISECONDS)) throw overShare()
+        if (!requests.tryAcquire(RATE_WAIT_MS, TimeUnit.MILLISECONDS)) throw rateExceeded()
         try {
             val admitted = System.nanoTime()
             val reply = caller.call(at, method, path, body?.encodeToByteArray(), waitMs)
-            if (waitMs == WAIT_MS) noteTime("$method $path", began, admitted)
+            if (waitMs == WAIT_MS) recordDuration("$method $path", began, admitted)
             // Above the rates the service answers 429: it is within reach.
-            lastOk = reply.status < 500
-            if (lastOk) lastOkNanos = System.nanoTime() else failures.add()
+            wasLastCallAnswered = reply.status < 500
+            if (wasLastCallAnswered) lastAnswerNanos = System.nanoTime() else failures.add()
             return reply
         } catch (e: NoAnswerException) {
-            lastOk = false
+            wasLastCallAnswered = false
             failures.add()
             throw if (e.mayBeCarriedOut) StoreTimeoutException("$path: ${e.message}") else StoreUnavailableException("$path: ${e.message}")
         }
     }
 
-    private fun noteTime(call: String, beganNanos: Long, admittedNanos: Long) {
+    private fun recordDuration(call: String, beganNanos: Long, admittedNanos: Long) {
         val tookMs = (System.nanoTime() - beganNanos) / NANOS_PER_MS
         calls.note(tookMs)
         if (tookMs >= SLOW_MS) {
@@ -150,22 +155,22 @@
         }
     }
 
-    private fun takeWrites(count: Int) {
-        val waitMs = writes.take(count, RATE_WAIT_MS) ?: throw overShare()
+    private fun awaitWriteQuota(count: Int) {
+        val waitMs = writes.take(count, RATE_WAIT_MS) ?: throw rateExceeded()
         if (waitMs > 0) Thread.sleep(waitMs)
     }
 
-    private fun overShare() = StoreUnavailableException("over this node's share of the rate")
+    private fun rateExceeded() = StoreUnavailableException("over this node's share of the rate")
 
-    /** Each key is told once: users may send the same request any number of times. */
-    private fun rejected(transaction: Transaction, reply: Reply): StoreRequestRejectedException {
-        val rejected = StoreRequestRejectedException.of(transaction, reply.text.take(MAX_TOLD))
-        if (rejections.size >= MAX_REJECTIONS) rejections.clear()
-        if (rejections.add(rejected.largestKey)) log.error("the state service takes no such transaction: {}", rejected.message)
+    /** Logs each key once: users may send the same request any number of times. */
+    private fun rejection(transaction: Transaction, reply: Reply): StoreRequestRejectedException {
+        val rejected = StoreRequestRejectedException.of(transaction, reply.text.take(MAX_ANSWER_CHARS))
+        if (rejectedKeys.size >= MAX_REJECTED_KEYS) rejectedKeys.clear()
+        if (rejectedKeys.add(rejected.largestKey)) log.error("the state service takes no such transaction: {}", rejected.message)
         return rejected
     }
 
-    private fun refused(reply: Reply) = StoreUnavailableException("status ${reply.status}")
+    private fun unavailable(reply: Reply) = StoreUnavailableException("status ${reply.status}")
 
     private inline fun <reified T> decode(reply: Reply): T = try {
         WireJson.decodeFromString<T>(reply.text)
@@ -173,68 +178,70 @@
         throw StoreTimeoutException("malformed answer: ${e.message}")
     }
 
-    @Serializable
-    private class EntryBody(
-        @SerialName("path") val key: String,
-        @SerialName("data") val value: JsonElement,
-        @SerialName("stamp") val modRevision: ModRevision,
-    ) {
-        fun toEntry() = Entry(key, value, modRevision)
-    }
-
-    @Serializable
-    private class PageBody(
-        @SerialName("items") val items: List<EntryBody>,
-        @SerialName("truncated") val more: Boolean = false,
-        @SerialName("ledger") val revision: Revision,
-    )
-
-    @Serializable
-    private class CompareBody(@SerialName("path") val key: String, @SerialName("stamp") val modRevision: ModRevision)
-
-    @Serializable
-    private class WriteBody(
-        @SerialName("write") val put: String? = null,
-        @SerialName("data") val value: JsonElement? = null,
-        @SerialName("hold") val storeLease: StoreLeaseId? = null,
-        @SerialName("delete") val delete: String? = null,
-    )
-
-    @Serializable
-    private class CommitBody(@SerialName("if") val compares: List<CompareBody>, @SerialName("writes") val writes: List<WriteBody>)
-
-    @Serializable
-    private class RevisionBody(@SerialName("ledger") val revision: Revision)
-
-    @Serializable
-    private class ConflictBody(@SerialName("failed") val failed: List<String>)
-
-    @Serializable
-    private class TtlBody(@SerialName("ttlMs") val ttlMs: Long)
-
-    @Serializable
-    private class LeaseBody(@SerialName("hold") val storeLease: StoreLeaseId)
-
-    @Serializable
-    private class WatchBody(@SerialName("ledger") val revision: Revision, @SerialName("news") val news: List<ChangeBody> = emptyList())
-
-    @Serializable
-    private class ChangeBody(
-        @SerialName("write") val put: String? = null,
-        @SerialName("data") val value: JsonElement? = null,
-        @SerialName("delete") val delete: String? = null,
-        @SerialName("stamp") val modRevision: ModRevision,
-    ) {
-        fun toChange() = WatchEvent(put ?: delete.orEmpty(), if (put != null) value else null, modRevision)
-    }
-
     private companion object {
         const val WAIT_MS = 1500
-        const val REACHED_NANOS = 2_500_000_000L
+        const val REACHABLE_NANOS = 2_500_000_000L
         const val RATE_WAIT_MS = 300L
-        const val MAX_TOLD = 200
+        const val MAX_ANSWER_CHARS = 200
         const val SLOW_MS = 100
         const val NANOS_PER_MS = 1_000_000L
-        const val MAX_REJECTIONS = 1000
+        const val MAX_REJECTED_KEYS = 1000
     }
 }
+
+// The bodies of requests and answers, under the field names of the wire.
+
+@Serializable
+private class EntryBody(
+    @SerialName("path") val key: String,
+    @SerialName("data") val value: JsonElement,
+    @SerialName("stamp") val modRevision: ModRevision,
+) {
+    fun toEntry() = Entry(key, value, modRevision)
+}
+
+@Serializable
+private class PageBody(
+    @SerialName("items") val items: List<EntryBody>,
+    @SerialName("truncated") val more: Boolean = false,
+    @SerialName("ledger") val revision: Revision,
+)
+
+@Serializable
+private class CompareBody(@SerialName("path") val key: String, @SerialName("stamp") val modRevision: ModRevision)
+
+@Serializable
+private class WriteBody(
+    @SerialName("write") val put: String? = null,
+    @SerialName("data") val value: JsonElement? = null,
+    @SerialName("hold") val storeLease: StoreLeaseId? = null,
+    @SerialName("delete") val delete: String? = null,
+)
+
+@Serializable
+private class CommitBody(@SerialName("if") val compares: List<CompareBody>, @SerialName("writes") val writes: List<WriteBody>)
+
+@Serializable
+private class RevisionBody(@SerialName("ledger") val revision: Revision)
+
+@Serializable
+private class CompareFailedBody(@SerialName("failed") val failed: List<String>)
+
+@Serializable
+private class TtlBody(@SerialName("ttlMs") val ttlMs: Long)
+
+@Serializable
+private class LeaseBody(@SerialName("hold") val storeLease: StoreLeaseId)
+
+@Serializable
+private class WatchBody(@SerialName("ledger") val revision: Revision, @SerialName("news") val news: List<WatchEventBody> = emptyList())
+
+@Serializable
+private class WatchEventBody(
+    @SerialName("write") val put: String? = null,
+    @SerialName("data") val value: JsonElement? = null,
+    @SerialName("delete") val delete: String? = null,
+    @SerialName("stamp") val modRevision: ModRevision,
+) {
+    fun toEvent() = WatchEvent(put ?: delete.orEmpty(), if (put != null) value else null, modRevision)
+}
--- a/src/main/kotlin/mountmast/storage/StateStore.kt
+++ b/src/main/kotlin/mountmast/storage/StateStore.kt
@@ -5,93 +5,68 @@
 import mountmast.protocol.Revision
 import mountmast.protocol.StoreLeaseId
 
-/** The state service did not carry out what was asked. */
-open class StoreException(message: String) : Exception(message)
-
-/** It refused: nothing was executed, nor will be. */
-class StoreUnavailableException(message: String) : StoreException(message)
+/** A key with its value and the revision at which it was last modified. */
+data class Entry(val key: String, val value: JsonElement, val modRevision: ModRevision)
 
 /**
- * It refused a transaction as malformed or larger than it takes. The same again would be refused again.
+ * Some of the keys with a prefix, in the order of the keys.
  *
- * @property largestKey the key with the largest value
+ * @property more whether further keys follow
+ * @property revision of the store when the page was read
  */
-class StoreRequestRejectedException(val largestKey: String, val largestBytes: Int, val changes: Int, val answer: String) :
-    StoreException("rejected: $changes changes, the largest value $largestBytes bytes at $largestKey: $answer") {
-    companion object {
-        fun of(transaction: Transaction, answer: String): StoreRequestRejectedException {
-            val largest = transaction.writes.filterIsInstance<Write.Put>().maxByOrNull { jsonSize(it.value) }
-            return StoreRequestRejectedException(largest?.key.orEmpty(), largest?.let { jsonSize(it.value) } ?: 0, transaction.writes.size, answer)
-        }
-    }
-}
-
-/** It was silent: the request may have been executed, or still be executed later. */
-class StoreTimeoutException(message: String) : StoreException(message)
-
-/** The hold that was named has ended. */
-class StoreLeaseExpiredException(storeLease: StoreLeaseId) : StoreException("hold $storeLease has ended")
-
-/** A key with its value. */
-data class Entry(val key: String, val value: JsonElement, val modRevision: ModRevision)
-
-/** Some of the keys with a prefix, in key order. */
 data class EntryPage(val entries: List<Entry>, val more: Boolean, val revision: Revision)
 
-/** A key must have this version for a transaction to be carried out. */
-data class Compare(val key: String, val modRevision: ModRevision)
-
-/** A change of one key. */
-sealed interface Write {
-    val key: String
-
-    data class Put(override val key: String, val value: JsonElement, val storeLease: StoreLeaseId? = null) : Write
-    data class Delete(override val key: String) : Write
-}
-
-/** Changes that are made all together or not at all. */
-data class Transaction(val compares: List<Compare>, val writes: List<Write>)
-
-/** What became of a transaction. */
-sealed interface TransactionResult {
-    data class Committed(val revision: Revision) : TransactionResult
-    data class CompareFailed(val failed: List<String>) : TransactionResult
-}
-
-/** A change seen by following a prefix; [value] is null where the key was deleted. */
+/** A change of a key that a watch returned; [value] is null if the key was deleted. */
 data class WatchEvent(val key: String, val value: JsonElement?, val modRevision: ModRevision)
 
-/** What following a prefix got. */
+/** What a watch of a prefix returned. */
 sealed interface WatchResult {
+    /** All changes up to the revision [upTo], from which the next watch goes on. */
     data class Changes(val changes: List<WatchEvent>, val upTo: Revision) : WatchResult
 
-    /** The revision is too old: the keys must be read again. */
+    /** The store no longer holds the changes since the requested revision: the keys must be listed again. */
     data object Compacted : WatchResult
 }
 
-/** The small consistent store in which all lasting state is kept. Every call throws [StoreException] where it fails. */
+/**
+ * The state service: a small consistent key-value store in which all lasting state is kept. Thread-safe. Each call throws a
+ * [StoreException] if it does not succeed, and waits no longer than some seconds.
+ */
 interface StateStore {
-    /** Whether this node gets answers from the state service. */
+    /** Whether this node has lately had an answer from the state service. */
     val isReachable: Boolean
 
-    /** Tells how large this node's share of the rates is to be. */
+    /** Sets this node's share of the store's rates to that of the leader or of another node. */
     fun setRole(leader: Boolean)
 
-    /** How much of this node's share of the changes is left for work that users do not wait for. */
+    /** How many changes may be written now by work that no user waits for. */
     fun writeBudget(): WriteBudget = WriteBudget.AMPLE
 
-    /** The entry, or null where the key does not exist. */
+    /** Returns the entry of [key], or null if it does not exist. */
     fun get(key: String): Entry?
+
+    /** Returns up to [limit] entries whose keys begin with [prefix] and come after the key [after], if that is given. */
     fun list(prefix: String, after: String? = null, limit: Int = MAX_PER_PAGE): EntryPage
+
+    /**
+     * Executes [transaction] if its compares hold. Throws [StoreTimeoutException] if it may have been executed all the same,
+     * [StoreRequestRejectedException] if it is too large, and [StoreLeaseExpiredException] if a put names an expired lease.
+     */
     fun commit(transaction: Transaction): TransactionResult
+
+    /** Grants a lease that expires [ttlMs] milliseconds after it was last kept alive. */
     fun grantLease(ttlMs: Long): StoreLeaseId
 
-    /** False where the hold has ended. */
+    /** Renews [storeLease] for its whole time to live; returns false if it has expired. */
     fun keepAlive(storeLease: StoreLeaseId): Boolean
+
+    /** Ends [storeLease], which deletes the keys attached to it. */
     fun revokeLease(storeLease: StoreLeaseId)
+
+    /** Returns the changes of keys with [prefix] since [from], as soon as there are any, but after [waitMs] milliseconds at the latest. */
     fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult
 
-    /** Every entry with [prefix], and the revision from which following sees all later changes. */
+    /** Returns every entry with [prefix], and the revision from which a watch sees all later changes. */
     fun listAll(prefix: String): Pair<List<Entry>, Revision> {
         val entries = ArrayList<Entry>()
         // The oldest page's revision: changes between two pages are then seen again rather than missed.
@@ -105,6 +80,7 @@
     }
 
     companion object {
+        /** The most entries that the state service returns in one page. */
         const val MAX_PER_PAGE = 500
     }
 }
--- a/src/main/kotlin/mountmast/storage/TokenBucket.kt
+++ b/src/main/kotlin/mountmast/storage/TokenBucket.kt
@@ -3,28 +3,33 @@
 import mountmast.protocol.StateLimits
 
 /**
- * How much may be written now without being in the way of users: see [StateStore.writeBudget].
+ * How much work that no user waits for may write now: see [StateStore.writeBudget].
  *
- * @property available changes that may be written at once
+ * @property available changes (puts and deletes) that may be written at once
  * @property isScarce whether less is left than usual, so that whatever can wait should
  */
 data class WriteBudget(val available: Int, val isScarce: Boolean) {
     companion object {
+        /** No limit, for stores without a rate. */
         val AMPLE = WriteBudget(Int.MAX_VALUE, isScarce = false)
     }
 }
 
 /** How the rates of the state service are divided among the nodes. */
 object StoreRateQuota {
-    /** The leader writes more than the others, which have more users to answer; all nodes together stay within the rates. */
-    fun writes(limits: StateLimits, nodes: Int, leads: Boolean) = limits.writesPerSecond * share(nodes, leads, LEADER_WRITES)
+    /**
+     * Changes per second of a node that is the leader or not, with [nodes] nodes in all. The leader writes more than the others, which
+     * have more users to answer; all nodes together stay within the rates.
+     */
+    fun writes(limits: StateLimits, nodes: Int, isLeader: Boolean) = limits.writesPerSecond * share(nodes, isLeader, LEADER_WRITES)
 
-    fun requests(limits: StateLimits, nodes: Int, leads: Boolean) = limits.requestsPerSecond * share(nodes, leads, LEADER_REQUESTS)
+    /** Requests per second of a node that is the leader or not, with [nodes] nodes in all. */
+    fun requests(limits: StateLimits, nodes: Int, isLeader: Boolean) = limits.requestsPerSecond * share(nodes, isLeader, LEADER_REQUESTS)
 
-    private fun share(nodes: Int, leads: Boolean, ofLeader: Double): Double = CAUTION * when {
+    private fun share(nodes: Int, isLeader: Boolean, leaderShare: Double): Double = CAUTION * when {
         nodes == 1 -> 1.0
-        leads -> ofLeader
-        else -> (1 - ofLeader) / (nodes - 1)
+        isLeader -> leaderShare
+        else -> (1 - leaderShare) / (nodes - 1)
     }
 
     private const val LEADER_REQUESTS = 0.4
@@ -35,8 +40,10 @@
 }
 
 /**
- * A node's share of a rate, as a token bucket of one second's worth. Work in the background leaves a reserve in it, so that
- * what users wait for finds room at once.
+ * A node's share of a rate, as a token bucket that holds one second's worth of permits. Work in the background leaves a reserve in
+ * it, so that what users wait for is admitted at once. Thread-safe.
+ *
+ * @param rate permits per second
  */
 class TokenBucket(rate: Double, private val nowNanos: () -> Long) {
     private var rate = rate
@@ -53,7 +60,10 @@
         tokens = minOf(tokens, capacity)
     }
 
-    /** How long to wait before [count] permits that are taken hereby may be used, or null where that is over [mostMs]. */
+    /**
+     * Takes [count] permits and returns how many milliseconds to wait before they may be used. Takes none and returns null if that
+     * would be longer than [mostMs].
+     */
     @Synchronized
     fun take(count: Int, mostMs: Long): Long? {
         fill()
@@ -65,9 +75,9 @@
         return waitMs
     }
 
-    /** What work in the background may take now. */
+    /** Returns what work in the background may take now. */
     @Synchronized
-    fun room(): WriteBudget {
+    fun budget(): WriteBudget {
         fill()
         val reserve = capacity * RESERVED_SHARE
         val available = tokens - reserve
--- a/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
@@ -65,7 +65,7 @@
             val before = HashMap(world.store.writesByKind)
             val startedBefore = world.rules.started
             val refusedBefore = refused
-            val share = StoreRateQuota.writes(LIMITS, 3, leads = true)
+            val share = StoreRateQuota.writes(LIMITS, 3, isLeader = true)
             val beganAt = world.time.now
             run(MEASURED_MS)
             val seconds = (world.time.now - beganAt) / 1000.0
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -187,11 +187,11 @@
         override var isReachable = true
             private set
 
-        private val share = TokenBucket(StoreRateQuota.writes(limits.known, NODES, leads = false)) { world.now * NANOS_PER_MS }
+        private val bucket = TokenBucket(StoreRateQuota.writes(limits.known, NODES, isLeader = false)) { world.now * NANOS_PER_MS }
 
-        override fun setRole(leader: Boolean) = share.setRate(StoreRateQuota.writes(limits.known, NODES, leader))
+        override fun setRole(leader: Boolean) = bucket.setRate(StoreRateQuota.writes(limits.known, NODES, leader))
 
-        override fun writeBudget(): WriteBudget = if (limits.enforcesRates) share.room() else WriteBudget.AMPLE
+        override fun writeBudget(): WriteBudget = if (limits.enforcesRates) bucket.budget() else WriteBudget.AMPLE
 
         /** Asks for what [what] describes; [told] describes the answer. */
         private fun <T> ask(
@@ -257,7 +257,7 @@
         }
 
         override fun commit(transaction: Transaction): TransactionResult {
-            if (limits.enforcesRates && share.take(transaction.writes.size, 0) == null) throw StoreUnavailableException("over the share")
+            if (limits.enforcesRates && bucket.take(transaction.writes.size, 0) == null) throw StoreUnavailableException("over the bucket")
             val random = if (transaction.writes.any { it.key == Keys.FORMAT }) formatRandom else random
             return ask({ "commit ${text(transaction)}" }, ::text, random = random) {
                 if (trouble.writesLate(random)) {
--- a/src/test/kotlin/mountmast/storage/TokenBucketTest.kt
+++ b/src/test/kotlin/mountmast/storage/TokenBucketTest.kt
@@ -8,7 +8,7 @@
 
 class TokenBucketTest {
     private var nowNanos = 0L
-    private val share = TokenBucket(12.0) { nowNanos }
+    private val bucket = TokenBucket(12.0) { nowNanos }
 
     private fun pass(ms: Long) {
         nowNanos += ms * 1_000_000
@@ -16,40 +16,40 @@
 
     @Test
     fun `a second's worth may be taken at once, then as much as the rate gives`() {
-        assertEquals(0L, share.take(12, 0))
-        assertNull(share.take(1, 0))
-        assertEquals(84L, share.take(1, 300))
+        assertEquals(0L, bucket.take(12, 0))
+        assertNull(bucket.take(1, 0))
+        assertEquals(84L, bucket.take(1, 300))
         pass(84)
-        assertNull(share.take(1, 0))
+        assertNull(bucket.take(1, 0))
         pass(84)
-        assertEquals(0L, share.take(1, 0))
+        assertEquals(0L, bucket.take(1, 0))
     }
 
     @Test
     fun `work in the background leaves a reserve for users`() {
-        assertFalse(share.room().isScarce)
-        assertEquals(9, share.room().available)
-        assertEquals(0L, share.take(9, 0))
-        assertEquals(WriteBudget(0, isScarce = true), share.room())
-        assertEquals(0L, share.take(3, 0))
+        assertFalse(bucket.budget().isScarce)
+        assertEquals(9, bucket.budget().available)
+        assertEquals(0L, bucket.take(9, 0))
+        assertEquals(WriteBudget(0, isScarce = true), bucket.budget())
+        assertEquals(0L, bucket.take(3, 0))
         pass(500)
-        assertEquals(3, share.room().available)
+        assertEquals(3, bucket.budget().available)
     }
 
     @Test
     fun `what was refused takes nothing, and more than a second's worth is possible`() {
-        assertEquals(0L, share.take(20, 0))
-        assertNull(share.take(1, 300))
+        assertEquals(0L, bucket.take(20, 0))
+        assertNull(bucket.take(1, 300))
         pass(2000)
-        assertTrue(share.room().available > 0)
+        assertTrue(bucket.budget().available > 0)
     }
 
     @Test
     fun `a change of the rate keeps what is left`() {
-        share.take(12, 0)
-        share.setRate(24.0)
-        assertEquals(0, share.room().available)
+        bucket.take(12, 0)
+        bucket.setRate(24.0)
+        assertEquals(0, bucket.budget().available)
         pass(1000)
-        assertEquals(18, share.room().available)
+        assertEquals(18, bucket.budget().available)
     }
 }
