--- a/src/main/kotlin/mountmast/transport/BoundedServer.kt
+++ b/src/main/kotlin/mountmast/transport/BoundedServer.kt
@@ -19,62 +19,13 @@
 private val log = LoggerFactory.getLogger("mountmast.transport")
 
 /**
- * Requests to [path] have [threads] of their own, and up to [waiting] of them wait for one. Where requests of one kind come by
- * the hundreds at once, they neither keep all threads nor share the processor with others as so many equals.
+ * http4k on the JDK's server. http4k's own `SunHttp` binds every address and has an unbounded pool; this one binds the address it is
+ * given and bounds threads and waiting requests. A request over the bound of its bulkhead is answered 503 at once; one over the bound
+ * of the server is refused by closing its connection.
  *
- * A request that has waited for [patienceMs] is refused without being looked at: whoever sent it is about to give up, and what
- * is spent on it is missing for those that can still be answered in time.
- */
-class RequestBulkhead(
-    val path: String,
-    val threads: Int,
-    val waiting: Int,
-    val metrics: QueueMetrics = QueueMetrics.NONE,
-    private val patienceMs: Long = Long.MAX_VALUE,
-) {
-    /** Whether one more request may wait while [queued] do. */
-    fun admits(queued: Int): Boolean = queued < waiting
-
-    /** Whether a request that has waited for [waitedMs] is still worth an answer. */
-    fun isWorthAnswering(waitedMs: Long): Boolean = waitedMs < patienceMs
-
-    companion object {
-        /** A report is answered from memory, under the ledger's lock: more threads than these only wait for one another. */
-        private const val HEARTBEAT_THREADS = 4
-
-        /** Workers wait for four seconds; the rest is for the network, and for reading and answering. */
-        private const val HEARTBEAT_PATIENCE_MS = 3000L
-
-        /**
-         * Reports are bounded by how long they wait, not by their number: each worker has one in flight, and one that is refused
-         * comes back sooner than one that is answered, at hardly less cost. This many only bound the memory.
-         */
-        private const val MAX_HEARTBEATS_WAITING = 16_384
-
-        /** The lane of workers' reports. */
-        fun forHeartbeats(metrics: QueueMetrics = QueueMetrics.NONE) =
-            RequestBulkhead(HEARTBEAT_PATH, HEARTBEAT_THREADS, MAX_HEARTBEATS_WAITING, metrics, HEARTBEAT_PATIENCE_MS)
-
-        /** The lane of all that no other lane takes. */
-        fun forOthers(threads: Int, waiting: Int, metrics: QueueMetrics = QueueMetrics.NONE) = RequestBulkhead("/", threads, waiting, metrics)
-    }
-}
-
-/** What is counted of requests that wait for a thread. */
-class QueueMetrics(val wait: Timing, val refused: Counter, val onQueue: (() -> Int) -> Unit) {
-    companion object {
-        /** Counted, but shown nowhere. */
-        val NONE = QueueMetrics(Timing(), Counter()) {}
-    }
-}
-
-/**
- * http4k on the JDK's server. http4k's own `SunHttp` binds every address and has an unbounded pool; this one
- * binds the address it is given and bounds threads and waiting requests. What is over the bound of a lane is answered at once,
- * what is over the server's is refused by closing the connection.
- *
- * [threads] read requests, and answer those that no lane takes. Where lanes take all of them few threads are enough, and more do
- * harm: on a node short of processor time each of them takes as large a part of it as a thread that answers, or renews a lease.
+ * @property threads read requests, and answer those that no bulkhead takes. If bulkheads take all of them, few threads are enough and
+ *   more do harm: on a node short of processor time each competes with the threads that answer, or renew a lease.
+ * @property waiting the most requests that wait for one of these threads
  */
 class BoundedServer(
     private val at: InetSocketAddress,
@@ -94,7 +45,7 @@
         for (bulkhead in bulkheads) {
             val pool = pool("$name-lane", bulkhead.threads, bulkhead.waiting, bulkhead.metrics)
             pools += pool
-            server.createContext(bulkhead.path) { exchange -> handOver(exchange, handler, pool, bulkhead) }
+            server.createContext(bulkhead.path) { exchange -> enqueue(exchange, handler, pool, bulkhead) }
         }
         return object : Http4kServer {
             override fun start() = apply { server.start() }
@@ -123,8 +74,8 @@
         return pool
     }
 
-    /** The exchange is answered by another thread; the one that read it is free for the next. */
-    private fun handOver(exchange: HttpExchange, handler: JdkHandler, pool: ThreadPoolExecutor, bulkhead: RequestBulkhead) {
+    /** Has another thread answer [exchange], so that the one that read it is free for the next. */
+    private fun enqueue(exchange: HttpExchange, handler: JdkHandler, pool: ThreadPoolExecutor, bulkhead: RequestBulkhead) {
         val queuedAt = System.nanoTime()
         try {
             pool.execute {
@@ -157,7 +108,7 @@
         }
     }
 
-    /** Notes how long [task] waits for a thread, and tells at `debug` if that is long. */
+    /** Records how long [task] waits for a thread, and logs a long wait at `debug`. */
     private fun timed(task: Runnable, metrics: QueueMetrics): Runnable {
         val queuedAt = System.nanoTime()
         return Runnable {
@@ -169,7 +120,7 @@
     }
 
     companion object {
-        /** Threads that read the requests of users and workers, for lanes to answer. */
+        /** Threads that read the requests of users and workers, for bulkheads to answer. */
         const val PUBLIC_READERS = 4
         private const val ANY_PATH = "/"
         private const val BACKLOG = 128
--- a/src/main/kotlin/mountmast/transport/Cloud.kt
+++ b/src/main/kotlin/mountmast/transport/Cloud.kt
@@ -14,20 +14,30 @@
 import java.net.URLEncoder
 import java.util.concurrent.TimeUnit
 
-/** The cloud did not do what was asked, as far as this node can tell. */
+/** A call to the cloud that did not succeed. [mayBeCarriedOut] is false only if it certainly had no effect. */
 class CloudException(message: String, val mayBeCarriedOut: Boolean) : Exception(message)
 
-/** What a rental request got. */
+/** How the cloud answered a [RentalRequest]. */
 sealed interface RentalOutcome {
+    /** It rented [machines]. */
     data class Rented(val machines: List<MachineId>) : RentalOutcome
+
+    /** It has no such machine at present. */
     data object NoCapacity : RentalOutcome
 }
 
-/** The cloud that rents machines. Every call throws [CloudException] where it fails. */
+/** The cloud that rents machines. Thread-safe. Each call throws a [CloudException] if it does not succeed. */
 interface Cloud {
+    /** Returns the machine types with their current prices. */
     fun machineTypes(): List<MachineType>
+
+    /** Rents machines; idempotent by the request's id. */
     fun rent(request: RentalRequest): RentalOutcome
+
+    /** Deletes [machines], at most [MAX_PER_DELETION]. */
     fun delete(machines: List<MachineId>)
+
+    /** Returns the machines that follow [after], or the first ones if that is null, at most [MAX_PER_PAGE]. */
     fun list(after: MachineId?): MachinePage
 
     companion object {
@@ -35,16 +45,16 @@
         const val MAX_PER_DELETION = 100
         const val MAX_PER_PAGE = 500
 
-        /** Of the cloud's rate, what this node uses: only the leader calls, but one that was just replaced may still do so. */
+        /** The share of the cloud's rate that a node uses: only the leader calls, but one that was just replaced may still do so. */
         const val RATE_SHARE = 0.8
     }
 }
 
-/** The cloud over HTTP, within its rate. */
+/** The cloud over HTTP, within [ratePerS] calls a second. */
 class HttpCloud(private val at: InetSocketAddress, ratePerS: Double, private val caller: HttpCaller = HttpCaller()) : Cloud {
     private val rate = RateLimiter.create(ratePerS * Cloud.RATE_SHARE)
 
-    override fun machineTypes(): List<MachineType> = decode<MachineTypes>(ask("GET", "/machine_types", null)).types
+    override fun machineTypes(): List<MachineType> = decode<MachineTypes>(callSuccessfully("GET", "/machine_types", null)).types
 
     override fun rent(request: RentalRequest): RentalOutcome {
         val reply = call("POST", "/machines", WireJson.encodeToString(request))
@@ -56,15 +66,15 @@
     }
 
     override fun delete(machines: List<MachineId>) {
-        ask("POST", "/machines/delete", WireJson.encodeToString(MachineNames(machines)))
+        callSuccessfully("POST", "/machines/delete", WireJson.encodeToString(MachineNames(machines)))
     }
 
     override fun list(after: MachineId?): MachinePage {
         val from = after?.let { "&from=" + URLEncoder.encode(it.text, Charsets.UTF_8) } ?: ""
-        return decode(ask("GET", "/machines?page=${Cloud.MAX_PER_PAGE}$from", null))
+        return decode(callSuccessfully("GET", "/machines?page=${Cloud.MAX_PER_PAGE}$from", null))
     }
 
-    private fun ask(method: String, path: String, body: String?): Reply {
+    private fun callSuccessfully(method: String, path: String, body: String?): Reply {
         val reply = call(method, path, body)
         if (!reply.ok) throw CloudException("$path: status ${reply.status}", mayBeCarriedOut = false)
         return reply
--- a/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
+++ b/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
@@ -1,36 +1,36 @@
 package mountmast.transport
 
 /**
- * How a node's sockets are shared out. Every worker and many users keep a connection open to the leader, so most are for
- * what comes in; the rest stay free for peers, the state service, the cloud and direct commands, so that a flood from
- * outside never keeps a leader from renewing.
+ * How a node divides its connections. Every worker and many users keep a connection open to the leader, so most are for inbound
+ * requests. The rest stays free for peers, the state service, the cloud and direct commands, so that a flood from outside never keeps
+ * a leader from renewing its lease.
  */
 data class ConnectionBudget(
-    /** Connections taken in at most; more are refused by closing them. */
+    /** The most inbound connections; further ones are closed at once. */
     val accepted: Int,
     /** Connections kept open between requests: closing those of workers only makes them connect again. */
     val idle: Int,
-    /** Requests that wait for a thread at most. */
+    /** The most requests that wait for a thread. */
     val waiting: Int,
-    /** Commands sent to workers at once. */
+    /** Number of threads that deliver commands to workers, each over one connection. */
     val deliveryThreads: Int,
 ) {
     companion object {
-        /** The shares of [most] sockets. */
-        fun of(most: Int): ConnectionBudget {
-            val own = maxOf(minOf(MIN_OWN, most / 2), most / OWN_SHARE)
-            val accepted = most - own
+        /** Divides [total] connections. */
+        fun of(total: Int): ConnectionBudget {
+            val outbound = maxOf(minOf(MIN_OUTBOUND, total / 2), total / OUTBOUND_DIVISOR)
+            val accepted = total - outbound
             return ConnectionBudget(
                 accepted,
                 accepted,
-                (most / WAITING_SHARE).coerceIn(MIN_WAITING, MAX_WAITING),
-                (most / CONNECTIONS_PER_DELIVERY_THREAD).coerceIn(MIN_DELIVERY_THREADS, MAX_DELIVERY_THREADS),
+                (total / WAITING_DIVISOR).coerceIn(MIN_WAITING, MAX_WAITING),
+                (total / CONNECTIONS_PER_DELIVERY_THREAD).coerceIn(MIN_DELIVERY_THREADS, MAX_DELIVERY_THREADS),
             )
         }
 
-        private const val MIN_OWN = 64
-        private const val OWN_SHARE = 10
-        private const val WAITING_SHARE = 4
+        private const val MIN_OUTBOUND = 64
+        private const val OUTBOUND_DIVISOR = 10
+        private const val WAITING_DIVISOR = 4
         private const val MIN_WAITING = 64
         private const val MAX_WAITING = 4096
         private const val CONNECTIONS_PER_DELIVERY_THREAD = 150
--- a/src/main/kotlin/mountmast/transport/HttpCaller.kt
+++ b/src/main/kotlin/mountmast/transport/HttpCaller.kt
@@ -7,23 +7,28 @@
 import java.net.NoRouteToHostException
 import java.net.URI
 
-/** No answer came. [mayBeCarriedOut] is false only where the request certainly never left this node. */
+/** A call that got no answer. [mayBeCarriedOut] is false only if the request certainly never left this node. */
 class NoAnswerException(message: String, val mayBeCarriedOut: Boolean) : IOException(message)
 
 /** Status and body of an answer. */
 class Reply(val status: Int, val bytes: ByteArray) {
+    /** The body as text. */
     val text: String get() = bytes.decodeToString()
+
+    /** Whether the status is 200. */
     val ok: Boolean get() = status == HttpURLConnection.HTTP_OK
 }
 
 /**
- * Calls another host and waits for its answer, with a deadline.
+ * Calls another host and waits for its answer, with a deadline. Thread-safe.
+ *
+ * http4k's own clients turn both a refused connection and a silent server into a status. Callers must distinguish requests that may
+ * have been executed from those that were not, so this uses the JDK's client directly.
  *
- * http4k's own clients fold a refused connection and a silent server into a status; what may have been
- * carried out has to be told apart from what was not, so this uses the JDK's client directly.
+ * @property connectMs the most milliseconds to wait for a connection
  */
 class HttpCaller(private val connectMs: Int = 1000) {
-    /** Calls [to] and waits up to [waitMs] for each part of the answer. Throws [NoAnswerException] where none came. */
+    /** Calls [to] and waits up to [waitMs] milliseconds for each part of the answer. Throws a [NoAnswerException] if none came. */
     fun call(
         to: InetSocketAddress,
         method: String,
@@ -33,7 +38,7 @@
         contentType: String = "application/json",
     ): Reply {
         val connection = prepare(URI.create("http://${to.hostString}:${to.port}$path"), method, waitMs)
-        if (body != null) connection.announce(body, contentType)
+        if (body != null) connection.prepareBody(body, contentType)
         connect(connection, to)
         try {
             if (body != null) connection.outputStream.use { it.write(body) }
@@ -57,7 +62,7 @@
         return connection
     }
 
-    private fun HttpURLConnection.announce(body: ByteArray, contentType: String) {
+    private fun HttpURLConnection.prepareBody(body: ByteArray, contentType: String) {
         doOutput = true
         setRequestProperty("Content-Type", contentType)
         setFixedLengthStreamingMode(body.size)
--- a/src/main/kotlin/mountmast/transport/HttpMessages.kt
+++ b/src/main/kotlin/mountmast/transport/HttpMessages.kt
@@ -15,20 +15,20 @@
 
 private val log = LoggerFactory.getLogger("mountmast.transport")
 
-/** Largest request body. */
+/** The largest body of a user's or worker's request. */
 const val MAX_BODY_BYTES = 64 * 1024
 
-/** Largest body between nodes: a relayed request and all that is around it. */
+/** The largest body between nodes: a forwarded request with its envelope. */
 private const val MAX_PEER_BODY_BYTES = 4 * MAX_BODY_BYTES
 
 /** From here on a request or call counts as slow: half of what users at large sites wait for a submission. */
 internal const val SLOW_MS = 100
 internal const val NANOS_PER_MS = 1_000_000L
 
-/** The JSON body of a refusal. */
+/** Returns the JSON body of an error response that says [why]. */
 fun errorBody(why: String): String = WireJson.encodeToString(ErrorResponse(why))
 
-/** Turns whatever a handler throws into an answer: no request may end a thread. */
+/** Turns every exception of [handler] into an answer: no request may end a thread. */
 @Suppress("TooGenericExceptionCaught") // The last resort for faults in handlers, which are logged.
 internal fun guarded(handler: HttpHandler): HttpHandler = { request ->
     try {
@@ -43,7 +43,7 @@
     }
 }
 
-/** Tells at `debug` which requests took long, and how long. */
+/** Logs requests that took long at `debug`. */
 internal fun timed(handler: HttpHandler): HttpHandler = { request ->
     val began = System.nanoTime()
     val response = handler(request)
@@ -52,30 +52,30 @@
     response
 }
 
-/** Answers by [answer], or refuses every method but [allowed]. */
+/** Returns [answer] for the method [allowed], and 405 for every other. */
 internal inline fun Request.only(allowed: Method, answer: () -> Response): Response =
     if (method == allowed) answer() else json(405, errorBody("method not allowed")).header("Allow", allowed.name)
 
-/** The body of a request between nodes, cut off at its bound. */
+/** Returns the body of a request between nodes, truncated at the largest size. */
 internal fun Request.bytes(): ByteArray = body.stream.readNBytes(MAX_PEER_BODY_BYTES)
 
-/** The body, or null where it is larger than [MAX_BODY_BYTES]. */
+/** Returns the body, or null if it is larger than [MAX_BODY_BYTES]. */
 internal fun Request.boundedBody(): String? {
     val bytes = body.stream.readNBytes(MAX_BODY_BYTES + 1)
     return if (bytes.size > MAX_BODY_BYTES) null else bytes.decodeToString()
 }
 
-/** This answer as HTTP. */
+/** Converts this answer to HTTP. */
 internal fun UserAnswer.toResponse() = json(status, body, retryAfterS)
 
-/** An answer in JSON; with [retryAfterS] above 0 it says when to come back. */
+/** Returns a response in JSON, with a `Retry-After` if [retryAfterS] is above 0. */
 internal fun json(status: Int, body: String, retryAfterS: Int = 0): Response {
     val response = Response(Status(status, null)).header("Content-Type", "application/json").body(body)
     return if (retryAfterS > 0) response.header("Retry-After", retryAfterS.toString()) else response
 }
 
-/** A successful answer in plain text. */
+/** Returns a successful response in plain text. */
 internal fun text(body: String) = Response(Status.OK).header("Content-Type", "text/plain; version=0.0.4").body(body)
 
-/** A successful answer in protobuf. */
+/** Returns a successful response in protobuf. */
 internal fun protobuf(bytes: ByteArray) = Response(Status.OK).header("Content-Type", "application/x-protobuf").body(MemoryBody(bytes))
--- a/src/main/kotlin/mountmast/transport/Metrics.kt
+++ b/src/main/kotlin/mountmast/transport/Metrics.kt
@@ -4,61 +4,61 @@
 import java.util.concurrent.atomic.AtomicLong
 import java.util.concurrent.atomic.LongAdder
 
-/** A number that only rises. Thread-safe; adding takes no lock. */
+/** A counter that only rises. Thread-safe and lock-free. */
 class Counter {
     private val sum = LongAdder()
 
-    /** How much was added so far. */
+    /** The present count. */
     val value: Long get() = sum.sum()
 
     /** Adds [count]. */
     fun add(count: Long = 1) = sum.add(count)
 }
 
-/** Durations: their number, their sum, and the longest since it was last taken. Thread-safe; noting one takes no lock. */
+/** Durations: their number, their sum, and the longest since it was last read. Thread-safe and lock-free. */
 class Timing {
-    private val noted = LongAdder()
+    private val recorded = LongAdder()
     private val sum = LongAdder()
     private val longest = AtomicLong()
 
-    /** How many durations were noted so far. */
-    val count: Long get() = noted.sum()
+    /** How many durations were recorded. */
+    val count: Long get() = recorded.sum()
 
-    /** All of them together. */
+    /** Sum of all recorded durations in milliseconds. */
     val sumMs: Long get() = sum.sum()
 
-    /** Notes a duration. */
+    /** Records a duration of [ms] milliseconds. */
     fun note(ms: Long) {
-        noted.add(1)
+        recorded.add(1)
         sum.add(ms)
         if (ms > longest.get()) longest.accumulateAndGet(ms, ::maxOf)
     }
 
-    /** The longest duration since the call before. */
+    /** Returns the longest duration since the previous call, in milliseconds. */
     fun takeLongestMs(): Long = longest.getAndSet(0)
 }
 
-/** What one process counts of its own work, by name, for the operators' page and the summary in the log. Thread-safe. */
+/** The metrics of one process by name, for `GET /metrics` and the summary in the log. Thread-safe. */
 class Metrics {
     private val counters = ConcurrentHashMap<String, Counter>()
     private val timings = ConcurrentHashMap<String, Timing>()
     private val gauges = ConcurrentHashMap<String, () -> Number>()
 
-    /** The counter of this [name]. */
+    /** Returns the counter [name]. */
     fun counter(name: String): Counter = counters.computeIfAbsent(name) { Counter() }
 
-    /** The durations of this [name]. */
+    /** Returns the durations [name]. */
     fun timing(name: String): Timing = timings.computeIfAbsent(name) { Timing() }
 
-    /** Has [read] asked whenever the value of [name] is wanted; a later one takes the place of an earlier one. */
+    /** Registers [read] as the source of the gauge [name], in place of an earlier one. */
     fun gauge(name: String, read: () -> Number) {
         gauges[name] = read
     }
 
-    /** The present value of the gauge [name], or 0 where there is none. */
+    /** Returns the present value of the gauge [name], or 0 if there is none. */
     fun gaugeValue(name: String): Long = gauges[name]?.invoke()?.toLong() ?: 0
 
-    /** All values, one a line, in the usual text format for metrics. */
+    /** Returns all values, one a line, in the text exposition format. */
     fun render(): String = buildString {
         for ((name, counter) in counters.toSortedMap()) line("${name}_total", counter.value)
         for ((name, timing) in timings.toSortedMap()) {
@@ -75,7 +75,7 @@
     }
 }
 
-/** Names of the metrics that more than one place needs. */
+/** Names of the metrics that more than one place uses. They are what operators know, and stay when names in the code change. */
 object MetricNames {
     const val HEARTBEATS_ANSWERED = "reports_answered"
     const val HEARTBEATS_REFUSED = "reports_refused"
--- a/src/main/kotlin/mountmast/transport/PeerClient.kt
+++ b/src/main/kotlin/mountmast/transport/PeerClient.kt
@@ -12,20 +12,27 @@
 
 private val log = LoggerFactory.getLogger("mountmast.peers")
 
-/** The other controller nodes. Calls return null where no sensible answer came. */
+/** Calls to the other controller nodes. Each returns null if no well-formed answer came. Thread-safe. */
 interface PeerClient {
+    /** Sends [heartbeat] and returns that of the other node. */
     fun exchangeHeartbeats(to: Member, heartbeat: PeerHeartbeat): PeerHeartbeat?
+
+    /** Has the other node serve a user's request. */
     fun forward(to: Member, request: ForwardedRequest): ForwardedResponse?
 }
 
-/** Peers over HTTP, in protobuf. */
+/** Calls to the other controller nodes over HTTP, in protobuf. */
 @OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
 class HttpPeerClient(private val caller: HttpCaller = HttpCaller(connectMs = 500)) : PeerClient {
     override fun exchangeHeartbeats(to: Member, heartbeat: PeerHeartbeat): PeerHeartbeat? =
-        call(to, PeerPaths.HEARTBEAT, ProtoBuf.encodeToByteArray(heartbeat), HEARTBEAT_TIMEOUT_MS) { ProtoBuf.decodeFromByteArray<PeerHeartbeat>(it) }
+        call(to, PeerPaths.HEARTBEAT, ProtoBuf.encodeToByteArray(heartbeat), HEARTBEAT_TIMEOUT_MS) { answer ->
+            ProtoBuf.decodeFromByteArray<PeerHeartbeat>(answer)
+        }
 
     override fun forward(to: Member, request: ForwardedRequest): ForwardedResponse? =
-        call(to, PeerPaths.FORWARD, ProtoBuf.encodeToByteArray(request), FORWARD_TIMEOUT_MS) { ProtoBuf.decodeFromByteArray<ForwardedResponse>(it) }
+        call(to, PeerPaths.FORWARD, ProtoBuf.encodeToByteArray(request), FORWARD_TIMEOUT_MS) { answer ->
+            ProtoBuf.decodeFromByteArray<ForwardedResponse>(answer)
+        }
 
     private fun <T> call(to: Member, path: String, body: ByteArray, waitMs: Int, decode: (ByteArray) -> T): T? = try {
         caller.call(to.endpoint, "POST", path, body, waitMs, "application/x-protobuf").takeIf { it.ok }?.let { decode(it.bytes) }
--- a/src/main/kotlin/mountmast/transport/PeerPaths.kt
+++ b/src/main/kotlin/mountmast/transport/PeerPaths.kt
@@ -1,6 +1,6 @@
 package mountmast.transport
 
-/** Names of the routes between controller nodes; they are the contract between versions. */
+/** Paths of the routes between controller nodes. They are part of the contract between versions. */
 object PeerPaths {
     const val HEARTBEAT = "/peer/hello"
     const val FORWARD = "/peer/relay"
--- a/src/main/kotlin/mountmast/transport/PeerRoutes.kt
+++ b/src/main/kotlin/mountmast/transport/PeerRoutes.kt
@@ -8,7 +8,7 @@
 import mountmast.protocol.PeerHeartbeat
 import org.http4k.core.HttpHandler
 
-/** Everything served to the other controller nodes. */
+/** Returns the handler of all that is served to the other controller nodes. */
 @OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
 fun peerRoutes(users: UserService, peers: PeerService): HttpHandler = guarded { request ->
     when (request.uri.path) {
@@ -17,11 +17,11 @@
             protobuf(ProtoBuf.encodeToByteArray(peers.onPeerHeartbeat(peerHeartbeat)))
         }
         PeerPaths.FORWARD -> {
-            val isForwarded = ProtoBuf.decodeFromByteArray<ForwardedRequest>(request.bytes())
-            val id = isForwarded.path.removePrefix("$JOBS_PATH/")
+            val forwarded = ProtoBuf.decodeFromByteArray<ForwardedRequest>(request.bytes())
+            val id = forwarded.path.removePrefix("$JOBS_PATH/")
             val answer = when {
-                isForwarded.path == JOBS_PATH -> users.submit(isForwarded.body, isForwarded = true)
-                isForwarded.method == "POST" -> users.cancel(id.removeSuffix(CANCEL_SUFFIX), isForwarded = true)
+                forwarded.path == JOBS_PATH -> users.submit(forwarded.body, isForwarded = true)
+                forwarded.method == "POST" -> users.cancel(id.removeSuffix(CANCEL_SUFFIX), isForwarded = true)
                 else -> users.status(id, isForwarded = true)
             }
             protobuf(ProtoBuf.encodeToByteArray(ForwardedResponse(answer.status, answer.body, answer.retryAfterS)))
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -16,25 +16,25 @@
 /** Path of submissions; a job has its own path below. */
 internal const val JOBS_PATH = "/v1/jobs"
 
-/** Path of workers' reports. */
+/** Path of workers' heartbeats. */
 internal const val HEARTBEAT_PATH = "/agent/beat"
 
 /** Path of the metrics. */
 internal const val METRICS_PATH = "/metrics"
 
-/** Ends the path that cancels a job. */
+/** Suffix of the path that cancels a job. */
 internal const val CANCEL_SUFFIX = "/cancel"
 
-/** Everything served to users, workers and health checks. */
-fun publicRoutes(users: UserService, beats: HeartbeatService, admission: AdmissionLimits, metrics: Metrics = Metrics()): HttpHandler {
+/** Returns the handler of all that is served to users, workers and health checks. */
+fun publicRoutes(users: UserService, heartbeats: HeartbeatService, admission: AdmissionLimits, metrics: Metrics = Metrics()): HttpHandler {
     val answeredHeartbeats = metrics.counter(MetricNames.HEARTBEATS_ANSWERED)
-    return timed(guarded { request -> route(request, users, beats, admission, metrics, answeredHeartbeats) })
+    return timed(guarded { request -> route(request, users, heartbeats, admission, metrics, answeredHeartbeats) })
 }
 
 private fun route(
     request: Request,
     users: UserService,
-    beats: HeartbeatService,
+    heartbeats: HeartbeatService,
     admission: AdmissionLimits,
     metrics: Metrics,
     answeredHeartbeats: Counter,
@@ -43,7 +43,7 @@
     return when {
         path == HEARTBEAT_PATH -> request.only(Method.POST) {
             answeredHeartbeats.add()
-            onHeartbeat(request, beats)
+            onHeartbeat(request, heartbeats)
         }
         path == "/ready" -> request.only(Method.GET) {
             if (users.ready()) json(200, "ready") else json(503, "not ready", retryAfterS = 1)
@@ -63,7 +63,7 @@
     }
 }
 
-private fun onHeartbeat(request: Request, beats: HeartbeatService): Response {
+private fun onHeartbeat(request: Request, heartbeats: HeartbeatService): Response {
     val body = request.boundedBody() ?: return json(400, errorBody("body: over 64 KiB"))
     val heartbeat = try {
         WireJson.decodeFromString<Heartbeat>(body)
@@ -71,7 +71,7 @@
         log.warn("malformed report: {}", e.message?.lineSequence()?.firstOrNull())
         return json(400, errorBody("malformed report"))
     }
-    return when (val outcome = beats.onHeartbeat(heartbeat)) {
+    return when (val outcome = heartbeats.onHeartbeat(heartbeat)) {
         is HeartbeatOutcome.Accepted -> json(200, WireJson.encodeToString(outcome.answer))
         is HeartbeatOutcome.Elsewhere -> json(421, WireJson.encodeToString(Redirect(outcome.node)))
     }
--- a/src/main/kotlin/mountmast/transport/WorkerClient.kt
+++ b/src/main/kotlin/mountmast/transport/WorkerClient.kt
@@ -7,26 +7,28 @@
 import mountmast.protocol.WireJson
 import java.net.InetSocketAddress
 
-/** What became of commands sent to a worker. */
+/** The outcome of commands that were sent to a worker. */
 sealed interface CommandOutcome {
+    /** They were executed; [heartbeat] is the worker's answer. */
     data class Executed(val heartbeat: Heartbeat) : CommandOutcome
 
-    /** Nothing was executed: a higher token, or another session. */
+    /** None was executed: the worker has seen a higher token, or is of another incarnation. */
     data class Rejected(val heartbeat: Heartbeat) : CommandOutcome
 
     /** The request never left this node. */
     data object NotSent : CommandOutcome
 
-    /** They may be executed now, later, or never. */
+    /** They may have been executed, may be executed later, or never. */
     data object Unknown : CommandOutcome
 }
 
-/** Direct commands to workers. */
+/** Sends commands directly to workers. Thread-safe. */
 fun interface WorkerClient {
+    /** Sends [message] to the worker at [address], which is `HOST:PORT`. */
     fun send(address: String, message: CommandRequest): CommandOutcome
 }
 
-/** Workers over HTTP. */
+/** Sends commands to workers over HTTP. */
 class HttpWorkerClient(private val caller: HttpCaller = HttpCaller(connectMs = 700)) : WorkerClient {
     override fun send(address: String, message: CommandRequest): CommandOutcome {
         val to = parse(address) ?: return CommandOutcome.NotSent
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/Network.kt
@@ -111,7 +111,9 @@
     }
 
     private fun noteStarts(commands: List<WorkerCommand>) {
-        for (send in commands) if (send.type == CommandType.START) TaskId.parse(send.task)?.let { world.rules.startCommanded(it.job, time.now) }
+        for (command in commands) {
+            if (command.type == CommandType.START) TaskId.parse(command.task)?.let { world.rules.startCommanded(it.job, time.now) }
+        }
     }
 
     /** The other controllers as the process that [trouble] ails reaches them. */
@@ -149,7 +151,8 @@
                 else -> users.status(id, isForwarded = true)
             }
             time.record { "relay ${seat.number} ${peer.number} answered ${answer.status} ${answer.retryAfterS} ${answer.body}" }
-            return seat.version.forwardedResponse(peer.version.forwardedResponse(ForwardedResponse(answer.status, answer.body, answer.retryAfterS)))
+            val response = ForwardedResponse(answer.status, answer.body, answer.retryAfterS)
+            return seat.version.forwardedResponse(peer.version.forwardedResponse(response))
         }
     }
 
--- a/src/test/kotlin/mountmast/standin/Users.kt
+++ b/src/test/kotlin/mountmast/standin/Users.kt
@@ -56,7 +56,9 @@
         jobs[spec.id] = spec
         rules.submitting(spec, time.now)
         val answer =
-            ask("submit", spec.id, SUBMIT_WAITS_MS, at) { it.users.submit(WireJson.encodeToString(spec), isForwarded = false) } ?: return null
+            ask("submit", spec.id, SUBMIT_WAITS_MS, at) {
+                it.users.submit(WireJson.encodeToString(spec), isForwarded = false)
+            } ?: return null
         rules.submissionAnswered(spec.id, answer.status)
         if (answer.status in 200..201) accepted += spec.id
         answer.state()?.let { rules.statusAnswered(spec.id, answer.status, it, time.now) }
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/World.kt
@@ -95,7 +95,8 @@
         change(
             drawn.copy(
                 team = TeamId("red"), shape = Shape.ARRAY, urgency = Urgency.NORMAL, tasks = 4, cpus = 2.0, memoryGb = 4.0, types = null,
-                zone = null, singleZone = false, spreadAcrossZones = false, spotAllowed = true, estimateS = 3.0, checkpointEveryS = 0.0, checkpointSaveS = 0.0,
+                zone = null, singleZone = false, spreadAcrossZones = false, spotAllowed = true, estimateS = 3.0,
+                checkpointEveryS = 0.0, checkpointSaveS = 0.0,
             ),
         )
     }
