--- a/src/main/kotlin/mountmast/storage/JournalText.kt
+++ b/src/main/kotlin/mountmast/storage/JournalText.kt
@@ -8,7 +8,7 @@
 import mountmast.protocol.Zone
 import java.util.BitSet
 
-/** How a task came off its machine. The marks are the contract between versions, see [JournalText]. */
+/** How an attempt at a task ended. The marks are part of the contract between versions, see [JournalText]. */
 enum class TaskEnd(val mark: Char) {
     /** It completed. */
     DONE('!'),
@@ -16,34 +16,45 @@
     /** It has to run again. */
     UNDONE('-'),
 
-    /** It has to run again, since it gave way to another. */
+    /** It has to run again, since it was preempted. */
     PREEMPTED('~'),
 }
 
-/** Takes in what a journal or snapshot says, entry by entry, in the order in which it happened. */
+/** Receives the entries of a journal or snapshot in the order in which they were written. */
 interface JournalReader {
+    /** The tasks of [job] in [ranges], in the form of [Ranges], are done. */
     fun done(job: JobId, ranges: String)
+
+    /** [task] was preempted [times] times. */
     fun preemptedBefore(task: TaskId, times: Int)
+
+    /** [task] was assigned to [machine], so that it may run there. */
     fun started(task: TaskId, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone)
+
+    /** The latest attempt at [task] has ended. */
     fun ended(task: TaskId, end: TaskEnd)
+
+    /** [machine] is reserved for [job], and [victims] are stopped for that. */
     fun reserved(machine: MachineId, job: JobId, victims: List<TaskId>)
 }
 
 /**
- * Changes of what tasks are where, as text: one record holds hundreds of them, since the state service counts writes,
- * not bytes. Entries end with a semicolon; names of machines and zones never hold one (see [MachineId]).
+ * Changes of assignments as text: one record holds hundreds of them, since the state service counts writes, not bytes. Entries end
+ * with a semicolon, which names of machines and zones never contain (see [MachineId]). Not thread-safe.
  *
- * The marks, the separators and the order of an entry's fields are the contract between versions: a version skips entries
+ * The marks, the separators and the order of an entry's fields are part of the contract between versions: a version skips entries
  * with a mark that it does not know, and would lose what they say.
  */
 class JournalText {
     private val text = StringBuilder()
+
+    /** Characters so far. */
     val length: Int get() = text.length
 
     fun done(job: JobId, ranges: String) = entry(DONE).append(job.text).append(FIELD_END).append(ranges).append(ENTRY_END).done()
 
     fun preemptedBefore(task: String, times: Int) =
-        entry(EVICTED_BEFORE).append(task).append(FIELD_END).append(times).append(ENTRY_END).done()
+        entry(PREEMPTED_BEFORE).append(task).append(FIELD_END).append(times).append(ENTRY_END).done()
 
     fun started(task: String, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone) =
         entry(STARTED).append(task).append(FIELD_END).append(machine.text).append(FIELD_END).append(incarnation.number.toString())
@@ -61,19 +72,19 @@
 
     private fun StringBuilder.done() = Unit
 
-    /** The text so far; begins anew. */
+    /** Returns the text so far and begins a new one. */
     fun take(): String = text.toString().also { text.setLength(0) }
 
     companion object {
         private const val DONE = '='
-        private const val EVICTED_BEFORE = '%'
+        private const val PREEMPTED_BEFORE = '%'
         private const val STARTED = '+'
         private const val RESERVED = 'x'
         private const val FIELD_END = ' '
         private const val ENTRY_END = ';'
         private const val STARTED_FIELDS = 5
 
-        /** Tells [reader] what [text] holds; returns how many entries could not be read. */
+        /** Passes the entries of [text] to [reader]; returns how many could not be read. */
         fun read(text: String, reader: JournalReader): Int {
             var unreadable = 0
             var from = 0
@@ -95,7 +106,7 @@
             if (fields.size < 2) return false
             when (mark) {
                 DONE -> reader.done(JobId.parse(fields[0]) ?: return false, fields[1])
-                EVICTED_BEFORE -> reader.preemptedBefore(TaskId.parse(fields[0]) ?: return false, fields[1].toIntOrNull() ?: return false)
+                PREEMPTED_BEFORE -> reader.preemptedBefore(TaskId.parse(fields[0]) ?: return false, fields[1].toIntOrNull() ?: return false)
                 RESERVED -> reader.reserved(
                     MachineId(fields[0]),
                     JobId.parse(fields[1]) ?: return false,
@@ -118,10 +129,10 @@
     }
 }
 
-/** Sets of task numbers written as ranges: `0-4,7`. The form is the contract between versions, as it is in the journal. */
+/** Sets of task numbers written as ranges, such as `0-4,7`. The form is part of the contract between versions, as it is in the journal. */
 object Ranges {
-    /** Ranges of [set], in texts of at most about [mostLength] characters. */
-    fun encode(set: BitSet, mostLength: Int): List<String> {
+    /** Returns the ranges of [set] in texts of about [maxLength] characters at most. */
+    fun encode(set: BitSet, maxLength: Int): List<String> {
         val texts = ArrayList<String>()
         val text = StringBuilder()
         var start = set.nextSetBit(0)
@@ -130,7 +141,7 @@
             if (text.isNotEmpty()) text.append(',')
             text.append(start)
             if (end > start) text.append('-').append(end)
-            if (text.length >= mostLength) {
+            if (text.length >= maxLength) {
                 texts += text.toString()
                 text.setLength(0)
             }
@@ -140,7 +151,7 @@
         return texts
     }
 
-    /** Sets in [set] what [text] names within [size]; false where it cannot be read. */
+    /** Sets the bits that [text] names in [set]; returns false if it is malformed or names a number outside 0 until [size]. */
     fun decodeInto(text: String, set: BitSet, size: Int): Boolean {
         for (part in text.split(',')) {
             val first = part.substringBefore('-').toIntOrNull() ?: return false
--- a/src/test/kotlin/mountmast/transport/BoundedServerTest.kt
+++ b/src/test/kotlin/mountmast/transport/BoundedServerTest.kt
@@ -55,7 +55,7 @@
     }
 
     @Test
-    fun `a lane that is full refuses at once with a time to come back, and keeps nobody else from being served`() {
+    fun `a bulkhead that is full refuses at once with a time to come back, and keeps nobody else from being served`() {
         val entered = CountDownLatch(1)
         val release = CountDownLatch(1)
         var queued = { 0 }
--- a/src/test/kotlin/mountmast/transport/RoutesTest.kt
+++ b/src/test/kotlin/mountmast/transport/RoutesTest.kt
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `reports are answered, redirected, or refused where they make no sense`() {
+    fun `heartbeats are answered, redirected, or refused if malformed`() {
         assertEquals("""{"helm":7,"orders":[]}""", call(Method.POST, "/agent/beat", heartbeat("vm-1")).bodyString())
         val elsewhere = call(Method.POST, "/agent/beat", heartbeat("vm-2"))
         assertEquals(421 to """{"bridge":"n-2"}""", elsewhere.status.code to elsewhere.bodyString())
