--- /dev/null
+++ b/src/main/kotlin/mountmast/protocol/JobFields.kt
@@ -0,0 +1,81 @@
+package mountmast.protocol
+
+import kotlinx.serialization.json.JsonArray
+import kotlinx.serialization.json.JsonElement
+import kotlinx.serialization.json.JsonNull
+import kotlinx.serialization.json.JsonObject
+import kotlinx.serialization.json.JsonPrimitive
+
+/**
+ * The fields of a submission. Each function throws [Malformed] with the name of the field if it is invalid, and, unless its name or
+ * its result says otherwise, if it is missing or null.
+ */
+internal class JobFields(private val body: JsonObject) {
+    fun string(name: String): String = string(required(name), name)
+
+    /** Returns the texts in the list [name], or null if it is missing. */
+    fun strings(name: String): List<String>? {
+        val list = optional(name) ?: return null
+        if (list !is JsonArray) throw Malformed("$name: not a list")
+        return list.map { string(it, name) }
+    }
+
+    fun optionalZone(name: String): Zone? {
+        val text = string(optional(name) ?: return null, name)
+        return try {
+            Zone(text)
+        } catch (e: IllegalArgumentException) {
+            throw Malformed("$name: not a zone's name")
+        }
+    }
+
+    /** Returns a number from 0 to [MAX_AMOUNT]. */
+    fun amount(name: String): Double = amount(required(name), name)
+
+    fun optionalAmount(name: String): Double? = optional(name)?.let { amount(it, name) }
+
+    /** Returns a whole number from 1 to [maximum]. */
+    fun count(name: String, maximum: Int): Int {
+        val value = number(required(name), name).content.toIntOrNull() ?: throw Malformed("$name: not a count")
+        if (value !in 1..maximum) throw Malformed("$name: out of range")
+        return value
+    }
+
+    fun flag(name: String): Boolean {
+        val value = required(name) as? JsonPrimitive
+        if (value == null || value.isString) throw Malformed("$name: not true or false")
+        return value.content.toBooleanStrictOrNull() ?: throw Malformed("$name: not true or false")
+    }
+
+    /** Returns the one of [values] that the text [name] names. */
+    fun <T> choice(name: String, values: Map<String, T>): T = values[string(name)] ?: throw Malformed("$name: unknown value")
+
+    private fun optional(name: String): JsonElement? = body[name]?.takeUnless { it is JsonNull }
+
+    private fun required(name: String): JsonElement = optional(name) ?: throw Malformed("$name: missing")
+
+    private fun string(element: JsonElement, name: String): String {
+        val value = element as? JsonPrimitive
+        if (value == null || !value.isString) throw Malformed("$name: not a string")
+        if (value.content.isEmpty() || value.content.length > LONGEST_NAME) throw Malformed("$name: empty or too long")
+        return value.content
+    }
+
+    private fun amount(element: JsonElement, name: String): Double {
+        val value = number(element, name).content.toDoubleOrNull() ?: throw Malformed("$name: not a number")
+        if (!value.isFinite() || value < 0 || value > MAX_AMOUNT) throw Malformed("$name: out of range")
+        return value
+    }
+
+    private fun number(element: JsonElement, name: String): JsonPrimitive {
+        val value = element as? JsonPrimitive
+        if (value == null || value.isString || !NUMBER.matches(value.content)) throw Malformed("$name: not a number")
+        return value
+    }
+
+    private companion object {
+        const val MAX_AMOUNT = 1e9
+        const val LONGEST_NAME = 200
+        val NUMBER = Regex("-?[0-9]+(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
+    }
+}
--- a/src/main/kotlin/mountmast/protocol/JobValidation.kt
+++ b/src/main/kotlin/mountmast/protocol/JobValidation.kt
@@ -1,25 +1,29 @@
 package mountmast.protocol
 
 import kotlinx.serialization.SerializationException
-import kotlinx.serialization.json.JsonArray
-import kotlinx.serialization.json.JsonElement
-import kotlinx.serialization.json.JsonNull
 import kotlinx.serialization.json.JsonObject
-import kotlinx.serialization.json.JsonPrimitive
 
-/** A body that breaks the protocol; the message names the field. */
+/** A request body that violates the protocol. The message names the field. */
 class Malformed(message: String) : Exception(message)
 
-/** Reads a submission and says whether it can ever run. */
+/** Reads submissions and checks whether their jobs can ever run. */
 object JobValidation {
+    /** The most tasks of one job. */
     const val MAX_TASKS = 100_000
-    private const val MAX_AMOUNT = 1e9
-    private const val LONGEST_NAME = 200
     private const val PREREQUISITES = "waitsOn"
+    private val SHAPES = mapOf("array" to Shape.ARRAY, "daemon" to Shape.SERVICE)
+    private val URGENCIES = mapOf(
+        "prod" to Urgency.PRODUCTION,
+        "high" to Urgency.HIGH,
+        "normal" to Urgency.NORMAL,
+        "best_effort" to Urgency.BEST_EFFORT,
+    )
 
-    /** The id in a submission, read before anything else: a known job is answered whatever the rest says. */
-    fun idOf(body: JsonObject): JobId = JobId.parse(string(body, "nameId")) ?: throw Malformed("nameId: not a job id")
+    /** Returns the id in a submission. It is read before all else, since a known job is answered whatever the rest says. */
+    fun idOf(body: JsonObject): JobId =
+        JobId.parse(JobFields(body).string("nameId")) ?: throw Malformed("nameId: not a job id")
 
+    /** Returns the JSON object in [text]. Throws [Malformed] if it holds none. */
     fun parseObject(text: String): JsonObject {
         val element = try {
             WireJson.parseToJsonElement(text)
@@ -29,43 +33,39 @@
         return element as? JsonObject ?: throw Malformed("body: not an object")
     }
 
-    /** Reads a job; throws [Malformed] where a field is missing or invalid. */
-    fun parse(body: JsonObject): JobSpec = JobSpec(
-        id = idOf(body),
-        jobClass = string(body, "jobclass"),
-        team = TeamId(string(body, "owner")),
-        shape = choice(body, "shape", mapOf("array" to Shape.ARRAY, "daemon" to Shape.SERVICE)),
-        urgency = choice(
-            body,
-            "urgency",
-            mapOf(
-                "prod" to Urgency.PRODUCTION,
-                "high" to Urgency.HIGH,
-                "normal" to Urgency.NORMAL,
-                "best_effort" to Urgency.BEST_EFFORT,
-            ),
-        ),
-        tasks = count(body, "pieces"),
-        cpus = amount(body, "vcpus"),
-        gpus = amount(body, "cards"),
-        memoryGb = amount(body, "memGb"),
-        image = ImageId(string(body, "bundle")),
-        imageGb = amount(body, "sizeGb"),
-        types = strings(body, "hulls")?.map { TypeId(it) },
-        zone = optional(body, "yard")?.let { zone(string(it, "yard")) },
-        singleZone = flag(body, "together"),
-        spreadAcrossZones = flag(body, "scatter"),
-        spotAllowed = flag(body, "loaners"),
-        estimateS = amount(body, "expectedS"),
-        checkpointEveryS = amount(body, "markEveryS"),
-        checkpointSaveS = amount(body, "markCostS"),
-        deadlineS = optional(body, "dueS")?.let { amount(it, "dueS") },
-        prerequisites = strings(body, PREREQUISITES).orEmpty()
-            .map { JobId.parse(it) ?: throw Malformed("$PREREQUISITES: not a job id") }
-            .distinct(),
-    )
+    /** Reads a job. Throws [Malformed] if a field is missing or invalid. */
+    fun parse(body: JsonObject): JobSpec {
+        val fields = JobFields(body)
+        return JobSpec(
+            id = idOf(body),
+            jobClass = fields.string("jobclass"),
+            team = TeamId(fields.string("owner")),
+            shape = fields.choice("shape", SHAPES),
+            urgency = fields.choice("urgency", URGENCIES),
+            tasks = fields.count("pieces", MAX_TASKS),
+            cpus = fields.amount("vcpus"),
+            gpus = fields.amount("cards"),
+            memoryGb = fields.amount("memGb"),
+            image = ImageId(fields.string("bundle")),
+            imageGb = fields.amount("sizeGb"),
+            types = fields.strings("hulls")?.map { TypeId(it) },
+            zone = fields.optionalZone("yard"),
+            singleZone = fields.flag("together"),
+            spreadAcrossZones = fields.flag("scatter"),
+            spotAllowed = fields.flag("loaners"),
+            estimateS = fields.amount("expectedS"),
+            checkpointEveryS = fields.amount("markEveryS"),
+            checkpointSaveS = fields.amount("markCostS"),
+            deadlineS = fields.optionalAmount("dueS"),
+            prerequisites = prerequisites(fields),
+        )
+    }
 
-    /** Why [job] can never run, or null where it can. */
+    private fun prerequisites(fields: JobFields): List<JobId> = fields.strings(PREREQUISITES).orEmpty()
+        .map { JobId.parse(it) ?: throw Malformed("$PREREQUISITES: not a job id") }
+        .distinct()
+
+    /** Returns why [job] can never run, or null if it can. */
     fun neverRuns(job: JobSpec, teams: Map<TeamId, TeamQuota>, types: Collection<MachineType>): String? {
         if (job.id in job.prerequisites) return "the job waits on itself"
         val team = teams[job.team] ?: return "unknown team ${job.team}"
@@ -79,60 +79,4 @@
         if (!team.limitAllows(atOnce)) return "more than the limit of team ${job.team}"
         return null
     }
-
-    private fun optional(body: JsonObject, name: String): JsonElement? = body[name]?.takeUnless { it is JsonNull }
-
-    private fun required(body: JsonObject, name: String): JsonElement = optional(body, name) ?: throw Malformed("$name: missing")
-
-    private fun string(body: JsonObject, name: String) = string(required(body, name), name)
-
-    private fun string(element: JsonElement, name: String): String {
-        val value = element as? JsonPrimitive
-        if (value == null || !value.isString) throw Malformed("$name: not a string")
-        if (value.content.isEmpty() || value.content.length > LONGEST_NAME) throw Malformed("$name: empty or too long")
-        return value.content
-    }
-
-    private fun zone(name: String): Zone = try {
-        Zone(name)
-    } catch (e: IllegalArgumentException) {
-        throw Malformed("yard: not a zone's name")
-    }
-
-    private fun amount(body: JsonObject, name: String) = amount(required(body, name), name)
-
-    private fun amount(element: JsonElement, name: String): Double {
-        val value = number(element, name).content.toDoubleOrNull() ?: throw Malformed("$name: not a number")
-        if (!value.isFinite() || value < 0 || value > MAX_AMOUNT) throw Malformed("$name: out of range")
-        return value
-    }
-
-    private fun count(body: JsonObject, name: String): Int {
-        val value = number(required(body, name), name).content.toIntOrNull() ?: throw Malformed("$name: not a count")
-        if (value !in 1..MAX_TASKS) throw Malformed("$name: out of range")
-        return value
-    }
-
-    private fun number(element: JsonElement, name: String): JsonPrimitive {
-        val value = element as? JsonPrimitive
-        if (value == null || value.isString || !NUMBER.matches(value.content)) throw Malformed("$name: not a number")
-        return value
-    }
-
-    private fun flag(body: JsonObject, name: String): Boolean {
-        val value = required(body, name) as? JsonPrimitive
-        if (value == null || value.isString) throw Malformed("$name: not true or false")
-        return value.content.toBooleanStrictOrNull() ?: throw Malformed("$name: not true or false")
-    }
-
-    private fun strings(body: JsonObject, name: String): List<String>? {
-        val list = optional(body, name) ?: return null
-        if (list !is JsonArray) throw Malformed("$name: not a list")
-        return list.map { string(it, name) }
-    }
-
-    private fun <T> choice(body: JsonObject, name: String, values: Map<String, T>): T =
-        values[string(body, name)] ?: throw Malformed("$name: unknown value")
-
-    private val NUMBER = Regex("-?[0-9]+(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
 }
--- a/src/main/kotlin/mountmast/protocol/StateLimits.kt
+++ b/src/main/kotlin/mountmast/protocol/StateLimits.kt
@@ -1,22 +1,25 @@
 package mountmast.protocol
 
-/** What the state service takes at most. */
+/**
+ * The limits of the state service.
+ *
+ * @property writesPerSecond puts and deletes
+ * @property valueKb the largest value in KiB
+ * @property transactionOps the most puts and deletes in one transaction
+ */
 data class StateLimits(
     val requestsPerSecond: Double,
-    /** Puts and deletes. */
     val writesPerSecond: Double,
-    /** Largest value, in KiB. */
     val valueKb: Double,
-    /** Puts and deletes in one transaction. */
     val transactionOps: Int,
 ) {
-    /** Conditions in one transaction. */
+    /** The most compares in one transaction. */
     val transactionCompares: Int get() = transactionOps * COMPARES_PER_OP
 
-    /** Bytes of JSON that a value is filled up to: some room is left, since the state service may write it at greater length. */
+    /** Bytes of JSON up to which values are filled: less than the limit, since the state service may write them at greater length. */
     val valueBytes: Int get() = (valueKb * BYTES_PER_KB * FILLED_SHARE).toInt()
 
-    /** Each limit as low as the lower of the two has it. */
+    /** Returns the lower of each limit of this and [other]. */
     fun lowerOf(other: StateLimits) = StateLimits(
         requestsPerSecond = minOf(requestsPerSecond, other.requestsPerSecond),
         writesPerSecond = minOf(writesPerSecond, other.writesPerSecond),
@@ -25,13 +28,13 @@
     )
 
     companion object {
-        /** A transaction takes four times as many conditions as changes. */
+        /** A transaction takes four times as many compares as changes. */
         const val COMPARES_PER_OP = 4
 
         private const val BYTES_PER_KB = 1024
         private const val FILLED_SHARE = 0.95
 
-        /** A job that is over is moved: one put and one delete. */
+        /** A finished job is moved: one put and one delete. */
         const val MIN_TRANSACTION_OPS = 2
     }
 }
