--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/state/Assignment.kt
@@ -0,0 +1,133 @@
+package mountmast.coordination.state
+
+import mountmast.protocol.Attempt
+import mountmast.protocol.HeartbeatSequence
+import mountmast.protocol.MachineId
+import mountmast.protocol.MonotonicTime
+import mountmast.protocol.TaskState
+import mountmast.protocol.WorkerIncarnation
+import mountmast.protocol.Zone
+
+/** Where an attempt runs: a machine, the incarnation of its worker, and its zone. */
+data class Placement(val machine: MachineId, val incarnation: WorkerIncarnation, val zone: Zone)
+
+/** One attempt of a task on a machine, in one incarnation of its worker. Guarded as its [ClusterState] is. */
+class Assignment(
+    val job: Job,
+    val index: Int,
+    val placement: Placement,
+    val attempt: Attempt,
+    var phase: Phase,
+    val placedAt: MonotonicTime,
+) {
+    /** An assignment with its [Placement] in parts. */
+    constructor(
+        job: Job,
+        index: Int,
+        machine: MachineId,
+        incarnation: WorkerIncarnation,
+        attempt: Attempt,
+        zone: Zone,
+        phase: Phase,
+        placedAt: MonotonicTime,
+    ) : this(job, index, Placement(machine, incarnation, zone), attempt, phase, placedAt)
+
+    val machine: MachineId get() = placement.machine
+    val incarnation: WorkerIncarnation get() = placement.incarnation
+    val zone: Zone get() = placement.zone
+
+    /** The task's name as the worker writes it. */
+    val taskName = "${job.id}/$index"
+
+    /** What names the attempt to the worker. */
+    val key = taskName to attempt
+
+    /** The state in the last heartbeat that listed the attempt, or null before the first one. */
+    var reported: TaskState? = null
+
+    /** When the worker first reported it as running. */
+    var runningSince: MonotonicTime? = null
+
+    /** Set once the task is to be stopped: how long it may save its progress, in seconds. */
+    var terminationGraceS: Double? = null
+
+    /** Whether it ended by completing. */
+    var completed = false
+
+    /** Whether it is stopped to free its machine for another job. */
+    var preempted = false
+
+    /** Whether a transaction that lists it is on its way. */
+    var beingWritten = false
+
+    /** Whether a transaction that lists it was committed. */
+    var written = false
+
+    /** Whether it took far longer than others of its job elsewhere. */
+    var isStraggler = false
+
+    /** Direct requests with its start that wait for their answer. */
+    var deliveriesInFlight = 0
+
+    /** The latest heartbeat that was answered with its start; the next heartbeat shows whether that was executed. */
+    var startedInHeartbeat: HeartbeatSequence? = null
+
+    /** Records that a heartbeat that arrived at [now] lists the attempt in [state]. */
+    fun recordReported(state: TaskState, now: MonotonicTime) {
+        if (state == TaskState.RUNNING && runningSince == null) runningSince = now
+        reported = state
+    }
+
+    /** Stops the task and lets it save its progress, so that it goes on elsewhere. */
+    fun drain() {
+        terminationGraceS = job.spec.checkpointSaveS
+    }
+
+    /** Stops the task without time to save its progress. */
+    fun stopAtOnce() {
+        terminationGraceS = 0.0
+    }
+
+    /** Stops the task to free its machine for another job; one that is being stopped already keeps its grace period. */
+    fun preempt() {
+        terminationGraceS = terminationGraceS ?: job.spec.checkpointSaveS
+        preempted = true
+    }
+
+    /** Records that the transaction that lists the attempt is about to be sent. */
+    fun beginJournaling() {
+        beingWritten = true
+    }
+
+    /** Records that the transaction that lists the attempt came to nothing. */
+    fun abandonJournaling() {
+        beingWritten = false
+    }
+
+    /** Records that the transaction that lists the attempt was committed: unless it has ended meanwhile, its start may be sent. */
+    fun markJournaled() {
+        beingWritten = false
+        written = true
+        if (phase == Phase.INTENDED) phase = Phase.COMMITTED
+    }
+
+    /** Records that the answer to [heartbeat] carries the start. */
+    fun recordStartSent(heartbeat: HeartbeatSequence) {
+        startedInHeartbeat = heartbeat
+    }
+
+    /** Records that a heartbeat shows the start to have been executed. */
+    fun confirmStart() {
+        startedInHeartbeat = null
+    }
+
+    /** Records that a direct request with the start is on its way. */
+    fun beginDelivery() {
+        deliveriesInFlight++
+    }
+
+    /** Records that a direct request with the start was answered or given up. */
+    fun endDelivery() {
+        deliveriesInFlight--
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -73,7 +73,7 @@
         val job = jobs.getOrPut(record.spec.id) {
             Job(record.spec, record.submitted, modRevision).apply {
                 learnedAt = now
-                lastProgress = now
+                recordProgress(now)
             }
         }
         job.modRevision = modRevision
@@ -108,17 +108,14 @@
         val assignment = Assignment(
             job,
             index,
-            machine.id,
-            checkNotNull(machine.incarnation),
+            Placement(machine.id, checkNotNull(machine.incarnation), checkNotNull(machine.zone)),
             Attempt(++lastAttempt),
-            checkNotNull(machine.zone),
             Phase.INTENDED,
             now,
         )
         place(assignment, machine)
         machine.touchImage(job.spec.image, job.spec.imageGb, types[machine.type]?.cacheGb ?: 0.0)
-        job.lastProgress = now
-        job.lastStallReport = null
+        job.recordPlacement(now)
         pendingChanges += PendingChange.Started(assignment)
         return assignment
     }
@@ -133,6 +130,43 @@
         uses.merge(job.spec.team, job.perTask) { a, b -> a + b }
     }
 
+    /**
+     * Restores, as of [now], an assignment that the journal lists as started. Its machine is known by name from then on, and may
+     * have been heard and answered by an earlier leader until [now].
+     */
+    fun restoreAssignment(job: Job, index: Int, placement: Placement, attempt: Attempt, now: MonotonicTime) {
+        val machine = machines.getOrPut(placement.machine) {
+            Machine(placement.machine, null, null, false, MachineState.SILENT).apply { worker.assumeHeartbeat(now) }
+        }
+        val assignment = Assignment(job, index, placement, attempt, Phase.COMMITTED, now)
+        assignment.markJournaled()
+        if (job.cancelled) assignment.stopAtOnce()
+        place(assignment, machine)
+    }
+
+    /** Adds [machine], or puts it in the place of the one that was known only by its name, with the images recalled for it. */
+    fun putMachine(machine: Machine) {
+        recalledImages.remove(machine.id)?.let(machine::recallImages)
+        machines[machine.id] = machine
+    }
+
+    /** Records that the task [index] of [job] is done; a job that is complete by that is to be finished. */
+    fun completeTask(job: Job, index: Int) {
+        job.setDone(index)
+        finishIfComplete(job)
+    }
+
+    /** Has [job] finished if all of its tasks are done. */
+    fun finishIfComplete(job: Job) {
+        if (job.isComplete) finishing += job
+    }
+
+    /** Forgets the machines that were deleted more than [ageMs] before [now]. */
+    fun forgetTombstones(ageMs: Long, now: MonotonicTime) {
+        val forgotten = tombstones.entries.takeWhile { now - it.value > ageMs }.map { it.key }
+        tombstones.keys.removeAll(forgotten.toSet())
+    }
+
     /** Notes that an assignment is off its machine; it is released once the store says so too. */
     fun end(assignment: Assignment, completed: Boolean) {
         if (assignment.phase >= Phase.ENDED) return
@@ -140,10 +174,9 @@
         assignment.completed = completed
         val job = assignment.job
         if (completed) {
-            job.setDone(assignment.index)
-            if (job.isComplete) finishing += job
+            completeTask(job, assignment.index)
         } else if (assignment.preempted) {
-            job.preemptions.addTo(assignment.index, 1)
+            job.countPreemption(assignment.index)
         }
         // What was only intended is released when its turn to be written comes.
         if (assignment.written || assignment.beingWritten) pendingChanges += PendingChange.Ended(assignment)
@@ -159,7 +192,7 @@
         machines[assignment.machine]?.let { machine ->
             if (machine.live.remove(assignment.taskName) != null) machine.used -= job.perTask
             if (machine.live.isEmpty()) {
-                machine.idleSince = now
+                machine.rental.markIdle(now)
                 // Rounding must not add up over a machine's life.
                 machine.used = Resources.NONE
                 if (machine.deleting && machine.id in tombstones) machines.remove(machine.id)
@@ -190,7 +223,7 @@
         tombstones[id] = now
         val machine = machines[id] ?: return
         endIncarnation(machine, null, LossCause.MACHINE_DELETED)
-        if (machine.live.isEmpty()) machines.remove(id) else machine.deleting = true
+        if (machine.live.isEmpty()) machines.remove(id) else machine.rental.beginDeletion()
     }
 
     /** A task of [team] ran for [runS]. */
--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -13,18 +13,17 @@
     /** A task of [job] failed on [machine]. */
     fun failed(machine: Machine, job: Job, now: MonotonicTime) {
         // One failure may be chance; but a sick machine, always empty, would draw task after task.
-        machine.notBefore = now + FAILED_PAUSE_MS
-        job.failedOn += machine.id
-        job.failures++
+        machine.health.pausePlacementUntil(now + FAILED_PAUSE_MS)
+        job.recentFailures.record(machine.id)
         if (job.poisoned) {
             backOff(job, now)
             log.info("job {} failed on {} machines; next try in {} ms", job.id, job.failedOn.size, job.notBefore - now)
         } else if (job.doneCount > 0 || job.id !in machine.strikes) {
             // A machine is not blamed for a job that may fail everywhere: such a one counts once.
-            machine.strikes += job.id
+            machine.health.addStrike(job.id)
         }
         if (machine.strikes.size >= SICK_STRIKES && !machine.quarantined) {
-            machine.quarantined = true
+            machine.health.quarantine()
             log.info("machine {} quarantined: {} tasks failed in a row", machine.id, machine.strikes.size)
             withdrawFailuresOn(machine)
         }
@@ -32,7 +31,7 @@
 
     private fun backOff(job: Job, now: MonotonicTime) {
         val doublings = minOf(job.failures - Job.POISON_MACHINES, MAX_DOUBLINGS)
-        job.notBefore = now + (POISON_PAUSE_MS shl maxOf(0, doublings))
+        job.recentFailures.pausePlacementUntil(now + (POISON_PAUSE_MS shl maxOf(0, doublings)))
     }
 
     /**
@@ -53,8 +52,7 @@
     fun recall(failing: Map<JobId, FailingJob>, now: MonotonicTime) {
         for ((id, noted) in failing) {
             val job = cluster.jobs[id] ?: continue
-            job.failedOn += noted.machines
-            job.failures = maxOf(job.failures, noted.failures)
+            job.recentFailures.recall(noted)
             if (job.poisoned) backOff(job, now)
         }
     }
@@ -63,8 +61,7 @@
     private fun withdrawFailuresOn(machine: Machine) {
         for (job in cluster.jobs.values) {
             if (!job.failedOn.remove(machine.id) || job.poisoned) continue
-            job.failures = job.failedOn.size
-            job.notBefore = MonotonicTime(Long.MIN_VALUE)
+            job.recentFailures.recount()
         }
     }
 
@@ -74,12 +71,11 @@
         if (isSlow(job, machine.id, runS)) {
             slowTask(machine, assignment)
         } else if (!assignment.isStraggler) {
-            machine.slowStrikes = 0
+            machine.health.clearSlowStrikes()
         }
         // A slow machine's run says nothing of what the job takes elsewhere.
         if (!assignment.isStraggler) {
-            job.runs++
-            job.runSumS += runS
+            job.runStatistics.recordRun(runS)
         }
     }
 
@@ -96,9 +92,10 @@
     private fun slowTask(machine: Machine, assignment: Assignment) {
         if (assignment.isStraggler) return
         assignment.isStraggler = true
-        assignment.job.slowOn += machine.id
-        if (++machine.slowStrikes < SICK_STRIKES || machine.quarantined) return
-        machine.quarantined = true
+        assignment.job.runStatistics.recordSlow(machine.id)
+        machine.health.addSlowStrike()
+        if (machine.slowStrikes < SICK_STRIKES || machine.quarantined) return
+        machine.health.quarantine()
         log.info("machine {} quarantined: {} tasks in a row ran {} times as long as elsewhere", machine.id, machine.slowStrikes, SLOW_TIMES)
     }
 
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -2,76 +2,14 @@
 
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
-import mountmast.protocol.Attempt
-import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.JobId
 import mountmast.protocol.JobSpec
-import mountmast.protocol.MachineId
 import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.Resources
 import mountmast.protocol.Shape
-import mountmast.protocol.TaskState
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
-import mountmast.protocol.WorkerIncarnation
-import mountmast.protocol.Zone
-import java.util.BitSet
-
-/** How far an assignment has come. Until it is released it counts as being on its machine. */
-enum class Phase {
-    /** Decided, not yet known to be in the store: must not be sent. */
-    INTENDED,
-
-    /** In the store: its start may be sent, any number of times. */
-    COMMITTED,
-
-    /** Known to be off its machine, but the store still lists it: counts until the store does not. */
-    ENDED,
-
-    /** Counts no more. */
-    RELEASED,
-}
-
-/** A task on a machine, in one session and attempt. */
-class Assignment(
-    val job: Job,
-    val index: Int,
-    val machine: MachineId,
-    val incarnation: WorkerIncarnation,
-    val attempt: Attempt,
-    val zone: Zone,
-    var phase: Phase,
-    val placedAt: MonotonicTime,
-) {
-    val taskName = "${job.id}/$index"
-
-    /** What names it to the worker. */
-    val key = taskName to attempt
-
-    /** Last state that the worker reported, or null before the first report that shows it. */
-    var reported: TaskState? = null
-    var runningSince: MonotonicTime? = null
-
-    /** Set once the task is to be stopped: how long it may save. */
-    var terminationGraceS: Double? = null
-    var completed = false
-
-    /** Whether it is stopped to make room for another. */
-    var preempted = false
-
-    /** Whether a transaction that lists it is on its way, and whether one was carried out. */
-    var beingWritten = false
-    var written = false
-
-    var isStraggler = false
-
-    /** Direct commands with its start that wait for their answer. */
-    var deliveriesInFlight = 0
-
-    /** Latest report that was answered with its start; the next report shows whether that was executed. */
-    var startedInHeartbeat: HeartbeatSequence? = null
-}
 
 /** A job that is not over. */
 class Job(val spec: JobSpec, val submitted: WallTime, var modRevision: ModRevision) {
@@ -94,7 +32,7 @@
             cancelled = true
             cancelledAfter = after
             // Nobody gains from what a cancelled job's tasks do.
-            for (assignment in live.values) assignment.terminationGraceS = 0.0
+            for (assignment in live.values) assignment.stopAtOnce()
         }
         cancelRecorded = cancelRecorded || recorded
     }
@@ -124,36 +62,44 @@
     /** From when its waiting counts: from the end of the last job that it waited for, or from its submission. */
     val waitingFrom: WallTime get() = unmetDependencies.lastDoneAt?.let { maxOf(it, submitted) } ?: submitted
 
+    private val progress = TaskProgress(spec.tasks)
+
     /** Tasks whose completion is known. */
-    val done = BitSet()
+    val done get() = progress.done
 
     /** Tasks that may be placed: neither done nor assigned. */
-    val open = BitSet(spec.tasks).apply { set(0, spec.tasks) }
-    var openCount = spec.tasks
-        private set
-    var doneCount = 0
-        private set
+    val open get() = progress.open
+    val openCount: Int get() = progress.openCount
+    val doneCount: Int get() = progress.doneCount
+
+    /** Its assignments that are not released, by the task's index. */
     val live = Int2ObjectOpenHashMap<Assignment>()
 
-    /** How often each of its tasks gave way to others. */
+    /** How often each of its tasks was preempted, by the task's index. */
     val preemptions = Int2IntOpenHashMap()
 
-    /** Runs of its completed tasks. */
-    var runs = 0
-    var runSumS = 0.0
+    /** How long its tasks ran. */
+    val runStatistics = RunStatistics()
+    var runs by runStatistics::runs
+    var runSumS by runStatistics::runSumS
+    val slowOn get() = runStatistics.slowOn
 
-    /** Machines that this job's tasks ran slowly on. */
-    val slowOn = HashSet<MachineId>()
+    /** How its tasks failed lately. */
+    val recentFailures = JobFailures()
+    val failedOn get() = recentFailures.machines
+    var failures by recentFailures::count
+    var notBefore by recentFailures::notBefore
 
-    /** Machines on which a task failed since one of the job's tasks last completed. */
-    val failedOn = LinkedHashSet<MachineId>()
-    var failures = 0
-    var notBefore = MonotonicTime(Long.MIN_VALUE)
+    /** When this leader first knew of it. */
     var learnedAt = MonotonicTime(0)
 
-    /** When a task was last placed or the job became known, for telling that it stalls. */
+    /** When a task was last placed or the job became known or was released, for detecting that it stalls. */
     var lastProgress = MonotonicTime(0)
+
+    /** When operators were last told that it stalls; null once it goes on. */
     var lastStallReport: MonotonicTime? = null
+
+    /** Whether operators were told that it is late. */
     var calledLate = false
 
     /**
@@ -168,25 +114,43 @@
     fun nothingLives() = live.values.all { it.phase == Phase.ENDED }
 
     /** The first [count] open tasks. */
-    fun firstOpen(count: Int): IntArray {
-        var index = -1
-        return IntArray(count) {
-            index = open.nextSetBit(index + 1)
-            index
-        }
+    fun firstOpen(count: Int): IntArray = progress.firstOpen(count)
+
+    /** Records that the task [index] is done: it is not open any more. */
+    fun setDone(index: Int) = progress.setDone(index)
+
+    /** Sets whether the task [index] may be placed. */
+    fun setOpen(index: Int, isOpen: Boolean) = progress.setOpen(index, isOpen)
+
+    /** Records that the task [index] was preempted [times] times so far. */
+    fun restorePreemptions(index: Int, times: Int) {
+        preemptions.put(index, times)
+    }
+
+    /** Records that the task [index] was preempted once more. */
+    fun countPreemption(index: Int) {
+        preemptions.addTo(index, 1)
+    }
+
+    /** Records that the job became ready to run at [now], as it became known or was released. */
+    fun recordProgress(now: MonotonicTime) {
+        lastProgress = now
+    }
+
+    /** Records that a task was placed at [now]: the job does not stall. */
+    fun recordPlacement(now: MonotonicTime) {
+        lastProgress = now
+        lastStallReport = null
     }
 
-    fun setDone(index: Int) {
-        if (done.get(index)) return
-        done.set(index)
-        doneCount++
-        setOpen(index, false)
+    /** Records that operators were told at [now] that the job stalls. */
+    fun recordStallReport(now: MonotonicTime) {
+        lastStallReport = now
     }
 
-    fun setOpen(index: Int, isOpen: Boolean) {
-        if (open.get(index) == isOpen) return
-        open.set(index, isOpen)
-        openCount += if (isOpen) 1 else -1
+    /** Records that operators were told that the job is late. */
+    fun recordLateReport() {
+        calledLate = true
     }
 
     companion object {
--- a/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
@@ -110,7 +110,7 @@
             job.unmetDependencies.noteDone(record.endedAt)
             if (!job.isReleased) continue
             // Its waiting for room begins now.
-            job.lastProgress = now
+            job.recordProgress(now)
             log.debug("job {} waits for no other job any more", job.id)
         }
         return waiting.any { it.isReleased }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/state/TaskProgress.kt
@@ -0,0 +1,38 @@
+package mountmast.coordination.state
+
+import java.util.BitSet
+
+/** Which of a job's tasks are done and which may be placed. Guarded as its [ClusterState] is. */
+internal class TaskProgress(private val tasks: Int) {
+    /** Tasks whose completion is known. */
+    val done = BitSet()
+
+    /** Tasks that may be placed: neither done nor assigned. */
+    val open = BitSet(tasks).apply { set(0, tasks) }
+    var openCount = tasks
+        private set
+    var doneCount = 0
+        private set
+
+    /** The first [count] open tasks. */
+    fun firstOpen(count: Int): IntArray {
+        var index = -1
+        return IntArray(count) {
+            index = open.nextSetBit(index + 1)
+            index
+        }
+    }
+
+    fun setDone(index: Int) {
+        if (done.get(index)) return
+        done.set(index)
+        doneCount++
+        setOpen(index, false)
+    }
+
+    fun setOpen(index: Int, isOpen: Boolean) {
+        if (open.get(index) == isOpen) return
+        open.set(index, isOpen)
+        openCount += if (isOpen) 1 else -1
+    }
+}
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -47,10 +47,7 @@
         )
 
     private fun place(index: Int, machine: String, at: Long): Assignment =
-        cluster.assign(job, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
-            phase = Phase.COMMITTED
-            written = true
-        }
+        cluster.assign(job, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply { markJournaled() }
 
     private fun Assignment.shown(state: TaskState, cause: ExitCause? = null) = ReportedTask(taskName, attempt, state, cause)
 
@@ -158,9 +155,7 @@
         fun fails(of: Job, index: Int, machine: String, at: Long) {
             heartbeat(machine, at)
             val assignment = cluster.assign(of, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
-                phase =
-                    Phase.COMMITTED
-                written = true
+                markJournaled()
             }
             heartbeat(machine, at + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
             cluster.release(assignment, MonotonicTime(at + 20))
