--- a/src/main/kotlin/mountmast/coordination/state/Assignment.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Assignment.kt
@@ -66,11 +66,10 @@
     /** Whether it took far longer than others of its job elsewhere. */
     var isStraggler = false
 
-    /** Direct requests with its start that wait for their answer. */
-    var deliveriesInFlight = 0
-
-    /** The latest heartbeat that was answered with its start; the next heartbeat shows whether that was executed. */
-    var startedInHeartbeat: HeartbeatSequence? = null
+    /** Messages to the worker that carry its start. */
+    val startDelivery = StartDelivery()
+    var deliveriesInFlight by startDelivery::inFlight
+    var startedInHeartbeat by startDelivery::inHeartbeat
 
     /** Records that a heartbeat that arrived at [now] lists the attempt in [state]. */
     fun recordReported(state: TaskState, now: MonotonicTime) {
@@ -111,23 +110,31 @@
         if (phase == Phase.INTENDED) phase = Phase.COMMITTED
     }
 
-    /** Records that the answer to [heartbeat] carries the start. */
-    fun recordStartSent(heartbeat: HeartbeatSequence) {
-        startedInHeartbeat = heartbeat
+    /** Records that the attempt is off its machine, and whether it completed. */
+    internal fun markEnded(isCompleted: Boolean) {
+        phase = Phase.ENDED
+        completed = isCompleted
     }
 
-    /** Records that a heartbeat shows the start to have been executed. */
-    fun confirmStart() {
-        startedInHeartbeat = null
+    /** Records that the attempt counts no more. */
+    internal fun markReleased() {
+        phase = Phase.RELEASED
     }
 
-    /** Records that a direct request with the start is on its way. */
-    fun beginDelivery() {
-        deliveriesInFlight++
+    /** Records that it took far longer than others of its job elsewhere. */
+    internal fun markStraggler() {
+        isStraggler = true
     }
 
+    /** Records that the answer to [heartbeat] carries the start. */
+    fun recordStartSent(heartbeat: HeartbeatSequence) = startDelivery.recordAnswer(heartbeat)
+
+    /** Records that a heartbeat shows the start to have been executed. */
+    fun confirmStart() = startDelivery.confirm()
+
+    /** Records that a direct request with the start is on its way. */
+    fun beginDelivery() = startDelivery.beginRequest()
+
     /** Records that a direct request with the start was answered or given up. */
-    fun endDelivery() {
-        deliveriesInFlight--
-    }
+    fun endDelivery() = startDelivery.endRequest()
 }
--- a/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -15,66 +15,55 @@
 import mountmast.protocol.WallTime
 import mountmast.protocol.WorkerIncarnation
 import mountmast.storage.JobRecord
-import mountmast.storage.JournalText
-import mountmast.storage.Ranges
 
 /**
- * Everything the leader knows: jobs, tasks, machines and what each team uses. Not thread-safe: guarded by the
- * lock of the leader's term, and does no I/O.
- *
- * The ledger frees a task only on evidence that cannot be outdated: the worker says that the attempt has exited,
- * its session is over, or the machine is deleted. A report that merely lacks a task proves nothing, since its start
- * may be under way. Even then the task counts until the store no longer lists it, because the next leader would
- * start it again from there.
+ * Everything the leader knows: jobs, tasks, machines and what each team uses. Not thread-safe: guarded by the lock of the
+ * leader's term, as all that it consists of. Does no I/O.
  */
-class ClusterState(private val runDecay: Double, private val losses: TaskLosses = TaskLosses()) {
+class ClusterState(runDecay: Double, losses: TaskLosses = TaskLosses()) {
+    /** The jobs that are not finished, in the order in which they became known. */
     val jobs = LinkedHashMap<JobId, Job>()
+
+    /** The machines that are not known to be deleted, or whose assignments are not all released. */
     val machines = LinkedHashMap<MachineId, Machine>()
 
-    /** Machines that were deleted, kept so that stale lists and late reports do not bring them back. */
+    /** Machines that were deleted and when, kept so that stale lists and late heartbeats do not bring them back. */
     val tombstones = LinkedHashMap<MachineId, MonotonicTime>()
+
+    /** The machine types that the cloud offers. */
     val types = LinkedHashMap<TypeId, MachineType>()
 
-    /** Images of machines that were not heard from yet, as the leader before noted them. */
+    /** Images of machines that sent no heartbeat yet, with their sizes in GB, as the leader before recorded them. */
     val recalledImages = HashMap<MachineId, Map<ImageId, Double>>()
-    private val uses = HashMap<TeamId, Resources>()
-
-    /** Mean run time of each team's tasks, recent ones counting more; for jobs without an estimate. */
-    val meanRunS = HashMap<TeamId, Double>()
-
-    /** Which machines and jobs fail or are slow. */
-    val health = Health(this)
 
-    /** What is still to be written. */
+    /** Changes that the journal does not hold yet, the oldest first. */
     val pendingChanges = ArrayDeque<PendingChange>()
 
-    /** Jobs that are complete or cancelled; over once nothing of them lives. */
+    /** Jobs that are complete or cancelled; they are finished once none of their assignments lives. */
     val finishing = LinkedHashSet<Job>()
 
-    /** Begins the numbers of this term's attempts: a term is led once, so none is ever used twice. */
-    private var lastAttempt = 0uL
+    /** The steps of an assignment. */
+    val assignments = AssignmentLifecycle(this, losses)
 
-    /** Sets the term in which attempts are given. */
-    fun beginTerm(token: FencingToken) {
-        lastAttempt = token.term shl ATTEMPT_BITS
-    }
+    /** How long tasks run. */
+    val estimates = RunTimeEstimates(runDecay)
 
-    /** Takes over the machine types as the cloud or the store has them. */
+    /** Which machines and jobs fail or are slow. */
+    val health = Health(this)
+
+    /** Replaces the machine types by those that the cloud or the store lists. */
     fun replaceTypes(machineTypes: MachineTypes) {
         types.clear()
         for (type in machineTypes.types) types[type.id] = type
     }
 
-    /** What the tasks of [team] take that may be on a machine. */
-    fun use(team: TeamId): Resources = uses[team] ?: Resources.NONE
-
-    /** Takes in a job record as the store has it; all changes before [knownUpTo] had been taken in until now. */
+    /**
+     * Adds a job, or updates it, from its record at [modRevision]. All changes of jobs before [knownUpTo] were known until now.
+     * Returns the job.
+     */
     fun putJob(record: JobRecord, modRevision: ModRevision, now: MonotonicTime, knownUpTo: WallTime = WallTime(0)): Job {
         val job = jobs.getOrPut(record.spec.id) {
-            Job(record.spec, record.submitted, modRevision).apply {
-                learnedAt = now
-                recordProgress(now)
-            }
+            Job(record.spec, record.submitted, modRevision).apply { recordProgress(now) }
         }
         job.modRevision = modRevision
         if (record.cancelled && !job.cancelRecorded) {
@@ -84,64 +73,30 @@
         return job
     }
 
-    /** The low watermark of cancellations, where all changes before [knownUpTo] are taken in. */
+    /** The low watermark of cancellations, if all changes of jobs before [knownUpTo] are known. */
     fun watermark(knownUpTo: WallTime): WallTime =
         jobs.values.filter { it.cancelled && !it.nothingLives() }.minOfOrNull { it.cancelledAfter }?.let { minOf(it, knownUpTo) }
             ?: knownUpTo
 
-    /**
-     * What the store holds by now of tasks and machines. What ended since is listed as live, and what is only intended is
-     * left out: the journal tells of both from here on.
-     */
-    fun describe(): String {
-        val text = JournalText()
-        for (job in jobs.values) {
-            for (ranges in Ranges.encode(job.done, LONGEST_RANGES)) text.done(job.id, ranges)
-            for (times in job.preemptions.int2IntEntrySet()) text.preemptedBefore("${job.id}/${times.intKey}", times.intValue)
-            for (it in job.live.values) if (it.written) text.started(it.taskName, it.machine, it.incarnation, it.attempt, it.zone)
-        }
-        return text.take()
-    }
+    /** What the store holds by now of tasks and machines, as a snapshot's text. */
+    fun describe(): String = ClusterStateText.of(jobs.values)
 
-    /** Intends to run a task on a machine. Nothing may be sent before the journal says so. */
-    fun assign(job: Job, index: Int, machine: Machine, now: MonotonicTime): Assignment {
-        val assignment = Assignment(
-            job,
-            index,
-            Placement(machine.id, checkNotNull(machine.incarnation), checkNotNull(machine.zone)),
-            Attempt(++lastAttempt),
-            Phase.INTENDED,
-            now,
-        )
-        place(assignment, machine)
-        machine.touchImage(job.spec.image, job.spec.imageGb, types[machine.type]?.cacheGb ?: 0.0)
-        job.recordPlacement(now)
-        pendingChanges += PendingChange.Started(assignment)
-        return assignment
+    /** Records that the task [index] of [job] is done; a job that is complete by that is to be finished. */
+    fun completeTask(job: Job, index: Int) {
+        job.setDone(index)
+        finishIfComplete(job)
     }
 
-    /** Notes that [assignment] takes its room on [machine]. */
-    internal fun place(assignment: Assignment, machine: Machine) {
-        val job = assignment.job
-        job.live.put(assignment.index, assignment)
-        job.setOpen(assignment.index, false)
-        machine.live[assignment.taskName] = assignment
-        machine.used += job.perTask
-        uses.merge(job.spec.team, job.perTask) { a, b -> a + b }
+    /** Has [job] finished if all of its tasks are done. */
+    fun finishIfComplete(job: Job) {
+        if (job.isComplete) finishing += job
     }
 
-    /**
-     * Restores, as of [now], an assignment that the journal lists as started. Its machine is known by name from then on, and may
-     * have been heard and answered by an earlier leader until [now].
-     */
-    fun restoreAssignment(job: Job, index: Int, placement: Placement, attempt: Attempt, now: MonotonicTime) {
-        val machine = machines.getOrPut(placement.machine) {
-            Machine(placement.machine, null, null, false, MachineState.SILENT).apply { worker.assumeHeartbeat(now) }
-        }
-        val assignment = Assignment(job, index, placement, attempt, Phase.COMMITTED, now)
-        assignment.markJournaled()
-        if (job.cancelled) assignment.stopAtOnce()
-        place(assignment, machine)
+    /** Removes a finished job, with the assignments that it still has. */
+    fun removeJob(job: Job, now: MonotonicTime) {
+        for (assignment in job.live.values.toList()) assignments.release(assignment, now)
+        jobs.remove(job.id)
+        finishing.remove(job)
     }
 
     /** Adds [machine], or puts it in the place of the one that was known only by its name, with the images recalled for it. */
@@ -150,15 +105,18 @@
         machines[machine.id] = machine
     }
 
-    /** Records that the task [index] of [job] is done; a job that is complete by that is to be finished. */
-    fun completeTask(job: Job, index: Int) {
-        job.setDone(index)
-        finishIfComplete(job)
+    /** Records the images that an earlier leader knew of on the machine [id], also while it is known only by its name. */
+    fun recallImages(id: MachineId, images: Map<ImageId, Double>) {
+        val machine = machines[id]
+        if (machine?.type != null) machine.recallImages(images) else recalledImages[id] = images
     }
 
-    /** Has [job] finished if all of its tasks are done. */
-    fun finishIfComplete(job: Job) {
-        if (job.isComplete) finishing += job
+    /** Records that the cloud has deleted the machine [id]: its assignments end, and it is removed once they are released. */
+    fun markDeleted(id: MachineId, now: MonotonicTime) {
+        tombstones[id] = now
+        val machine = machines[id] ?: return
+        assignments.endIncarnation(machine, null, LossCause.MACHINE_DELETED)
+        if (machine.live.isEmpty()) machines.remove(id) else machine.rental.beginDeletion()
     }
 
     /** Forgets the machines that were deleted more than [ageMs] before [now]. */
@@ -167,76 +125,35 @@
         tombstones.keys.removeAll(forgotten.toSet())
     }
 
-    /** Notes that an assignment is off its machine; it is released once the store says so too. */
-    fun end(assignment: Assignment, completed: Boolean) {
-        if (assignment.phase >= Phase.ENDED) return
-        assignment.phase = Phase.ENDED
-        assignment.completed = completed
-        val job = assignment.job
-        if (completed) {
-            completeTask(job, assignment.index)
-        } else if (assignment.preempted) {
-            job.countPreemption(assignment.index)
-        }
-        // What was only intended is released when its turn to be written comes.
-        if (assignment.written || assignment.beingWritten) pendingChanges += PendingChange.Ended(assignment)
-    }
+    /** See [AssignmentLifecycle.beginTerm]. */
+    fun beginTerm(token: FencingToken) = assignments.beginTerm(token)
 
-    /** Releases what an ended assignment held. Called when the store no longer lists it. */
-    fun release(assignment: Assignment, now: MonotonicTime) {
-        if (assignment.phase == Phase.RELEASED) return
-        assignment.phase = Phase.RELEASED
-        val job = assignment.job
-        job.live.remove(assignment.index)
-        if (!job.done.get(assignment.index)) job.setOpen(assignment.index, true)
-        machines[assignment.machine]?.let { machine ->
-            if (machine.live.remove(assignment.taskName) != null) machine.used -= job.perTask
-            if (machine.live.isEmpty()) {
-                machine.rental.markIdle(now)
-                // Rounding must not add up over a machine's life.
-                machine.used = Resources.NONE
-                if (machine.deleting && machine.id in tombstones) machines.remove(machine.id)
-            }
-        }
-        uses.merge(job.spec.team, job.perTask) { a, b -> a - b }
-    }
+    /** See [AssignmentLifecycle.usageOf]. */
+    fun use(team: TeamId): Resources = assignments.usageOf(team)
 
-    /** Forgets a job that is over, with whatever it still had. */
-    fun removeJob(job: Job, now: MonotonicTime) {
-        for (assignment in job.live.values.toList()) release(assignment, now)
-        jobs.remove(job.id)
-        finishing.remove(job)
-    }
+    /** See [AssignmentLifecycle.assign]. */
+    fun assign(job: Job, index: Int, machine: Machine, now: MonotonicTime): Assignment = assignments.assign(job, index, machine, now)
 
-    /** Ends every assignment on [machine] that belongs to a session before [incarnation], or all where it is null. */
-    fun endIncarnation(machine: Machine, incarnation: WorkerIncarnation?, cause: LossCause) {
-        for (assignment in machine.live.values) {
-            val isEnded = incarnation == null || assignment.incarnation < incarnation
-            if (!isEnded || assignment.phase >= Phase.ENDED) continue
-            losses.note(cause)
-            end(assignment, completed = false)
-        }
-    }
+    /** See [AssignmentLifecycle.restore]. */
+    fun restoreAssignment(job: Job, index: Int, placement: Placement, attempt: Attempt, now: MonotonicTime) =
+        assignments.restore(job, index, placement, attempt, now)
 
-    /** Removes a machine that the cloud has deleted. */
-    fun markDeleted(id: MachineId, now: MonotonicTime) {
-        tombstones[id] = now
-        val machine = machines[id] ?: return
-        endIncarnation(machine, null, LossCause.MACHINE_DELETED)
-        if (machine.live.isEmpty()) machines.remove(id) else machine.rental.beginDeletion()
-    }
+    /** See [AssignmentLifecycle.place]. */
+    internal fun place(assignment: Assignment, machine: Machine) = assignments.place(assignment, machine)
 
-    /** A task of [team] ran for [runS]. */
-    fun learnRun(team: TeamId, runS: Double) {
-        meanRunS.merge(team, runS) { old, new -> old * runDecay + new * (1 - runDecay) }
-    }
+    /** See [AssignmentLifecycle.end]. */
+    fun end(assignment: Assignment, completed: Boolean) = assignments.end(assignment, completed)
 
-    /** Estimate of the whole run of one of the job's tasks, in seconds. */
-    fun runEstimateS(job: Job): Double = if (job.spec.estimateS > 0) job.spec.estimateS else meanRunS[job.spec.team] ?: UNKNOWN_RUN_S
+    /** See [AssignmentLifecycle.release]. */
+    fun release(assignment: Assignment, now: MonotonicTime) = assignments.release(assignment, now)
 
-    private companion object {
-        const val ATTEMPT_BITS = 32
-        const val LONGEST_RANGES = 300
-        const val UNKNOWN_RUN_S = 60.0
-    }
+    /** See [AssignmentLifecycle.endIncarnation]. */
+    fun endIncarnation(machine: Machine, incarnation: WorkerIncarnation?, cause: LossCause) =
+        assignments.endIncarnation(machine, incarnation, cause)
+
+    /** See [RunTimeEstimates.recordRun]. */
+    fun learnRun(team: TeamId, runS: Double) = estimates.recordRun(team, runS)
+
+    /** See [RunTimeEstimates.estimateS]. */
+    fun runEstimateS(job: Job): Double = estimates.estimateS(job)
 }
--- a/src/main/kotlin/mountmast/coordination/state/Invariants.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Invariants.kt
@@ -7,7 +7,7 @@
 private val log = LoggerFactory.getLogger("mountmast.invariants")
 
 /**
- * Conditions that the argument in `docs/design.md` rests on, checked where an action would rest on them. A violation is told at
+ * Conditions that the argument in `docs/design.md` rests on, checked where an action would rest on them. A violation is logged at
  * `error` and counted, and the caller leaves the action undone; the process goes on. Thread-safe.
  */
 class Invariants(metrics: Metrics = Metrics()) {
@@ -16,7 +16,7 @@
     /** How many violations there were. */
     val violationCount: Long get() = violations.value
 
-    /** Returns [isMet]; notes a violation, as [message] tells it, where it is not. */
+    /** Returns [isMet]; if it is false, counts a violation and logs [message], which is called only then. */
     fun check(isMet: Boolean, message: () -> String): Boolean {
         if (!isMet) {
             violations.add()
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -11,14 +11,22 @@
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
 
-/** A job that is not over. */
-class Job(val spec: JobSpec, val submitted: WallTime, var modRevision: ModRevision) {
+/** A job that is not finished, as submitted at [submitted]. Guarded as its [ClusterState] is. */
+class Job(val spec: JobSpec, val submitted: WallTime, modRevision: ModRevision) {
+    /** The latest modification revision of its record that is known. */
+    var modRevision = modRevision
+        internal set
+
     val id: JobId get() = spec.id
+
+    /** What each of its tasks takes. */
     val perTask: Resources = spec.perTask
+
+    /** Whether it is cancelled, by its record or by another node's broadcast. */
     var cancelled = false
         private set
 
-    /** Whether the job's record in the store says so; a notice of another node may come before that is seen. */
+    /** Whether its record in the store says that it is cancelled; another node's broadcast may come before that is seen. */
     var cancelRecorded = false
         private set
 
@@ -26,7 +34,10 @@
     var cancelledAfter = WallTime(0)
         private set
 
-    /** Notes that the job is cancelled, as its record or only a notice says: its tasks are stopped without time to save. */
+    /**
+     * Cancels the job, as its record says if [recorded], or else only a broadcast: its tasks are stopped without time to save. The
+     * cancellation was committed no earlier than [after].
+     */
     fun cancel(after: WallTime, recorded: Boolean) {
         if (!cancelled) {
             cancelled = true
@@ -37,29 +48,33 @@
         cancelRecorded = cancelRecorded || recorded
     }
 
-    /** What it waits for. */
+    /** Which of its prerequisites are not known to be done. */
     val unmetDependencies = UnmetDependencies()
 
-    /** Whether every job that it waits for is known to be done: before that none of its tasks may start. */
+    /** Whether every prerequisite is known to be done: before that none of its tasks may start. */
     val isReleased: Boolean get() = unmetDependencies.isListKnown && unmetDependencies.open.isEmpty()
 
-    /** What the jobs that need this one ask of it. */
+    /** What its dependents require of it. */
     var inheritedPriority = InheritedPriority.NONE
-        set(value) {
+        internal set(value) {
             field = value
             schedulingSpec = if (effectiveUrgency == spec.urgency) spec else spec.copy(urgency = effectiveUrgency)
         }
+
+    /** The highest urgency among its own and that of its dependents. */
     val effectiveUrgency: Urgency get() = minOf(spec.urgency, inheritedPriority.urgency)
 
-    /** When it should be done, by its own user or for the jobs that need it. */
+    /** When it should be done, by its own deadline or for its dependents; null if nobody requires it. */
     val effectiveDue: WallTime? get() = InheritedPriority.earlier(ownDue, inheritedPriority.due)
+
+    /** When it should be done by its own deadline, or null if it has none. */
     val ownDue: WallTime? = spec.deadlineS?.let { WallTime(submitted.ms + (it * MS_PER_S).toLong()) }
 
-    /** The job as it is scheduled: with the highest urgency of those that need it. */
+    /** The job as it is scheduled: with its [effectiveUrgency]. */
     var schedulingSpec = spec
         private set
 
-    /** From when its waiting counts: from the end of the last job that it waited for, or from its submission. */
+    /** From when its waiting counts: from the end of its last prerequisite, or from its submission. */
     val waitingFrom: WallTime get() = unmetDependencies.lastDoneAt?.let { maxOf(it, submitted) } ?: submitted
 
     private val progress = TaskProgress(spec.tasks)
@@ -69,7 +84,11 @@
 
     /** Tasks that may be placed: neither done nor assigned. */
     val open get() = progress.open
+
+    /** How many tasks may be placed. */
     val openCount: Int get() = progress.openCount
+
+    /** How many tasks are done. */
     val doneCount: Int get() = progress.doneCount
 
     /** Its assignments that are not released, by the task's index. */
@@ -90,9 +109,6 @@
     var failures by recentFailures::count
     var notBefore by recentFailures::notBefore
 
-    /** When this leader first knew of it. */
-    var learnedAt = MonotonicTime(0)
-
     /** When a task was last placed or the job became known or was released, for detecting that it stalls. */
     var lastProgress = MonotonicTime(0)
 
@@ -103,14 +119,15 @@
     var calledLate = false
 
     /**
-     * Fails wherever it runs: backed off, and without a claim on the guarantee. A job with a mistake never completes
+     * Whether it fails wherever it runs: it is backed off, and has no claim on the guarantee. A job with a mistake never completes
      * a task, so one that has is only unlucky with its machines.
      */
     val poisoned: Boolean get() = doneCount == 0 && failedOn.size >= POISON_MACHINES
 
+    /** Whether it is an array job all of whose tasks are done; a service never completes. */
     val isComplete: Boolean get() = spec.shape == Shape.ARRAY && doneCount == spec.tasks
 
-    /** Whether every assignment is known to have ended. */
+    /** Whether none of its assignments lives: each one is known to have ended. */
     fun nothingLives() = live.values.all { it.phase == Phase.ENDED }
 
     /** The first [count] open tasks. */
--- a/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
@@ -11,75 +11,71 @@
 private val log = LoggerFactory.getLogger("mountmast.dependencies")
 
 /**
- * Which live jobs wait for which, on the leader: releases a job once the `done` of every prerequisite is committed, and
+ * The dependency graph of the live jobs, on the leader: releases a job once the `done` of every prerequisite is committed, and
  * cancels it with any of them. Guarded as its [ClusterState] is; does no I/O.
  *
  * A prerequisite that is not among the live jobs counts as open until its final state has been read from the state
- * service ([unresolved]): not known means wait. All steps go along edges of jobs that change, without recursion, so a
+ * service ([PrerequisiteLookups]): not known means wait. All steps go along edges of jobs that change, without recursion, so a
  * long chain or a wide fan costs what it has edges. Nothing is kept of finished jobs that no live job names, save the
- * final states of the last [MAX_REMEMBERED].
+ * final states in a [FinishedJobCache].
  */
 class JobDependencies(private val cluster: ClusterState) {
-    /** The jobs that wait for a prerequisite which is not known to be over. */
+    /** The jobs that wait for a prerequisite which is not known to be finished. */
     private val dependents = HashMap<JobId, LinkedHashSet<Job>>()
-
-    /** Prerequisites that are not among the live jobs, and when to look for them next. */
-    private val unresolved = LinkedHashMap<JobId, MonotonicTime>()
-
-    /** Jobs whose list of prerequisites is kept apart from their record and was not read yet. */
-    private val unreadLists = LinkedHashMap<JobId, JobRecord>()
-    private val finalStates = LinkedHashMap<JobId, FinishedJobRecord>()
+    private val lookups = PrerequisiteLookups()
+    private val finishedJobs = FinishedJobCache()
     private val inheritedPriorities = InheritedPriorities(dependents)
 
-    /** Whether this leader ended [id] a while ago. */
-    fun isRememberedAsFinished(id: JobId) = id in finalStates
+    /** The records of the jobs whose list of prerequisites has to be read. */
+    internal val unreadLists: List<JobRecord> get() = lookups.lists
 
-    /** Takes in a live job that this leader has not seen before. */
-    fun added(job: Job, record: JobRecord, now: MonotonicTime) {
-        unresolved.remove(job.id)
-        inheritedPriorities.prerequisiteAdded(job)
+    /** Whether [id] is among the jobs that were seen to finish last. */
+    internal fun isRecentlyFinished(id: JobId) = id in finishedJobs
+
+    /** Adds a live job that this leader has not known before, with the prerequisites that its [record] names. */
+    internal fun addJob(job: Job, record: JobRecord, now: MonotonicTime) {
+        lookups.removePrerequisite(job.id)
+        inheritedPriorities.addPrerequisite(job)
         when {
             record.prerequisiteList != null -> {
-                job.unmetDependencies.isListKnown = false
-                unreadLists[job.id] = record
+                job.unmetDependencies.awaitList()
+                lookups.addList(record)
             }
             record.spec.prerequisites.isNotEmpty() -> addPrerequisites(job, record.spec.prerequisites, now)
         }
     }
 
-    /** The list of prerequisites of [id] was read. */
-    fun listRead(id: JobId, prerequisites: List<JobId>, now: MonotonicTime) {
-        unreadLists.remove(id) ?: return
-        val job = cluster.jobs[id] ?: return
-        job.unmetDependencies.isListKnown = true
-        addPrerequisites(job, prerequisites, now)
+    /** Adds the [prerequisites] of the job [id], whose list of them was read. */
+    internal fun addReadList(id: JobId, prerequisites: List<JobId>, now: MonotonicTime) {
+        if (!lookups.removeList(id)) return
+        cluster.jobs[id]?.let { addPrerequisites(it, prerequisites, now) }
     }
 
     private fun addPrerequisites(job: Job, prerequisites: List<JobId>, now: MonotonicTime) {
-        job.unmetDependencies.prerequisites = prerequisites
+        job.unmetDependencies.setPrerequisites(prerequisites)
         for (id in prerequisites) {
-            val known = finalStates[id]
-            if (known?.status == JobStatus.DONE) {
-                job.unmetDependencies.noteDone(known.endedAt)
+            val finished = finishedJobs[id]
+            if (finished?.status == JobStatus.DONE) {
+                job.unmetDependencies.recordDone(id, finished.endedAt)
                 continue
             }
-            job.unmetDependencies.open += id
+            job.unmetDependencies.addOpen(id)
             dependents.getOrPut(id) { LinkedHashSet() } += job
-            if (known == null && id !in cluster.jobs) unresolved[id] = now
+            if (finished == null && id !in cluster.jobs) lookups.addPrerequisite(id, now)
         }
         if (prerequisites.any(::isCancelled)) cancelAll(listOf(job))
-        inheritedPriorities.dependentAdded(job, cluster.jobs)
+        inheritedPriorities.addDependent(job, cluster.jobs)
     }
 
-    private fun isCancelled(id: JobId) = finalStates[id]?.status == JobStatus.CANCELLED || cluster.jobs[id]?.cancelRecorded == true
+    private fun isCancelled(id: JobId) = finishedJobs[id]?.status == JobStatus.CANCELLED || cluster.jobs[id]?.cancelRecorded == true
 
-    /** The cancellation of [job] stands in the state service: all jobs that need it are cancelled with it. */
-    fun cancelled(job: Job) {
+    /** Cancels all jobs that depend on [job], whose cancellation is recorded in the state service. */
+    internal fun cancelDependents(job: Job) {
         val count = cancelAll(dependents[job.id].orEmpty())
-        if (count > 0) log.info("job {} is cancelled, and {} jobs that need it with it", job.id, count)
+        if (count > 0) log.info("job={} is cancelled, and {} dependent jobs with it", job.id, count)
     }
 
-    /** Cancels [roots] and all jobs that need them, directly or through others; returns how many were not before. */
+    /** Cancels [roots] and all jobs that depend on them, directly or through others; returns how many were not cancelled before. */
     private fun cancelAll(roots: Collection<Job>): Int {
         var count = 0
         val pending = ArrayDeque(roots)
@@ -95,82 +91,42 @@
         return count
     }
 
-    /** The final state of [id] is in the state service. Returns whether it released a job. */
-    fun ended(id: JobId, record: FinishedJobRecord, now: MonotonicTime): Boolean {
-        remember(id, record)
-        unresolved.remove(id)
-        val waiting = dependents.remove(id) ?: return false
+    /** Records the final state of [id], which is in the state service, for its dependents. Returns the jobs that are released by it. */
+    internal fun recordFinished(id: JobId, record: FinishedJobRecord, now: MonotonicTime): List<Job> {
+        finishedJobs.add(id, record)
+        lookups.removePrerequisite(id)
+        val waiting = dependents.remove(id) ?: return emptyList()
         if (record.status == JobStatus.CANCELLED) {
             val count = cancelAll(waiting)
-            if (count > 0) log.info("job {} was cancelled, and {} jobs that need it with it", id, count)
-            return false
+            if (count > 0) log.info("job={} was cancelled, and {} dependent jobs with it", id, count)
+            return emptyList()
         }
-        for (job in waiting) {
-            job.unmetDependencies.open -= id
-            job.unmetDependencies.noteDone(record.endedAt)
-            if (!job.isReleased) continue
-            // Its waiting for room begins now.
+        for (job in waiting) job.unmetDependencies.recordDone(id, record.endedAt)
+        val released = waiting.filter { it.isReleased }
+        for (job in released) {
+            // It waits for free capacity from now on.
             job.recordProgress(now)
-            log.debug("job {} waits for no other job any more", job.id)
+            log.debug("job={} is released: all of its prerequisites are done", job.id)
         }
-        return waiting.any { it.isReleased }
-    }
-
-    private fun remember(id: JobId, record: FinishedJobRecord) {
-        finalStates.remove(id)
-        finalStates[id] = record
-        if (finalStates.size > MAX_REMEMBERED) finalStates.remove(finalStates.keys.first())
+        return released
     }
 
-    /** Forgets [job], which is over, as one that waits for others. */
-    fun removed(job: Job) {
-        unreadLists.remove(job.id)
+    /** Removes [job], which is finished, as one that waits for others. */
+    internal fun removeJob(job: Job) {
+        lookups.removeList(job.id)
         for (id in job.unmetDependencies.open) {
             val others = dependents[id] ?: continue
             others -= job
-            cluster.jobs[id]?.let(inheritedPriorities::weaken)
+            cluster.jobs[id]?.let(inheritedPriorities::markWeakened)
             if (others.isNotEmpty()) continue
             dependents.remove(id)
-            unresolved.remove(id)
+            lookups.removePrerequisite(id)
         }
     }
 
     /** Brings urgencies and due times up to date for jobs that lost a dependent. */
     fun refreshInheritedPriorities() = inheritedPriorities.refresh(cluster.jobs)
 
-    /** Prerequisites to be looked up in the state service now, at most [most]; the same are due again after a pause. */
-    fun takeUnresolved(most: Int, now: MonotonicTime): List<JobId> {
-        val due = unresolved.entries.filter { it.value <= now }.take(most).map { it.key }
-        for (id in due) unresolved[id] = now + RETRY_MS
-        return due
-    }
-
-    /** Jobs whose list of prerequisites has to be read. */
-    fun unreadLists(): List<JobRecord> = unreadLists.values.toList()
-
-    private companion object {
-        const val MAX_REMEMBERED = 1000
-        const val RETRY_MS = 1000L
-    }
-}
-
-/** What a job still waits for before any of its tasks may start. Guarded as its [ClusterState] is. */
-class UnmetDependencies {
-    /** All jobs that it names. */
-    var prerequisites: List<JobId> = emptyList()
-
-    /** Those that are not known to be done. */
-    val open = LinkedHashSet<JobId>()
-
-    /** False until a list of prerequisites that is kept apart has been read. */
-    var isListKnown = true
-
-    /** When the last prerequisite so far was done, by its record; null where none says so. */
-    var lastDoneAt: WallTime? = null
-        private set
-
-    /** A prerequisite was done at [at]; records of earlier versions do not tell when. */
-    fun noteDone(at: WallTime?) {
-        if (at != null) lastDoneAt = maxOf(at, lastDoneAt ?: at)
-    }
+    /** At most [most] prerequisites whose final state has to be looked up at [now]; the same are due again after a pause. */
+    internal fun nextUnresolved(most: Int, now: MonotonicTime): List<JobId> = lookups.nextPrerequisites(most, now)
 }
--- a/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
@@ -16,44 +16,70 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
+/** What a leader's term consists of for its [JobInformer]: the state, guarded by [lock], and who is woken by its changes. */
+class JobInformerState(val lock: ReentrantLock, val cluster: ClusterState, val dependencies: JobDependencies, val signals: TermSignals)
+
+/** Where a [JobInformer] reads jobs. */
+class JobInformerSources(val store: StateStore, val prerequisiteLists: PrerequisiteLists)
+
 /**
- * The jobs that are not over, as the leader takes them in from the state service, with all that follows from a job's
- * cancellation or end. Knows up to which moment all changes of jobs are taken in, on which the bound on cancellations rests.
- * Guarded by [lock], which is never held during a call.
+ * Keeps the leader's live jobs as the state service has them, by a watch on their keys, with all that follows from a job's
+ * cancellation or end. Knows up to which moment all changes of jobs are known, on which the low watermark of cancellations rests.
+ * Guarded by the lock of the leader's term, which is never held during a call.
  */
 class JobInformer(
-    private val lock: ReentrantLock,
-    private val cluster: ClusterState,
-    private val dependencies: JobDependencies,
-    private val signals: TermSignals,
-    private val store: StateStore,
-    private val prerequisiteLists: PrerequisiteLists,
+    state: JobInformerState,
+    sources: JobInformerSources,
     private val clock: Clock,
     knownBefore: WallTime,
-    /** What else wants to know of jobs. */
     private val listener: JobInformerListener,
 ) {
+    private val lock = state.lock
+    private val cluster = state.cluster
+    private val dependencies = state.dependencies
+    private val signals = state.signals
+    private val store = sources.store
+    private val resolver = PrerequisiteResolver(lock, dependencies, store, sources.prerequisiteLists, clock, ::recordFinished)
     private var watchFrom = Revision(0u)
 
-    /** All changes of jobs before this are taken in, on this node's steady clock and by its time of day. */
+    /** All changes of jobs before this are known, on this node's steady clock and by its time of day. */
     private var knownUpTo = MonotonicTime(0)
     private var knownUpToWall = knownBefore
 
-    /** How long ago the jobs were last known; the caller holds the lock. */
+    /** An informer whose state and sources are given one by one. */
+    constructor(
+        lock: ReentrantLock,
+        cluster: ClusterState,
+        dependencies: JobDependencies,
+        signals: TermSignals,
+        store: StateStore,
+        prerequisiteLists: PrerequisiteLists,
+        clock: Clock,
+        knownBefore: WallTime,
+        listener: JobInformerListener,
+    ) : this(
+        JobInformerState(lock, cluster, dependencies, signals),
+        JobInformerSources(store, prerequisiteLists),
+        clock,
+        knownBefore,
+        listener,
+    )
+
+    /** For how long changes of jobs may have gone unknown at [now], in milliseconds; the caller holds the lock. */
     fun unknownForMs(now: MonotonicTime): Long = now - knownUpTo
 
     /** The low watermark of cancellations; the caller holds the lock. */
     fun watermark(): WallTime = cluster.watermark(knownUpToWall)
 
-    /** Learns of new and cancelled jobs; waits up to [waitMs] for them. */
+    /** Reads new and cancelled jobs; waits up to [waitMs] for them. Throws a `StoreException` if the state service fails. */
     fun watch(waitMs: Long) {
         val asked = clock.now()
         val askedWall = clock.wall()
-        when (val outcome = store.watch(Keys.JOBS, watchFrom, waitMs)) {
+        when (val result = store.watch(Keys.JOBS, watchFrom, waitMs)) {
             is WatchResult.Changes -> lock.withLock {
-                for (change in outcome.changes) change.value?.let { takeInNews(Entry(change.key, it, change.modRevision)) }
-                watchFrom = outcome.upTo
-                known(asked, askedWall)
+                for (change in result.changes) change.value?.let { applyChange(Entry(change.key, it, change.modRevision)) }
+                watchFrom = result.upTo
+                advanceKnownUpTo(asked, askedWall)
             }
             WatchResult.Compacted -> {
                 val (entries, revision) = store.listAll(Keys.JOBS)
@@ -62,8 +88,8 @@
         }
     }
 
-    /** The stamp shows whether a change is news: what was written first may be seen last. */
-    private fun takeInNews(entry: Entry) {
+    /** The modification revision shows whether a change is news: what was written first may be seen last. */
+    private fun applyChange(entry: Entry) {
         val id = Keys.jobOfKey(entry.key) ?: return
         val record = RecordDecoder.decode<JobRecord>(entry.key, entry.value) ?: return
         listener.onRecord(record, entry.modRevision)
@@ -71,92 +97,62 @@
         if (known == null || entry.modRevision.number > known.modRevision.number) takeIn(record, entry.modRevision)
     }
 
-    /** Takes in all live jobs as they were at [revision] or later, asked for at [asked]; the caller holds the lock. */
+    /** Applies all live jobs as they were at [revision] or later, asked for at [asked]; the caller holds the lock. */
     fun takeInAll(entries: List<Entry>, revision: Revision, asked: MonotonicTime, askedWall: WallTime) {
         for (entry in entries) RecordDecoder.decode<JobRecord>(entry.key, entry.value)?.let { takeIn(it, entry.modRevision) }
         watchFrom = revision
-        known(asked, askedWall)
+        advanceKnownUpTo(asked, askedWall)
     }
 
-    /** An answer holds all changes that were made before it was asked for. */
-    private fun known(upTo: MonotonicTime, upToWall: WallTime) {
-        knownUpTo = upTo
-        knownUpToWall = upToWall
+    /** A response holds all changes that were made before it was asked for. */
+    private fun advanceKnownUpTo(asked: MonotonicTime, askedWall: WallTime) {
+        knownUpTo = asked
+        knownUpToWall = askedWall
     }
 
-    /** Takes in a job record; the caller holds the lock. */
+    /** Applies the record of a live job at [modRevision]; the caller holds the lock. */
     fun takeIn(record: JobRecord, modRevision: ModRevision) {
         val id = record.spec.id
-        if (dependencies.isRememberedAsFinished(id)) return
+        if (dependencies.isRecentlyFinished(id)) return
         val isNew = id !in cluster.jobs
         val now = clock.now()
         val job = cluster.putJob(record, modRevision, now, knownUpToWall)
-        if (isNew) dependencies.added(job, record, now)
-        if (job.cancelRecorded) dependencies.cancelled(job)
+        if (isNew) dependencies.addJob(job, record, now)
+        if (job.cancelRecorded) dependencies.cancelDependents(job)
         if (job.cancelled || listener.isCancelledElsewhere(job.id)) {
-            stop(job, record.cancelled)
+            cancel(job, record.cancelled)
             signals.wakeWriter()
         } else {
             signals.wakePlacement()
         }
     }
 
-    /** Another node committed these cancellations; their records may be seen much later. */
+    /** Cancels the jobs [ids], whose cancellation another node broadcast; their records may be seen much later. */
     fun cancellationsHeard(ids: List<JobId>) = lock.withLock {
-        for (id in ids) cluster.jobs[id]?.let { stop(it, recorded = false) }
+        for (id in ids) cluster.jobs[id]?.let { cancel(it, recorded = false) }
     }
 
-    private fun stop(job: Job, recorded: Boolean) {
+    private fun cancel(job: Job, recorded: Boolean) {
         job.cancel(knownUpToWall, recorded)
         job.live.values.forEach { listener.onCommandsDue(it) }
     }
 
     /** Removes a job whose final state is in the state service; the caller holds the lock. */
     fun finished(job: Job, record: FinishedJobRecord) {
-        dependencies.removed(job)
+        dependencies.removeJob(job)
         cluster.removeJob(job, clock.now())
-        prerequisiteEnded(job.id, record)
+        recordFinished(job.id, record)
         signals.wakePlacement()
     }
 
-    /** What [id] ended as is known; the caller holds the lock. */
-    private fun prerequisiteEnded(id: JobId, record: FinishedJobRecord) {
-        if (dependencies.ended(id, record, clock.now())) signals.wakePlacement()
+    private fun recordFinished(id: JobId, record: FinishedJobRecord) {
+        if (dependencies.recordFinished(id, record, clock.now()).isNotEmpty()) signals.wakePlacement()
         if (cluster.finishing.isNotEmpty()) signals.wakeWriter()
     }
 
     /**
-     * Looks up final states and long lists of prerequisites that live jobs name and this leader does not know; false
-     * where there were none to look up. Until then those jobs wait.
+     * Reads final states and lists of prerequisites that live jobs name and this leader does not know. Returns whether there were
+     * any to read. Throws a `StoreException` if the state service fails.
      */
-    fun resolvePrerequisites(): Boolean {
-        val lists = lock.withLock { dependencies.unreadLists() }
-        for (record in lists) {
-            val prerequisites = prerequisiteLists.read(record)
-            lock.withLock { dependencies.listRead(record.spec.id, prerequisites, clock.now()) }
-        }
-        val unresolved = lock.withLock { dependencies.takeUnresolved(MAX_RESOLVED_AT_ONCE, clock.now()) }
-        for (id in unresolved) {
-            val entry = store.get(Keys.finished(id)) ?: continue
-            val record = RecordDecoder.decode<FinishedJobRecord>(entry.key, entry.value) ?: continue
-            lock.withLock { prerequisiteEnded(id, record) }
-        }
-        return lists.isNotEmpty() || unresolved.isNotEmpty()
-    }
-
-    private companion object {
-        const val MAX_RESOLVED_AT_ONCE = 100
-    }
-}
-
-/** What [JobInformer] tells and asks others; called with the lock held. */
-interface JobInformerListener {
-    /** Whether another node told of a job's cancellation. */
-    fun isCancelledElsewhere(id: JobId): Boolean
-
-    /** A record of a live job was read. */
-    fun onRecord(record: JobRecord, modRevision: ModRevision)
-
-    /** The worker that [assignment] is with has to be told something. */
-    fun onCommandsDue(assignment: Assignment)
+    fun resolvePrerequisites(): Boolean = resolver.resolveDue() > 0
 }
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -81,7 +81,7 @@
 
     /** What [live] takes, kept as it changes: a scheduling cycle must not add up every task of every machine. */
     var used = Resources.NONE
-        internal set(value) {
+        private set(value) {
             field = value
             changes++
         }
@@ -112,6 +112,21 @@
         used = before.used
     }
 
+    /** Counts [assignment] as being here. */
+    internal fun addAssignment(assignment: Assignment) {
+        live[assignment.taskName] = assignment
+        used += assignment.job.perTask
+    }
+
+    /** Counts [assignment] no more; a machine without any is idle since [now]. */
+    internal fun removeAssignment(assignment: Assignment, now: MonotonicTime) {
+        if (live.remove(assignment.taskName) != null) used -= assignment.job.perTask
+        if (live.isNotEmpty()) return
+        rental.markIdle(now)
+        // Rounding must not add up over a machine's life.
+        used = Resources.NONE
+    }
+
     /** Adds the images that an earlier leader knew of here, with their sizes in GB. */
     fun recallImages(known: Map<ImageId, Double>) {
         imageCache.recall(known)
--- a/src/main/kotlin/mountmast/coordination/state/PendingChange.kt
+++ b/src/main/kotlin/mountmast/coordination/state/PendingChange.kt
@@ -3,14 +3,14 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
 
-/** What the journal does not say yet, in the order in which it happened. */
+/** A change of the cluster state that the journal does not hold yet. Immutable; what it refers to is guarded as the [ClusterState] is. */
 sealed interface PendingChange {
-    /** [assignment] was decided; its start may be sent once this is written. */
+    /** The [assignment] was decided; its start may be sent once this is written. */
     class Started(val assignment: Assignment) : PendingChange
 
-    /** [assignment] is off its machine; it counts until this is written. */
+    /** The [assignment] is off its machine; it counts until this is written. */
     class Ended(val assignment: Assignment) : PendingChange
 
-    /** [machine] is kept for [job], and [victims] are stopped for that. */
+    /** The [machine] is reserved for [job], and the tasks named by [victims] are preempted for that. */
     class Reserved(val machine: MachineId, val job: JobId, val victims: List<String>) : PendingChange
 }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/state/PrerequisiteResolver.kt
@@ -0,0 +1,50 @@
+package mountmast.coordination.state
+
+import mountmast.protocol.Clock
+import mountmast.protocol.JobId
+import mountmast.storage.FinishedJobRecord
+import mountmast.storage.Keys
+import mountmast.storage.PrerequisiteLists
+import mountmast.storage.StateStore
+import java.util.concurrent.locks.ReentrantLock
+import kotlin.concurrent.withLock
+
+/**
+ * Reads from the state service what live jobs name and this leader does not know: final states, and lists of prerequisites that
+ * are stored apart. Takes [lock], the lock of the leader's term, which is never held during a call.
+ */
+internal class PrerequisiteResolver(
+    private val lock: ReentrantLock,
+    private val dependencies: JobDependencies,
+    private val store: StateStore,
+    private val prerequisiteLists: PrerequisiteLists,
+    private val clock: Clock,
+    /** Called with the lock held for each final state that was read. */
+    private val onFinished: (JobId, FinishedJobRecord) -> Unit,
+) {
+    /** Reads what is due now; until it is read, the jobs that name it wait. Returns how many lists and final states were due. */
+    fun resolveDue(): Int = readLists() + readFinalStates()
+
+    private fun readLists(): Int {
+        val lists = lock.withLock { dependencies.unreadLists }
+        for (record in lists) {
+            val prerequisites = prerequisiteLists.read(record)
+            lock.withLock { dependencies.addReadList(record.spec.id, prerequisites, clock.now()) }
+        }
+        return lists.size
+    }
+
+    private fun readFinalStates(): Int {
+        val unresolved = lock.withLock { dependencies.nextUnresolved(MAX_RESOLVED_AT_ONCE, clock.now()) }
+        for (id in unresolved) {
+            val entry = store.get(Keys.finished(id)) ?: continue
+            val record = RecordDecoder.decode<FinishedJobRecord>(entry.key, entry.value) ?: continue
+            lock.withLock { onFinished(id, record) }
+        }
+        return unresolved.size
+    }
+
+    private companion object {
+        const val MAX_RESOLVED_AT_ONCE = 100
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/state/RecordDecoder.kt
+++ b/src/main/kotlin/mountmast/coordination/state/RecordDecoder.kt
@@ -5,16 +5,16 @@
 import mountmast.protocol.WireJson
 import org.slf4j.LoggerFactory
 
-/** Reads records of the state service; one that cannot be read is told to operators and left out. */
+/** Reads records of the state service; one that cannot be read is logged and left out. */
 object RecordDecoder {
     @PublishedApi
     internal val log = LoggerFactory.getLogger("mountmast.leader")
 
-    /** The record that [key] holds as [value], or null where it cannot be read. */
+    /** Returns the record that [key] holds as [value], or null if it cannot be read. */
     inline fun <reified T> decode(key: String, value: JsonElement): T? = try {
         WireJson.decodeFromJsonElement<T>(value)
     } catch (e: IllegalArgumentException) {
-        log.error("unreadable record {}: {}", key, e.message)
+        log.error("unreadable record key={}: {}", key, e.message)
         null
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/TaskLosses.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TaskLosses.kt
@@ -23,8 +23,8 @@
     private val counters: Map<LossCause, Counter> =
         LossCause.entries.associateWith { metrics.counter("tasks_lost_${it.label}") }
 
-    /** One task was lost. */
-    fun note(cause: LossCause) = counters.getValue(cause).add()
+    /** Counts one more task that was lost for this [cause]. */
+    fun record(cause: LossCause) = counters.getValue(cause).add()
 
     /** How many were lost for this [cause] so far. */
     fun of(cause: LossCause): Long = counters.getValue(cause).value
--- a/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
@@ -5,32 +5,32 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-/** Wakes the threads that write and that place tasks, when there is something for them. Uses the leader's [lock]. */
+/** Wakes the threads that write the journal and that run scheduling cycles. Its conditions are those of the leader's [lock]. */
 class TermSignals(private val lock: ReentrantLock) {
     private val writable: Condition = lock.newCondition()
     private val placeable: Condition = lock.newCondition()
-    private var isPlacementAsked = false
+    private var isCycleRequested = false
 
-    /** Has the next pass come soon; the caller holds the lock. */
+    /** Requests a scheduling cycle soon; the caller holds the lock. */
     fun wakePlacement() {
-        isPlacementAsked = true
+        isCycleRequested = true
         placeable.signalAll()
     }
 
-    /** Wakes whoever writes; the caller holds the lock. */
+    /** Wakes the thread that writes the journal; the caller holds the lock. */
     fun wakeWriter() = writable.signalAll()
 
-    /** A pass begins, which sees all that was asked for so far; the caller holds the lock. */
+    /** A scheduling cycle begins, which answers all requests so far; the caller holds the lock. */
     fun placementBegins() {
-        isPlacementAsked = false
+        isCycleRequested = false
     }
 
-    /** Waits until a pass is asked for, up to [ms]. */
+    /** Waits until a scheduling cycle is requested, at most [ms] milliseconds; takes the lock. */
     fun awaitPlacement(ms: Long) {
-        lock.withLock { if (!isPlacementAsked) placeable.await(ms, TimeUnit.MILLISECONDS) }
+        lock.withLock { if (!isCycleRequested) placeable.await(ms, TimeUnit.MILLISECONDS) }
     }
 
-    /** Waits until there is something to write, up to [ms]. */
+    /** Waits until there is something to write, at most [ms] milliseconds; takes the lock. */
     fun awaitWritable(ms: Long) {
         lock.withLock { writable.await(ms, TimeUnit.MILLISECONDS) }
     }
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -52,7 +52,7 @@
     private fun Assignment.shown(state: TaskState, cause: ExitCause? = null) = ReportedTask(taskName, attempt, state, cause)
 
     @Test
-    fun `a report that lacks a task, or is old, ends nothing`() {
+    fun `a heartbeat that lacks a task, or is old, ends nothing`() {
         heartbeat("vm-1", 0)
         val assignment = place(0, "vm-1", 0)
         assertTrue(heartbeat("vm-1", 100))
@@ -63,7 +63,7 @@
     }
 
     @Test
-    fun `what ended counts until the store has it`() {
+    fun `an ended assignment counts until the store has it`() {
         heartbeat("vm-1", 0)
         val assignment = place(0, "vm-1", 0)
         heartbeat("vm-1", 100, assignment.shown(TaskState.EXITED, ExitCause.STOPPED))
@@ -77,8 +77,8 @@
     }
 
     @Test
-    fun `a new session ends the tasks of the one before and has a lease of its own`() {
-        // A worker once told of its next session in the answer to a direct command, and was called dead too early.
+    fun `a new incarnation ends the tasks of the one before and has a lease of its own`() {
+        // A worker once showed its next incarnation in the answer to a direct command, and its lease was expired too early.
         heartbeat("vm-1", 0)
         val assignment = place(0, "vm-1", 0)
         heartbeat("vm-1", 50_000, incarnation = 2u)
@@ -87,7 +87,7 @@
     }
 
     @Test
-    fun `a deleted machine is not brought back by a late report`() {
+    fun `a deleted machine is not brought back by a late heartbeat`() {
         heartbeat("vm-1", 0)
         cluster.markDeleted(MachineId("vm-1"), MonotonicTime(100))
         assertFalse(heartbeat("vm-1", 200))
@@ -123,18 +123,18 @@
     }
 
     @Test
-    fun `to a leader just elected a late copy of a report proves nothing`() {
-        // It has heard nobody yet, so it cannot tell a copy from news: nothing may hang on which one it is.
+    fun `to a leader just elected a late copy of a heartbeat proves nothing`() {
+        // It has received no heartbeat yet, so it cannot tell a copy from news: nothing may depend on which one it is.
         val replay = JournalReplay(cluster, MonotonicTime(0))
         replay.started(TaskId(spec.id, 3), MachineId("vm-7"), WorkerIncarnation(3u), Attempt(9u), Zone("a"))
         assertTrue(heartbeat("vm-7", 100, incarnation = 2u))
         val assignment = job.live.get(3)
-        assertEquals(Phase.COMMITTED, assignment.phase, "a copy from an older session ended a newer one's task")
+        assertEquals(Phase.COMMITTED, assignment.phase, "a copy from an older incarnation ended a newer one's task")
         val machine = cluster.machines.getValue(MachineId("vm-7"))
         assertFalse(machine.usable(MonotonicTime(200)), "a machine that may be long gone would get work")
         assertTrue(heartbeat("vm-7", 300, assignment.shown(TaskState.RUNNING), incarnation = 3u))
         assertEquals(Phase.COMMITTED, assignment.phase)
-        assertFalse(heartbeat("vm-7", 400, incarnation = 2u), "a copy is no news once the machine was heard")
+        assertFalse(heartbeat("vm-7", 400, incarnation = 2u), "a copy is no news once a heartbeat has arrived")
         assertEquals(WorkerIncarnation(3u), machine.incarnation)
     }
 
@@ -168,6 +168,6 @@
         }
         assertEquals(3, cluster.machines.values.count { it.quarantined })
         assertFalse(job.poisoned)
-        assertTrue(job.notBefore <= MonotonicTime(0), "still backed off for its bad company")
+        assertTrue(job.notBefore <= MonotonicTime(0), "still backed off for the failures of a sick machine")
     }
 }
--- a/src/test/kotlin/mountmast/coordination/state/InvariantsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/InvariantsTest.kt
@@ -9,7 +9,7 @@
 
 class InvariantsTest {
     @Test
-    fun `a violation is counted and told, and the caller learns of it`() {
+    fun `a violation is counted and logged, and the caller learns of it`() {
         val metrics = Metrics()
         val invariants = Invariants(metrics)
         assertTrue(invariants.check(true) { throw AssertionError("asked for nothing") })
--- a/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
@@ -25,29 +25,29 @@
 
     private fun id(number: Int) = JobId("j-$number")
 
-    private fun record(number: Int, needs: List<JobId>, change: (JobSpec) -> JobSpec = { it }) = JobRecord(
+    private fun record(number: Int, prerequisites: List<JobId>, change: (JobSpec) -> JobSpec = { it }) = JobRecord(
         world.plainJob(number) {
-            change(it.copy(id = id(number), shape = Shape.ARRAY, tasks = 1, estimateS = 10.0, prerequisites = needs))
+            change(it.copy(id = id(number), shape = Shape.ARRAY, tasks = 1, estimateS = 10.0, prerequisites = prerequisites))
         },
         WallTime(0),
     )
 
-    private fun add(number: Int, vararg needs: Int, change: (JobSpec) -> JobSpec = { it }): Job {
-        val record = record(number, needs.map(::id), change)
-        return cluster.putJob(record, ModRevision(1u), now).also { dependencies.added(it, record, now) }
+    private fun add(number: Int, vararg prerequisites: Int, change: (JobSpec) -> JobSpec = { it }): Job {
+        val record = record(number, prerequisites.map(::id), change)
+        return cluster.putJob(record, ModRevision(1u), now).also { dependencies.addJob(it, record, now) }
     }
 
     private fun end(number: Int, status: JobStatus = JobStatus.DONE, at: Long = 0) {
         val record = FinishedJobRecord(status, 1, WallTime(at))
         cluster.jobs[id(number)]?.let { job ->
-            dependencies.removed(job)
+            dependencies.removeJob(job)
             cluster.removeJob(job, now)
         }
-        dependencies.ended(id(number), record, now)
+        dependencies.recordFinished(id(number), record, now)
     }
 
     @Test
-    fun `a job is released by the last of its prerequisites, and counts its waiting from then`() {
+    fun `a job is released by the last of its prerequisites, and its waiting time counts from then`() {
         add(1)
         add(2)
         val last = add(3, 1, 2)
@@ -62,11 +62,11 @@
     fun `what is not known to be done is waited for and looked up`() {
         val job = add(2, 1)
         assertFalse(job.isReleased)
-        assertEquals(listOf(id(1)), dependencies.takeUnresolved(10, now))
-        assertEquals(emptyList<JobId>(), dependencies.takeUnresolved(10, now))
-        assertEquals(listOf(id(1)), dependencies.takeUnresolved(10, now + 1000))
+        assertEquals(listOf(id(1)), dependencies.nextUnresolved(10, now))
+        assertEquals(emptyList<JobId>(), dependencies.nextUnresolved(10, now))
+        assertEquals(listOf(id(1)), dependencies.nextUnresolved(10, now + 1000))
         // A record that an earlier version wrote does not tell when the job ended.
-        dependencies.ended(id(1), FinishedJobRecord(JobStatus.DONE, 1), now)
+        dependencies.recordFinished(id(1), FinishedJobRecord(JobStatus.DONE, 1), now)
         assertTrue(job.isReleased)
         assertEquals(job.submitted, job.waitingFrom)
     }
@@ -75,7 +75,7 @@
     fun `a prerequisite that is read after its dependent is no longer looked up`() {
         val job = add(2, 1)
         add(1)
-        assertEquals(emptyList<JobId>(), dependencies.takeUnresolved(10, now))
+        assertEquals(emptyList<JobId>(), dependencies.nextUnresolved(10, now))
         end(1)
         assertTrue(job.isReleased)
     }
@@ -85,39 +85,39 @@
         add(1)
         val record = record(2, emptyList()).copy(prerequisiteList = PrerequisiteListRef("d", 1))
         val job = cluster.putJob(record, ModRevision(1u), now)
-        dependencies.added(job, record, now)
+        dependencies.addJob(job, record, now)
         assertFalse(job.isReleased)
-        assertEquals(listOf(id(2)), dependencies.unreadLists().map { it.spec.id })
-        dependencies.listRead(id(2), listOf(id(1)), now)
+        assertEquals(listOf(id(2)), dependencies.unreadLists.map { it.spec.id })
+        dependencies.addReadList(id(2), listOf(id(1)), now)
         assertFalse(job.isReleased)
         end(1)
         assertTrue(job.isReleased)
     }
 
     @Test
-    fun `a cancellation reaches the end of a long chain and all of a wide fan`() {
+    fun `a cancellation reaches the end of a long chain and all of a wide fan-out`() {
         add(0)
         val chain = (1..2000).map { add(it, it - 1) }
         val fan = (3001..5000).map { add(it, 1000) }
         cluster.jobs.getValue(id(0)).cancel(WallTime(0), recorded = true)
-        dependencies.cancelled(cluster.jobs.getValue(id(0)))
+        dependencies.cancelDependents(cluster.jobs.getValue(id(0)))
         assertTrue((chain + fan).all { it.cancelRecorded && it in cluster.finishing })
     }
 
     @Test
-    fun `a job that names a cancelled one is cancelled, whether that is live, just over or long over`() {
+    fun `a job that names a cancelled one is cancelled, whether that is live, just finished or long finished`() {
         add(1).cancel(WallTime(0), recorded = true)
         assertTrue(add(2, 1).cancelRecorded)
         end(1, JobStatus.CANCELLED)
         assertTrue(add(3, 1).cancelRecorded)
         val unknown = add(5, 4)
         assertFalse(unknown.cancelRecorded)
-        dependencies.ended(id(4), FinishedJobRecord(JobStatus.CANCELLED, 1), now)
+        dependencies.recordFinished(id(4), FinishedJobRecord(JobStatus.CANCELLED, 1), now)
         assertTrue(unknown.cancelRecorded)
     }
 
     @Test
-    fun `a notice alone, which no record bears out, cancels no dependent`() {
+    fun `a broadcast alone, which no record confirms, cancels no dependent`() {
         val first = add(1)
         val second = add(2, 1)
         first.cancel(WallTime(0), recorded = false)
@@ -126,7 +126,7 @@
     }
 
     @Test
-    fun `urgency and due time of the last job reach all before it, less what runs in between`() {
+    fun `urgency and due time of the last job are inherited by all before it, less what runs in between`() {
         val first = add(1)
         val side = add(2, 1)
         val middle = add(3, 1)
@@ -137,21 +137,21 @@
     }
 
     @Test
-    fun `they reach them in whatever order the jobs become known`() {
+    fun `inherited priorities do not depend on the order in which jobs become known`() {
         for (order in listOf(listOf(1, 2, 3, 4), listOf(4, 3, 2, 1), listOf(3, 1, 4, 2))) {
             val cluster = ClusterState(0.7)
             val dependencies = JobDependencies(cluster)
             for (number in order) {
-                val needs = if (number == 1) emptyList() else listOf(id(number - 1))
-                val record = record(number, needs) { if (number == 4) it.copy(deadlineS = 100.0) else it }
-                dependencies.added(cluster.putJob(record, ModRevision(1u), now), record, now)
+                val prerequisites = if (number == 1) emptyList() else listOf(id(number - 1))
+                val record = record(number, prerequisites) { if (number == 4) it.copy(deadlineS = 100.0) else it }
+                dependencies.addJob(cluster.putJob(record, ModRevision(1u), now), record, now)
             }
             assertEquals(70_000L, cluster.jobs.getValue(id(1)).effectiveDue?.ms, "$order")
         }
     }
 
     @Test
-    fun `what a cancelled dependent asked for is asked no more`() {
+    fun `what a cancelled dependent required is required no more`() {
         val first = add(1)
         val second = add(2, 1)
         add(3, 2) { it.copy(urgency = Urgency.HIGH, deadlineS = 100.0) }
@@ -171,7 +171,7 @@
             end(2 * number + 1)
         }
         assertTrue(cluster.jobs.isEmpty())
-        assertFalse(dependencies.isRememberedAsFinished(id(0)))
-        assertEquals(emptyList<JobId>(), dependencies.takeUnresolved(10, now + 10_000))
+        assertFalse(dependencies.isRecentlyFinished(id(0)))
+        assertEquals(emptyList<JobId>(), dependencies.nextUnresolved(10, now + 10_000))
     }
 }
