--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -4,6 +4,7 @@
 import mountmast.coordination.autoscaling.AutoscalingPolicy
 import mountmast.coordination.election.LeaderElection
 import mountmast.coordination.election.LeaseTiming
+import mountmast.coordination.election.VacancyWait
 import mountmast.coordination.jobs.JobRecordPrefetcher
 import mountmast.coordination.jobs.JobService
 import mountmast.coordination.membership.CancellationBroadcast
@@ -142,7 +143,7 @@
      * no more or one of the others is missing: the load balancer takes a node back ever more slowly.
      */
     private fun weighUsers() {
-        val leaderLease = election.leaderLease()
+        val leaderLease = election.leaderLease
         val others = membership.serving()
         declinesUsers = when {
             leaderLease == null || others < maxOf(MIN_OTHERS, settings.members.size) -> false
@@ -150,11 +151,11 @@
         }
     }
 
-    /** Waits while another node leads; false where there is nothing to wait for. */
-    fun awaitVacancy(waitMs: Long): Boolean = election.awaitVacancy(waitMs)
+    /** Waits up to [waitMs] while another node leads. */
+    fun awaitVacancy(waitMs: Long): VacancyWait = election.awaitVacancy(waitMs)
 
     private fun syncLeaderComponents() {
-        val leaderLease = election.leaderLease()
+        val leaderLease = election.leaderLease
         val current = leaderComponents.get()
         if (leaderLease == null) {
             if (current != null) {
@@ -240,7 +241,7 @@
 
     override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome {
         election.observeToken(heartbeat.token)
-        val leaderLease = election.leaderLease() ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat) ?: HeartbeatOutcome.Elsewhere(election.leader())
+        val leaderLease = election.leaderLease ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat) ?: HeartbeatOutcome.Elsewhere(election.leader)
         val leaderTerm = leaderComponents.get()?.leaderTerm
         if (!election.mayRenewWorkerLeases() || heartbeat.token.term > leaderLease.token.term) return HeartbeatOutcome.Elsewhere(null)
         if (leaderTerm == null || leaderTerm.leaderLease !== leaderLease || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Elsewhere(null)
@@ -259,7 +260,7 @@
         cancellations.committed(id)
         val leaderTerm = leaderComponents.get()?.leaderTerm
         if (leaderTerm != null) return leaderTerm.jobs.cancellationsHeard(listOf(id))
-        val leader = election.leader() ?: return
+        val leader = election.leader ?: return
         membership.exchangeHeartbeatIfAlive(leader)
     }
 
@@ -271,9 +272,9 @@
     private inner class OwnState : PeerMembership.Own {
         override fun ownHeartbeat() = PeerHeartbeat(
             settings.node.text,
-            election.highestToken().number.toLong(),
+            election.highestToken.number.toLong(),
             canServe(),
-            election.leaderLease() != null,
+            election.leaderLease != null,
             formatVersion = FORMAT_VERSION,
         )
 
--- a/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
@@ -38,7 +38,7 @@
     private class Totals(val answered: Long, val refused: Long, val storeCalls: Long, val storeFailures: Long)
 
     init {
-        metrics.gauge(MetricNames.RENEWAL_AGE) { election.renewalAgeMs() ?: NOT_LEADING }
+        metrics.gauge(MetricNames.RENEWAL_AGE) { election.renewalAgeMs ?: NOT_LEADING }
         metrics.gauge(MetricNames.PENDING_CHANGES) { ofTerm { it.cluster.pendingChanges.size } }
         metrics.gauge(MetricNames.LAST_WRITE_AGE) { ofTerm { term -> term.journal.writtenAt?.let { clock.now() - it } ?: NOT_LEADING } }
         metrics.gauge(MetricNames.MACHINES_UP) { ofTerm { term -> term.cluster.machines.values.count { it.state == MachineState.UP } } }
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -1,5 +1,6 @@
 package mountmast.coordination.controller
 
+import mountmast.coordination.election.VacancyWait
 import mountmast.protocol.Settings
 import mountmast.transport.AdmissionLimits
 import mountmast.transport.BoundedServer
@@ -64,7 +65,7 @@
     private fun startMembership() {
         loop("leadership") {
             controller.electionStep()
-            if (controller.awaitVacancy(ELECTION_STEP_MS)) ELECTION_GAP_MS else ELECTION_STEP_MS
+            if (controller.awaitVacancy(ELECTION_STEP_MS) == VacancyWait.WATCHED) ELECTION_GAP_MS else ELECTION_STEP_MS
         }
         var sleptAt = System.nanoTime()
         loop("pulse") {
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/election/LeaderKey.kt
@@ -0,0 +1,34 @@
+package mountmast.coordination.election
+
+import kotlinx.serialization.json.JsonElement
+import kotlinx.serialization.json.decodeFromJsonElement
+import mountmast.protocol.ModRevision
+import mountmast.protocol.WireJson
+import mountmast.storage.Keys
+import mountmast.storage.LeaderRecord
+import mountmast.storage.StateStore
+
+/** What the leader key says. It is attached to the leader's store lease and is deleted when that lease expires. */
+internal sealed interface LeaderKey {
+    /** No node leads. */
+    data object Vacant : LeaderKey
+
+    /** The value is of no known form, perhaps of a later version of this program. */
+    data object Unreadable : LeaderKey
+
+    /** The process named by [record] leads; [modRevision] is that of the key. */
+    data class Held(val record: LeaderRecord, val modRevision: ModRevision) : LeaderKey
+}
+
+/** Reads the leader key; throws [mountmast.storage.StoreException] if the store does not serve. */
+internal fun StateStore.readLeaderKey(): LeaderKey {
+    val entry = get(Keys.LEADER) ?: return LeaderKey.Vacant
+    val record = decodeLeaderRecord(entry.value) ?: return LeaderKey.Unreadable
+    return LeaderKey.Held(record, entry.modRevision)
+}
+
+private fun decodeLeaderRecord(value: JsonElement): LeaderRecord? = try {
+    WireJson.decodeFromJsonElement<LeaderRecord>(value)
+} catch (e: IllegalArgumentException) {
+    null
+}
--- a/src/main/kotlin/mountmast/coordination/election/LeaderLease.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaderLease.kt
@@ -6,12 +6,19 @@
 import mountmast.protocol.StoreLeaseId
 import mountmast.protocol.WallTime
 
-/** A time of leading: the term, and the version of the leader's key on which every write depends. */
+/**
+ * The lease by which a node leads for one term. Immutable; two terms of one node have different instances.
+ *
+ * @property token the first fencing token of the term
+ * @property modRevision revision of the leader key, which every write of the leader compares
+ * @property storeLease lease of the store to which the leader key is attached
+ * @property electedAt when this node learned of its election
+ * @property watermark low watermark of cancellations as the previous leader left it
+ */
 class LeaderLease(
     val token: FencingToken,
     val modRevision: ModRevision,
     val storeLease: StoreLeaseId,
     val electedAt: MonotonicTime,
-    /** Of cancellations, as the leader before left it. */
     val watermark: WallTime,
 )
