--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -107,7 +107,7 @@
         val leaderTerm = leaderComponents.get()?.leaderTerm
         // Cut off from the workers alone, in either direction, this node would renew for ever while their leases run out.
         val why = leaderTerm?.heartbeats?.resignationReason() ?: leaderTerm?.let(::whyUninformed)
-        if (leaderTerm != null && why != null && membership.serving() > 0) election.resign(leaderTerm.leaderLease, why)
+        if (leaderTerm != null && why != null && membership.countServing() > 0) election.resign(leaderTerm.leaderLease, why)
         syncLeaderComponents()
         weighUsers()
     }
@@ -144,7 +144,7 @@
      */
     private fun weighUsers() {
         val leaderLease = election.leaderLease
-        val others = membership.serving()
+        val others = membership.countServing()
         declinesUsers = when {
             leaderLease == null || others < maxOf(MIN_OTHERS, settings.members.size) -> false
             else -> declinesUsers || (lagMs > BUSY_LAG_MS && clock.now() - leaderLease.electedAt > SETTLING_MS)
@@ -257,7 +257,7 @@
 
     /** Before a user is told of a cancellation the leader is, if it can be reached, so that nothing of the job starts after it. */
     private fun tellCancelled(id: JobId) {
-        cancellations.committed(id)
+        cancellations.broadcast(id)
         val leaderTerm = leaderComponents.get()?.leaderTerm
         if (leaderTerm != null) return leaderTerm.jobs.cancellationsHeard(listOf(id))
         val leader = election.leader ?: return
@@ -269,7 +269,7 @@
 
     override fun onPeerHeartbeat(from: PeerHeartbeat): PeerHeartbeat = membership.onHeartbeat(from)
 
-    private inner class OwnState : PeerMembership.Own {
+    private inner class OwnState : PeerMembership.LocalNode {
         override fun ownHeartbeat() = PeerHeartbeat(
             settings.node.text,
             election.highestToken.number.toLong(),
@@ -279,11 +279,11 @@
         )
 
         override fun onPeerHeartbeat(peerHeartbeat: PeerHeartbeat) {
-            formats.heard(NodeId(peerHeartbeat.node), peerHeartbeat.formatVersion)
+            formats.recordVersion(NodeId(peerHeartbeat.node), peerHeartbeat.formatVersion)
             election.observeToken(FencingToken(peerHeartbeat.token.toULong()))
             val cancelled = peerHeartbeat.cancelled.mapNotNull(JobId::parse)
             if (cancelled.isEmpty()) return
-            cancellations.heard(cancelled)
+            cancellations.receive(cancelled)
             leaderComponents.get()?.leaderTerm?.jobs?.cancellationsHeard(cancelled)
         }
     }
@@ -295,7 +295,7 @@
      * a node that called itself unready would only be passed over for longer once the trouble is past; and one that
      * has not asked the others yet cannot tell.
      */
-    private fun ready(): Boolean = if (canServe()) !declinesUsers else membership.hasExchangedHeartbeats && membership.serving() == 0
+    private fun ready(): Boolean = if (canServe()) !declinesUsers else membership.hasExchangedHeartbeats && membership.countServing() == 0
 
     private companion object {
         const val CONFIRMED_MS = 2500L
--- a/src/main/kotlin/mountmast/coordination/membership/CancellationBroadcast.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/CancellationBroadcast.kt
@@ -4,58 +4,61 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
+import java.util.concurrent.locks.ReentrantLock
+import kotlin.concurrent.withLock
 
 /**
- * Cancellations that the nodes tell one another of. The state service may refuse the leader alone, and then everybody, just
- * after another node has committed some; so that node tells all others, again with each greeting until one is answered.
+ * Cancellations that the nodes broadcast to one another. The store may refuse the leader alone, and then everybody, just after
+ * another node has committed some; so that node sends them to all [members] with each peer heartbeat until one is acknowledged.
  *
- * A notice may be lost and a node may end, so no rule rests on them: they only stop tasks sooner than the
- * bound on answers of those who cannot know does (`LeaseTiming.informedMs`).
+ * A broadcast may be lost and its sender may end, so correctness never depends on one: it only stops tasks sooner than
+ * the bound on renewals by nodes that do not know the cancellation (`LeaseTiming.informedMs`).
+ *
+ * Thread-safe; every field is guarded by [lock]. A cancellation is remembered for [retentionMs] milliseconds.
  */
-class CancellationBroadcast(private val members: List<NodeId>, private val clock: Clock, private val keepMs: Long) {
-    private val lock = Any()
+class CancellationBroadcast(members: List<NodeId>, private val clock: Clock, private val retentionMs: Long) {
+    private val lock = ReentrantLock()
     private val pending = members.associateWith { LinkedHashSet<JobId>() }
     private val known = LinkedHashMap<JobId, MonotonicTime>()
 
-    /** This node committed the cancellation of [id]. */
-    fun committed(id: JobId): Unit = synchronized(lock) {
-        if (known.containsKey(id)) return
+    /** Queues the cancellation of [id], which this node committed, for all members. */
+    fun broadcast(id: JobId): Unit = lock.withLock {
+        if (id in known) return
         remember(id)
-        for (waiting in pending.values) {
-            waiting += id
-            if (waiting.size > MAX_PENDING) waiting.remove(waiting.first())
+        for (queue in pending.values) {
+            queue += id
+            if (queue.size > MAX_PENDING) queue.remove(queue.first())
         }
     }
 
-    /** Another node committed the cancellations of [ids]. */
-    fun heard(ids: List<JobId>): Unit = synchronized(lock) { ids.forEach(::remember) }
+    /** Remembers the cancellations of [ids], which another node broadcast. */
+    fun receive(ids: List<JobId>): Unit = lock.withLock { ids.forEach(::remember) }
 
     private fun remember(id: JobId) {
         val now = clock.now()
         known[id] = now
-        val oldest = known.entries.iterator()
-        while (oldest.hasNext()) {
-            val entry = oldest.next()
-            if (now - entry.value <= keepMs && known.size <= MAX_KNOWN) break
-            oldest.remove()
+        val oldestFirst = known.entries.iterator()
+        while (oldestFirst.hasNext()) {
+            val entry = oldestFirst.next()
+            if (now - entry.value <= retentionMs && known.size <= MAX_KNOWN) break
+            oldestFirst.remove()
         }
     }
 
-    /** Whether the job is known to be cancelled, by a notice of the last while. */
-    operator fun contains(id: JobId): Boolean = synchronized(lock) { id in known }
-
-    /** All that is known of the last while. */
-    fun all(): List<JobId> = synchronized(lock) { known.keys.toList() }
+    /** Returns whether the job is known to be cancelled, by a broadcast of this node or another that is still remembered. */
+    operator fun contains(id: JobId): Boolean = lock.withLock { id in known }
 
-    /** What [member] has still to be told, the oldest first. */
-    fun pendingFor(member: NodeId): List<JobId> = synchronized(lock) { pending[member].orEmpty().take(MAX_AT_ONCE) }
+    /** Returns the cancellations that [member] has not acknowledged, the oldest first, at most as many as one heartbeat carries. */
+    fun pendingFor(member: NodeId): List<JobId> = lock.withLock { pending[member].orEmpty().take(MAX_PER_HEARTBEAT) }
 
-    /** [member] answered a greeting with [ids]. */
-    fun acknowledged(member: NodeId, ids: List<JobId>): Unit = synchronized(lock) { pending[member]?.removeAll(ids.toSet()) }
+    /** Records that [member] answered a heartbeat that carried the cancellations of [ids]. */
+    fun acknowledge(member: NodeId, ids: List<JobId>) {
+        lock.withLock { pending[member]?.removeAll(ids.toSet()) }
+    }
 
     private companion object {
-        /** Some 10 KB of a greeting. */
-        const val MAX_AT_ONCE = 500
+        /** Some 10 KB of a heartbeat. */
+        const val MAX_PER_HEARTBEAT = 500
         const val MAX_PENDING = 5000
         const val MAX_KNOWN = 10_000
     }
--- a/src/main/kotlin/mountmast/coordination/membership/FormatNegotiation.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/FormatNegotiation.kt
@@ -21,62 +21,67 @@
 private val log = LoggerFactory.getLogger("mountmast.formats")
 
 /**
- * Whether every node of the deployment reads the forms of [FORMAT_VERSION], so that those may be written. During an
- * upgrade processes of two versions work on the same data, and one that ends before its turn comes back old and may lead.
+ * Negotiates whether every node of the deployment reads [FORMAT_VERSION], so that records of that version may be written. During an
+ * upgrade processes of two versions work on the same data, and one that ends before its upgrade restarts as the old version and
+ * may lead.
  *
- * Each node tells its version in its greetings. Whoever has heard it from all others writes that down in the state service,
- * from where all learn it, also after a restart. An exchanged process never comes back old, so what is known once stays so.
+ * Each node sends its version in its peer heartbeats. A node that has received the current version from all [members] stores
+ * that, and every node reads it there, also after a restart. An upgraded process never restarts as the old version, so the
+ * result holds for good.
  *
- * [step] belongs to one thread; [heard] and [isCurrent] to any.
+ * [step] is confined to one thread; [recordVersion] and [isCurrent] are thread-safe, without a lock.
  */
 class FormatNegotiation(private val store: StateStore, private val members: List<NodeId>) {
     private val currentMembers = ConcurrentHashMap.newKeySet<NodeId>()
 
-    /** Version of the stored record as it was last read, or null where it has to be read before anything is written. */
+    /** Revision of the stored record when it was last read, or null if it must be read before it may be written. */
     private var storedModRevision: ModRevision? = null
     private var stepsSinceRead = 0
 
-    /** Whether every node of the deployment is known to read the current forms; never false again once it was true. */
+    /** Whether every node of the deployment is known to read [FORMAT_VERSION]; stays true once it is. */
     @Volatile
     var isCurrent = members.isEmpty()
         private set
 
-    /** A greeting of [member] told that it reads the forms of [formatVersion]. */
-    fun heard(member: NodeId, formatVersion: Int) {
+    /** Records that a heartbeat of [member] named [formatVersion] as the version that it reads; 0 if it named none. */
+    fun recordVersion(member: NodeId, formatVersion: Int) {
         if (formatVersion >= FORMAT_VERSION && member in members) currentMembers += member
     }
 
-    /** Makes at most one call to the state service, until all nodes are known to be current; called about once a second. */
+    /**
+     * Continues the negotiation until all nodes are known to be current, by at most one call to the store. Called about once a
+     * second; a store that does not serve is asked again by a later step.
+     */
     fun step() {
-        // A call that is not answered would hold up renewals.
+        // A call that is not answered would delay what else its thread has to do.
         if (isCurrent || !store.isReachable) return
         try {
             val modRevision = storedModRevision
             when {
-                modRevision == null -> read()
-                currentMembers.containsAll(members) -> write(modRevision)
-                ++stepsSinceRead >= READ_EVERY_STEPS -> read()
+                modRevision == null -> readStoredVersion()
+                currentMembers.containsAll(members) -> writeStoredVersion(modRevision)
+                ++stepsSinceRead >= READ_EVERY_STEPS -> readStoredVersion()
             }
         } catch (e: StoreException) {
-            // A write without an answer may have been carried out, or still be.
+            // A write without an answer may have been committed, or may still be.
             storedModRevision = null
-            log.debug("agreement on forms: {}", e.message)
+            log.debug("format negotiation: {}", e.message)
         }
     }
 
-    private fun read() {
+    private fun readStoredVersion() {
         val entry = store.get(Keys.FORMAT)
         stepsSinceRead = 0
-        val version = if (entry == null) 0 else decode(entry.value)
+        val version = if (entry == null) 0 else decodeVersion(entry.value)
         when {
-            version == null -> log.warn("the record of the agreed forms is unreadable")
+            version == null -> log.warn("the record of the negotiated format is unreadable")
             version >= FORMAT_VERSION -> becomeCurrent()
             else -> storedModRevision = entry?.modRevision ?: ModRevision.ABSENT
         }
     }
 
-    /** Depends on the version that was read, so that a late write cannot undo what a later version of the code wrote. */
-    private fun write(modRevision: ModRevision) {
+    /** Compares the revision that was read, so that a late write cannot overwrite what a later version of the code wrote. */
+    private fun writeStoredVersion(modRevision: ModRevision) {
         val record = WireJson.encodeToJsonElement(FormatRecord(FORMAT_VERSION))
         val transaction = Transaction(listOf(Compare(Keys.FORMAT, modRevision)), listOf(Write.Put(Keys.FORMAT, record)))
         when (store.commit(transaction)) {
@@ -87,10 +92,11 @@
 
     private fun becomeCurrent() {
         isCurrent = true
-        log.info("all nodes read forms of version {}", FORMAT_VERSION)
+        log.info("all nodes read format version={}", FORMAT_VERSION)
     }
 
-    private fun decode(value: JsonElement): Int? = try {
+    /** Returns null if [value] is of no known form. */
+    private fun decodeVersion(value: JsonElement): Int? = try {
         WireJson.decodeFromJsonElement<FormatRecord>(value).version
     } catch (e: IllegalArgumentException) {
         null
--- a/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
@@ -10,75 +10,80 @@
 import mountmast.transport.UserAnswer
 import java.util.concurrent.ConcurrentHashMap
 
-/** What the other nodes said of themselves lately, and requests passed on to one that can serve them. Thread-safe. */
+/**
+ * Exchanges heartbeats with the other nodes, remembers their latest ones and forwards requests to a node that can serve them.
+ * Thread-safe, without a lock; a peer that cannot be reached is left out, without an exception.
+ */
 class PeerMembership(
     private val members: List<Member>,
     private val peers: PeerClient,
     private val cancellations: CancellationBroadcast,
     private val clock: Clock,
-    private val own: Own,
+    private val localNode: LocalNode,
 ) {
-    /** This node, as it greets and takes greetings. */
-    interface Own {
-        /** What this node says of itself. */
+    /** This node, as a sender and receiver of peer heartbeats. */
+    interface LocalNode {
+        /** Returns the heartbeat that this node sends now, without cancellations. */
         fun ownHeartbeat(): PeerHeartbeat
 
-        /** Another node said [heartbeat], by itself or in answer. */
-        fun onPeerHeartbeat(heartbeat: PeerHeartbeat)
+        /** Called with each [peerHeartbeat] that another node sends, by itself or as a response. */
+        fun onPeerHeartbeat(peerHeartbeat: PeerHeartbeat)
     }
 
-    private class ReceivedHeartbeat(val heartbeat: PeerHeartbeat, val at: MonotonicTime)
+    private class ReceivedHeartbeat(val heartbeat: PeerHeartbeat, val receivedAt: MonotonicTime)
 
-    private val heard = ConcurrentHashMap<NodeId, ReceivedHeartbeat>()
+    private val latestHeartbeats = ConcurrentHashMap<NodeId, ReceivedHeartbeat>()
 
-    /** Whether all others were greeted once: before, this node cannot tell whether any of them serves. */
+    /** Whether all other nodes were sent a heartbeat once; until then it is unknown whether any of them serves. */
     @Volatile
     var hasExchangedHeartbeats = false
         private set
 
-    /** How many other nodes serve users, as far as is known. */
-    fun serving(): Int = fresh().count { it.serves }
+    /** Returns how many other nodes serve users, by their heartbeats of the last six seconds. */
+    fun countServing(): Int = freshHeartbeats().count { it.serves }
 
-    private fun fresh(): List<PeerHeartbeat> = heard.values.filter { clock.now() - it.at < FRESH_MS }.map { it.heartbeat }
+    private fun freshHeartbeats(): List<PeerHeartbeat> =
+        latestHeartbeats.values.filter { clock.now() - it.receivedAt < FRESH_MS }.map { it.heartbeat }
 
-    /** Greets all other nodes. */
+    /** Exchanges heartbeats with all other nodes, one after another. */
     fun exchangeHeartbeats() {
         members.forEach(::exchangeHeartbeatWith)
         hasExchangedHeartbeats = true
     }
 
-    /** Greets [node] out of turn, if it was heard from lately. */
+    /** Exchanges heartbeats with [node] at once, unless it has been silent lately. */
     fun exchangeHeartbeatIfAlive(node: NodeId) {
-        if (fresh().any { it.node == node.text }) members.firstOrNull { it.node == node }?.let(::exchangeHeartbeatWith)
+        if (freshHeartbeats().any { it.node == node.text }) members.firstOrNull { it.node == node }?.let(::exchangeHeartbeatWith)
     }
 
     private fun exchangeHeartbeatWith(member: Member) {
-        val told = cancellations.pendingFor(member.node)
-        val answer = peers.exchangeHeartbeats(member, own.ownHeartbeat().copy(cancelled = told.map { it.text })) ?: return
-        cancellations.acknowledged(member.node, told)
-        note(answer)
+        val cancelled = cancellations.pendingFor(member.node)
+        val response = peers.exchangeHeartbeats(member, localNode.ownHeartbeat().copy(cancelled = cancelled.map { it.text })) ?: return
+        cancellations.acknowledge(member.node, cancelled)
+        recordHeartbeat(response)
     }
 
-    /** Another node greets; returns this node's greeting. */
+    /** Records the heartbeat of another node and returns this node's own. */
     fun onHeartbeat(from: PeerHeartbeat): PeerHeartbeat {
-        note(from)
-        return own.ownHeartbeat()
+        recordHeartbeat(from)
+        return localNode.ownHeartbeat()
     }
 
-    private fun note(heartbeat: PeerHeartbeat) {
-        heard[NodeId(heartbeat.node)] = ReceivedHeartbeat(heartbeat, clock.now())
-        own.onPeerHeartbeat(heartbeat)
+    private fun recordHeartbeat(heartbeat: PeerHeartbeat) {
+        latestHeartbeats[NodeId(heartbeat.node)] = ReceivedHeartbeat(heartbeat, clock.now())
+        localNode.onPeerHeartbeat(heartbeat)
     }
 
-    /** Has another node serve [request]; null where none can. */
+    /** Forwards [request] to another node and returns its answer. Returns null if no node serves or that one does not answer. */
     fun forward(request: ForwardedRequest): UserAnswer? {
-        val able = fresh().firstOrNull { it.serves } ?: return null
-        val member = members.firstOrNull { it.node.text == able.node } ?: return null
-        val answer = peers.forward(member, request) ?: return null
-        return UserAnswer(answer.status, answer.body, answer.retryAfterS)
+        val serving = freshHeartbeats().firstOrNull { it.serves } ?: return null
+        val member = members.firstOrNull { it.node.text == serving.node } ?: return null
+        val response = peers.forward(member, request) ?: return null
+        return UserAnswer(response.status, response.body, response.retryAfterS)
     }
 
     private companion object {
+        /** Three intervals of peer heartbeats. */
         const val FRESH_MS = 6000L
     }
 }
--- a/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
@@ -33,13 +33,13 @@
     private val third = NodeId("node-2")
     private val members = listOf(other, third)
 
-    private fun agreement(at: StateStore = store) = FormatNegotiation(at, members)
+    private fun negotiation(at: StateStore = store) = FormatNegotiation(at, members)
 
-    private fun FormatNegotiation.hearAll() = members.forEach { heard(it, FORMAT_VERSION) }
+    private fun FormatNegotiation.recordAllMembersAsCurrent() = members.forEach { recordVersion(it, FORMAT_VERSION) }
 
     private fun FormatNegotiation.steps(count: Int) = repeat(count) { step() }
 
-    private fun stored(): JsonElement? = store.get(Keys.FORMAT)?.value
+    private fun storedRecord(): JsonElement? = store.get(Keys.FORMAT)?.value
 
     private fun put(value: JsonElement, modRevision: ModRevision = ModRevision.ABSENT) {
         val outcome = store.commit(Transaction(listOf(Compare(Keys.FORMAT, modRevision)), listOf(Write.Put(Keys.FORMAT, value))))
@@ -49,7 +49,7 @@
     private fun record(version: Int) = WireJson.encodeToJsonElement(FormatRecord(version))
 
     @Test
-    fun `a deployment of one node is current at once, without asking`() {
+    fun `a deployment of one node is current at once, without a request to the store`() {
         val alone = FormatNegotiation(store, emptyList())
         assertTrue(alone.isCurrent)
         alone.steps(20)
@@ -57,75 +57,75 @@
     }
 
     @Test
-    fun `no node is current before it has heard all others at the current version`() {
-        val formats = agreement()
-        formats.steps(5)
-        formats.heard(other, FORMAT_VERSION)
-        formats.steps(5)
-        formats.heard(third, 0)
-        formats.steps(5)
-        formats.heard(third, FORMAT_VERSION - 1)
-        formats.heard(NodeId("node-9"), FORMAT_VERSION)
-        formats.steps(30)
-        assertFalse(formats.isCurrent)
-        assertEquals(null, stored())
+    fun `no node is current before it has recorded the current version of all others`() {
+        val negotiation = negotiation()
+        negotiation.steps(5)
+        negotiation.recordVersion(other, FORMAT_VERSION)
+        negotiation.steps(5)
+        negotiation.recordVersion(third, 0)
+        negotiation.steps(5)
+        negotiation.recordVersion(third, FORMAT_VERSION - 1)
+        negotiation.recordVersion(NodeId("node-9"), FORMAT_VERSION)
+        negotiation.steps(30)
+        assertFalse(negotiation.isCurrent)
+        assertEquals(null, storedRecord())
     }
 
     @Test
-    fun `a node that has heard all others writes it down, and a restarted one need not hear them`() {
-        val formats = agreement()
-        formats.hearAll()
-        formats.steps(2)
-        assertTrue(formats.isCurrent)
-        assertEquals(record(FORMAT_VERSION), stored())
-        val restarted = agreement()
+    fun `a node that knows all others to be current stores that, and a restarted one reads it`() {
+        val negotiation = negotiation()
+        negotiation.recordAllMembersAsCurrent()
+        negotiation.steps(2)
+        assertTrue(negotiation.isCurrent)
+        assertEquals(record(FORMAT_VERSION), storedRecord())
+        val restarted = negotiation()
         assertFalse(restarted.isCurrent)
         restarted.step()
         assertTrue(restarted.isCurrent)
     }
 
     @Test
-    fun `a member heard at the current version stays so, though a late greeting of its old process arrives`() {
-        val formats = agreement()
-        formats.hearAll()
-        formats.heard(other, 0)
-        formats.steps(2)
-        assertTrue(formats.isCurrent)
+    fun `a member recorded as current stays so, though a late heartbeat of its old process arrives`() {
+        val negotiation = negotiation()
+        negotiation.recordAllMembersAsCurrent()
+        negotiation.recordVersion(other, 0)
+        negotiation.steps(2)
+        assertTrue(negotiation.isCurrent)
     }
 
     @Test
-    fun `a node that hears nobody learns it from the store now and then`() {
-        val formats = agreement()
-        formats.steps(3)
+    fun `a node without heartbeats reads the result from the store now and then`() {
+        val negotiation = negotiation()
+        negotiation.steps(3)
         put(record(FORMAT_VERSION))
-        formats.steps(11)
-        assertTrue(formats.isCurrent)
+        negotiation.steps(11)
+        assertTrue(negotiation.isCurrent)
     }
 
     @Test
-    fun `each step asks at most once, few ask at all, and none once all are current`() {
-        val formats = agreement()
+    fun `each step makes at most one request, few make any, and none once all are current`() {
+        val negotiation = negotiation()
         var before = 0
         repeat(100) {
-            formats.step()
+            negotiation.step()
             assertTrue(standIn.requests - before <= 1)
             before = standIn.requests
         }
         assertTrue(standIn.requests <= 11, "${standIn.requests} requests in 100 steps")
-        formats.hearAll()
-        formats.step()
-        assertTrue(formats.isCurrent)
+        negotiation.recordAllMembersAsCurrent()
+        negotiation.step()
+        assertTrue(negotiation.isCurrent)
         before = standIn.requests
-        formats.steps(100)
+        negotiation.steps(100)
         assertEquals(before, standIn.requests)
     }
 
     @Test
-    fun `one of two nodes that write at once meets a conflict and reads`() {
-        val one = agreement()
-        val two = agreement()
-        one.hearAll()
-        two.hearAll()
+    fun `of two nodes that write at once one fails its compare and reads`() {
+        val one = negotiation()
+        val two = negotiation()
+        one.recordAllMembersAsCurrent()
+        two.recordAllMembersAsCurrent()
         one.step()
         two.step()
         one.step()
@@ -138,29 +138,29 @@
     }
 
     @Test
-    fun `a write whose answer is lost is read back, or made again where it was lost itself`() {
+    fun `a write whose answer is lost is read back, or repeated if it was lost itself`() {
         for (seed in 1L..40L) {
             val lossy = Trouble(time).apply { lossRate = 0.6 }
             val here = StandInStore(time).View(Random(seed), lossy)
-            val formats = agreement(here)
-            formats.hearAll()
+            val negotiation = negotiation(here)
+            negotiation.recordAllMembersAsCurrent()
             repeat(200) {
-                formats.step()
+                negotiation.step()
                 time.advance(1000)
             }
-            assertTrue(formats.isCurrent, "seed $seed")
+            assertTrue(negotiation.isCurrent, "seed $seed")
             assertEquals(record(FORMAT_VERSION), here.get(Keys.FORMAT)?.value, "seed $seed")
         }
     }
 
     @Test
-    fun `late writes neither fail an agreement nor lower a later version`() {
+    fun `late writes neither fail a negotiation nor lower a later version`() {
         for (seed in 1L..40L) {
             val late = Trouble(time).apply { lateWritesUntil = time.now + 60_000 }
             val here = StandInStore(time).View(Random(seed), late)
-            val formats = agreement(here)
-            formats.hearAll()
-            formats.steps(2)
+            val negotiation = negotiation(here)
+            negotiation.recordAllMembersAsCurrent()
+            negotiation.steps(2)
             val entry = here.get(Keys.FORMAT)
             while (true) {
                 val compare = Compare(Keys.FORMAT, entry?.modRevision ?: ModRevision.ABSENT)
@@ -169,49 +169,49 @@
             }
             repeat(60) {
                 time.advance(1000)
-                formats.step()
+                negotiation.step()
             }
-            assertTrue(formats.isCurrent, "seed $seed")
+            assertTrue(negotiation.isCurrent, "seed $seed")
             assertEquals(record(FORMAT_VERSION + 1), here.get(Keys.FORMAT)?.value, "seed $seed")
         }
     }
 
     @Test
-    fun `what a later version agreed on is current, and an older agreement is raised`() {
+    fun `a stored later version is current, and a stored older version is raised`() {
         put(record(FORMAT_VERSION - 1))
-        val formats = agreement()
-        formats.steps(20)
-        assertFalse(formats.isCurrent)
-        formats.hearAll()
-        formats.step()
-        assertTrue(formats.isCurrent)
-        assertEquals(record(FORMAT_VERSION), stored())
+        val negotiation = negotiation()
+        negotiation.steps(20)
+        assertFalse(negotiation.isCurrent)
+        negotiation.recordAllMembersAsCurrent()
+        negotiation.step()
+        assertTrue(negotiation.isCurrent)
+        assertEquals(record(FORMAT_VERSION), storedRecord())
         put(record(FORMAT_VERSION + 1), checkNotNull(store.get(Keys.FORMAT)).modRevision)
-        assertTrue(agreement().apply { step() }.isCurrent)
+        assertTrue(negotiation().apply { step() }.isCurrent)
     }
 
     @Test
     fun `an unreadable record is left alone, and nobody is current`() {
         put(JsonPrimitive("later"))
-        val formats = agreement()
-        formats.hearAll()
-        formats.steps(20)
-        assertFalse(formats.isCurrent)
-        assertEquals(JsonPrimitive("later"), stored())
+        val negotiation = negotiation()
+        negotiation.recordAllMembersAsCurrent()
+        negotiation.steps(20)
+        assertFalse(negotiation.isCurrent)
+        assertEquals(JsonPrimitive("later"), storedRecord())
     }
 
     @Test
-    fun `a state service that does not answer is not asked`() {
-        val formats = agreement()
+    fun `a store that does not answer gets no requests`() {
+        val negotiation = negotiation()
         standIn.outage(20_000)
-        formats.step()
+        negotiation.step()
         val before = standIn.requests
-        formats.steps(10)
+        negotiation.steps(10)
         assertEquals(before, standIn.requests)
     }
 
     @Test
-    fun `three nodes agree within seconds, and again after all were restarted`() {
+    fun `three nodes become current within seconds, and again after all were restarted`() {
         val world = World(1, quietNetwork = true)
         world.run(12_000, busy = false)
         assertTrue(world.seats.all { it.controller?.formats?.isCurrent == true })
