--- a/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination.autoscaling
 
-import mountmast.coordination.scheduling.Waiting
+import mountmast.coordination.scheduling.UnplacedTasks
 import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.TermSignals
 import mountmast.protocol.MachineTypes
@@ -17,7 +17,7 @@
     var pendingTypes: MachineTypes?
 
     /** Open tasks that found no machine when tasks were last placed. */
-    val waiting: List<Waiting>
+    val unplacedTasks: List<UnplacedTasks>
 
     /** How long a machine may hear nothing before it is returned, in milliseconds. */
     val unreachedPatienceMs: Long
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
@@ -26,9 +26,9 @@
     fun plan(now: MonotonicTime): Map<MachineOffering, Int> {
         history.decay()
         val round = Round(now, history.lateOffers(now))
-        for (waiting in context.waiting) {
-            val job = cluster.jobs[waiting.job] ?: continue
-            if (!job.poisoned) round.cover(job, waiting.tasks)
+        for (unplaced in context.unplacedTasks) {
+            val job = cluster.jobs[unplaced.job] ?: continue
+            if (!job.poisoned) round.cover(job, unplaced.count)
         }
         return round.rentals
     }
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -7,7 +7,7 @@
 import mountmast.coordination.persistence.PersistenceContext
 import mountmast.coordination.persistence.StateLoader
 import mountmast.coordination.scheduling.SchedulingPolicy
-import mountmast.coordination.scheduling.Waiting
+import mountmast.coordination.scheduling.UnplacedTasks
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Invariants
@@ -87,7 +87,7 @@
     val ready: Boolean get() = heartbeats.takenFrom != null
 
     /** Open tasks that found no machine in the last pass; the caller holds the lock. */
-    override val waiting: List<Waiting> get() = schedulingCycle.waiting
+    override val unplacedTasks: List<UnplacedTasks> get() = schedulingCycle.waiting
 
     /** How long a machine may hear nothing before it is returned. */
     override val unreachedPatienceMs: Long get() = 2 * timing.leaseExpiryMs
--- a/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
@@ -73,9 +73,9 @@
             settings = settings.copy(
                 policy = when (element) {
                     "smoothing" -> policy.copy(smoothing = number(element, 0.01, 1.0))
-                    "borrowing" -> policy.copy(borrowing = number(element, 1.0, 100.0))
+                    "borrowing" -> policy.copy(borrowingFactor = number(element, 1.0, 100.0))
                     "overhead-weight" -> policy.copy(overheadWeight = number(element, 0.0, 100.0))
-                    "fragment-weight" -> policy.copy(fragmentWeight = number(element, 0.0, 100.0))
+                    "fragment-weight" -> policy.copy(fragmentationWeight = number(element, 0.0, 100.0))
                     "pass-ms" -> policy.copy(cycleMs = whole(element, 50, 60_000).toLong())
                     "run-decay" -> policy.copy(runDecay = number(element, 0.0, 0.99))
                     "evictions-per-pass" -> policy.copy(preemptionsPerCycle = whole(element, 0, 1000))
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -1,11 +1,11 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.scheduling.Plan
 import mountmast.coordination.scheduling.Preemption
 import mountmast.coordination.scheduling.Scheduler
+import mountmast.coordination.scheduling.SchedulingPlan
 import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.coordination.scheduling.Start
-import mountmast.coordination.scheduling.Waiting
+import mountmast.coordination.scheduling.UnplacedTasks
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Job
@@ -39,7 +39,7 @@
     private var tidiedAt = MonotonicTime(Long.MIN_VALUE / 2)
 
     /** Open tasks that found no machine in the last pass. */
-    var waiting: List<Waiting> = emptyList()
+    var waiting: List<UnplacedTasks> = emptyList()
         private set
 
     /** One pass, of a leader that has read its state at [readyAt]. */
@@ -50,21 +50,21 @@
         if (now - tidiedAt >= TIDY_MS) tidy(readyAt, now)
         val plan = scheduler.plan(snapshots.take(now, assurance))
         assurance = plan.assurance
-        waiting = plan.waiting
+        waiting = plan.unplaced
         for (start in plan.starts) place(start, plan, now)
         for (preemption in plan.preemptions) preempt(preemption, now)
         for (reservation in plan.reservations) reserve(reservation.machine, reservation.forJob, now)
         if (cluster.pendingChanges.isNotEmpty()) signals.wakeWriter()
     }
 
-    private fun place(start: Start, plan: Plan, now: MonotonicTime) {
+    private fun place(start: Start, plan: SchedulingPlan, now: MonotonicTime) {
         val job = cluster.jobs[start.job]?.takeIf { it.isReleased } ?: return
         val machine = cluster.machines[start.machine] ?: return
         if (log.isDebugEnabled) tellStart(start, job, machine, plan)
         cluster.assign(job, start.index, machine, now)
     }
 
-    private fun tellStart(start: Start, job: Job, machine: Machine, plan: Plan) = log.debug(
+    private fun tellStart(start: Start, job: Job, machine: Machine, plan: SchedulingPlan) = log.debug(
         "{}/{} to {}, which {} its image; team {} has degree {}",
         start.job,
         start.index,
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -1,11 +1,14 @@
 package mountmast.coordination.controller
 
 import mountmast.coordination.election.LeaseTiming
+import mountmast.coordination.scheduling.AssignedTask
 import mountmast.coordination.scheduling.ClusterSnapshot
+import mountmast.coordination.scheduling.JobTasks
+import mountmast.coordination.scheduling.JobTiming
 import mountmast.coordination.scheduling.JobView
 import mountmast.coordination.scheduling.MachineIndex
+import mountmast.coordination.scheduling.MachineKind
 import mountmast.coordination.scheduling.MachineView
-import mountmast.coordination.scheduling.Resident
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Job
@@ -39,7 +42,7 @@
         var usedInPass = 0L
 
         fun isCurrent(machine: Machine, type: MachineType) =
-            this.machine === machine && changes == machine.changes && view.type === type && !view.isPlanned
+            this.machine === machine && changes == machine.changes && view.type === type && !view.isModifiedByPlan
     }
 
     private val cachedViews = LinkedHashMap<MachineId, CachedView>()
@@ -79,7 +82,7 @@
             cachedViews[machine.id] = kept
             index.add(kept.view)
         } else {
-            kept.view.forgetResidents()
+            kept.view.invalidateAssignedTasks()
         }
         kept.usedInPass = passes
         return kept.view
@@ -87,7 +90,7 @@
 
     private fun view(machine: Machine, type: MachineType, zone: Zone): MachineView {
         val images = HashSet(machine.images.keys)
-        return MachineView(machine.id, type, zone, machine.spot, type.capacity - machine.used, images, machine.reservedFor) {
+        return MachineView(machine.id, MachineKind(type, zone, machine.spot), type.capacity - machine.used, images, machine.reservedFor) {
             val now = clock.now()
             machine.live.values.map { resident(it, now) }
         }
@@ -110,9 +113,9 @@
         return maxOf(estimate - elapsed, estimate * MIN_REMAINING)
     }
 
-    private fun resident(assignment: Assignment, now: MonotonicTime): Resident {
+    private fun resident(assignment: Assignment, now: MonotonicTime): AssignedTask {
         val job = assignment.job
-        return Resident(
+        return AssignedTask(
             TaskId(job.id, assignment.index),
             job.schedulingSpec,
             remainingS(assignment, now),
@@ -128,10 +131,9 @@
         } else {
             job.live.values.groupingBy { it.zone }.eachCount()
         }
-        return JobView(
-            job.schedulingSpec, job.waitingFrom, job.openCount, job.spec.tasks - job.doneCount, job.live.size, perZone, runS, job.failedOn,
-            job.poisoned, now >= job.notBefore, untilDueS(job) - runS, (now - job.lastProgress) / 1000.0,
-        ) { count -> job.firstOpen(count) }
+        val tasks = JobTasks(job.openCount, job.spec.tasks - job.doneCount, job.live.size, perZone) { count -> job.firstOpen(count) }
+        val jobTiming = JobTiming(job.waitingFrom, runS, untilDueS(job) - runS, (now - job.lastProgress) / 1000.0)
+        return JobView(job.schedulingSpec, tasks, jobTiming, job.failedOn, job.poisoned, now >= job.notBefore)
     }
 
     private fun untilDueS(job: Job): Double = untilS(job.effectiveDue)
--- a/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.scheduling.Waiting
+import mountmast.coordination.scheduling.UnplacedTasks
 import mountmast.coordination.state.ClusterState
 import mountmast.coordination.state.Job
 import mountmast.protocol.MonotonicTime
@@ -28,7 +28,7 @@
     }
 
     /** Tells operators which jobs stall, for how long and what they wait for. */
-    fun tellStalls(waiting: List<Waiting>, now: MonotonicTime) {
+    fun tellStalls(waiting: List<UnplacedTasks>, now: MonotonicTime) {
         for (waits in waiting) {
             val job = cluster.jobs[waits.job] ?: continue
             val since = now - job.lastProgress
@@ -39,7 +39,7 @@
                 "job {} stalls for {} s: {} tasks of {} CPUs and {} GB wait for a machine with room",
                 job.id,
                 since / 1000,
-                waits.tasks,
+                waits.count,
                 job.spec.cpus,
                 job.spec.memoryGb,
             )
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineIndex.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineIndex.kt
@@ -1,68 +1,65 @@
 package mountmast.coordination.scheduling
 
-import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
-import mountmast.protocol.MachineType
 import mountmast.protocol.Resources
 import mountmast.protocol.TypeId
 import mountmast.protocol.Zone
-import java.util.TreeSet
 
 /**
- * The machines that a pass may place tasks on, grouped by all that decides how well a task fits, the image apart: kind and
- * free room. Machines are many, groups are few, so a job that looks for room looks at groups. Kept from pass to pass as
- * machines change. Not thread-safe.
+ * The machines that a scheduling cycle may place tasks on, grouped by all that decides how well a task fits, the image apart:
+ * kind and free capacity. Machines are many, groups are few, so the search for free capacity goes through groups. Kept from
+ * cycle to cycle and updated as machines change. Not thread-safe: guarded by the lock of the leader's term.
  */
 class MachineIndex {
     private val groupsByKey = LinkedHashMap<GroupKey, MachineGroup>()
     private val reserved = LinkedHashMap<JobId, LinkedHashSet<MachineView>>()
 
     /** All groups that have a machine. */
-    val groups: Collection<MachineGroup> get() = groupsByKey.values
+    internal val groups: Collection<MachineGroup> get() = groupsByKey.values
 
-    /** How many machines are reserved, for whatever job. */
-    var reservedCount = 0
+    /** How many machines are reserved, for any job. */
+    internal var reservedCount: Int = 0
         private set
 
     /** All machines that are reserved. */
-    val reservedMachines: Sequence<MachineView> get() = reserved.values.asSequence().flatten()
+    internal val reservedMachines: Sequence<MachineView> get() = reserved.values.asSequence().flatten()
 
-    /** The machines that are reserved for [job]. */
-    fun reservedFor(job: JobId): Collection<MachineView> = reserved[job].orEmpty()
+    /** Returns the machines that are reserved for [job]. */
+    internal fun reservedFor(job: JobId): Collection<MachineView> = reserved[job].orEmpty()
 
     fun add(machine: MachineView) {
         addToGroup(machine)
-        machine.reservedFor?.let { noteReserved(machine, it) }
+        machine.reservedFor?.let { addReserved(machine, it) }
     }
 
+    /** Removes [machine]; does nothing if it is not in the index. */
     fun remove(machine: MachineView) {
         removeFromGroup(machine)
         val job = machine.reservedFor ?: return
-        val others = reserved[job] ?: return
-        if (others.remove(machine)) reservedCount--
-        if (others.isEmpty()) reserved.remove(job)
+        val sameJob = reserved[job] ?: return
+        if (sameJob.remove(machine)) reservedCount--
+        if (sameJob.isEmpty()) reserved.remove(job)
     }
 
-    /** A plan leaves [room] on [machine]. */
-    fun changeRoom(machine: MachineView, room: Resources) {
+    /** Sets the [freeCapacity] that a plan leaves on [machine], and moves it to the group of that. */
+    internal fun updateFreeCapacity(machine: MachineView, freeCapacity: Resources) {
         removeFromGroup(machine)
-        machine.changeRoom(room)
+        machine.updateFreeCapacity(freeCapacity)
         addToGroup(machine)
     }
 
-    /** A plan reserves [machine], which is reserved for nobody, for [job]. */
-    fun reserve(machine: MachineView, job: JobId) {
+    /** Reserves [machine], which must not be reserved yet, for [job]. */
+    internal fun reserve(machine: MachineView, job: JobId) {
         machine.reserveFor(job)
-        noteReserved(machine, job)
+        addReserved(machine, job)
     }
 
-    private fun noteReserved(machine: MachineView, job: JobId) {
+    private fun addReserved(machine: MachineView, job: JobId) {
         if (reserved.getOrPut(job) { LinkedHashSet() }.add(machine)) reservedCount++
     }
 
     private fun addToGroup(machine: MachineView) {
-        val key = GroupKey(machine.type.id, machine.zone, machine.spot, machine.room)
-        val group = groupsByKey.getOrPut(key) { MachineGroup(machine.type, machine.zone, machine.spot, machine.room) }
+        val group = groupsByKey.getOrPut(GroupKey(machine.kind, machine.freeCapacity)) { MachineGroup(machine.kind, machine.freeCapacity) }
         group.add(machine)
         machine.group = group
     }
@@ -71,54 +68,16 @@
         val group = machine.group ?: return
         group.remove(machine)
         machine.group = null
-        if (group.isEmpty) groupsByKey.remove(GroupKey(group.type.id, group.zone, group.spot, group.room))
+        if (group.isEmpty) groupsByKey.remove(GroupKey(group.kind, group.freeCapacity))
     }
 
-    private data class GroupKey(val type: TypeId, val zone: Zone, val spot: Boolean, val room: Resources)
-
-    companion object {
-        /** An index of [machines] alone. */
-        fun of(machines: Collection<MachineView>) = MachineIndex().apply { machines.forEach(::add) }
-    }
-}
-
-/** Machines of one kind with the same free room, in the order of their ids. Changed by [MachineIndex] alone. */
-class MachineGroup(val type: MachineType, val zone: Zone, val spot: Boolean, val room: Resources) {
-    private val machines = TreeSet(MachineView.BY_ID)
-    private val holders = HashMap<ImageId, TreeSet<MachineView>>()
-
-    val size: Int get() = machines.size
-    val isEmpty: Boolean get() = machines.isEmpty()
-
-    internal fun add(machine: MachineView) {
-        machines += machine
-        for (image in machine.images) holders.getOrPut(image) { TreeSet(MachineView.BY_ID) } += machine
+    /** Names the type by its id alone, as that is cheaper to compare. */
+    private data class GroupKey(val type: TypeId, val zone: Zone, val isSpot: Boolean, val freeCapacity: Resources) {
+        constructor(kind: MachineKind, freeCapacity: Resources) : this(kind.type.id, kind.zone, kind.isSpot, freeCapacity)
     }
 
-    internal fun remove(machine: MachineView) {
-        machines -= machine
-        for (image in machine.images) {
-            val others = holders[image] ?: continue
-            others -= machine
-            if (others.isEmpty()) holders.remove(image)
-        }
-    }
-
-    /** The machine that follows [before], or the first where that is null. */
-    fun next(before: MachineView?): MachineView? = machines.next(before)
-
-    /** The same among the machines that hold [image]. */
-    fun nextHolding(image: ImageId, before: MachineView?): MachineView? = holders[image]?.next(before)
-
-    /** Whether a machine holds [image]. */
-    fun holds(image: ImageId): Boolean = image in holders
-
-    /** Whether every machine holds [image]. */
-    fun allHold(image: ImageId): Boolean = holders[image]?.size == machines.size
-
-    private fun TreeSet<MachineView>.next(before: MachineView?): MachineView? = when {
-        before != null -> higher(before)
-        isEmpty() -> null
-        else -> first()
+    internal companion object {
+        /** Returns an index of [machines], none of which may be in another index. */
+        fun of(machines: Collection<MachineView>) = MachineIndex().apply { machines.forEach(::add) }
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementConstraints.kt
@@ -0,0 +1,77 @@
+package mountmast.coordination.scheduling
+
+import mountmast.protocol.JobId
+import mountmast.protocol.Zone
+
+/**
+ * Where tasks of a job may run, their resources apart. Counts the tasks that a cycle starts in each zone, as the limits for
+ * zones depend on them. Not thread-safe: one for each cycle.
+ */
+internal class PlacementConstraints(private val snapshot: ClusterSnapshot, private val priorities: JobPriorities) {
+    private val tasksPerZone = HashMap<JobId, HashMap<Zone, Int>>()
+
+    /** Counts a task of [job] that starts in [zone]. */
+    fun countStart(job: JobView, zone: Zone) {
+        if (job.spec.singleZone || job.spec.spreadAcrossZones) tasksPerZone(job).merge(zone, 1, Int::plus)
+    }
+
+    /** Whether tasks of [job] may run on [machine]. */
+    fun allows(job: JobView, machine: MachineView, ignoresReservations: Boolean): Boolean =
+        allowsKind(job, machine.kind) && allowsMachine(job, machine, ignoresReservations) && isBelowZoneLimit(job, machine.zone)
+
+    /** Whether tasks of [job] may run on machines of this [kind]. */
+    fun allowsKind(job: JobView, kind: MachineKind): Boolean {
+        val spec = job.spec
+        return (spec.spotAllowed || !kind.isSpot) &&
+            (spec.types == null || kind.type.id in spec.types) &&
+            (spec.zone == null || kind.zone == spec.zone)
+    }
+
+    private fun allowsMachine(job: JobView, machine: MachineView, ignoresReservations: Boolean): Boolean {
+        val isReservedForOther = machine.reservedFor != null && machine.reservedFor != job.spec.id
+        return (!isReservedForOther || ignoresReservations) &&
+            (machine.id !in job.excludedMachines || priorities.hasWaitedTooLong(job))
+    }
+
+    private fun isBelowZoneLimit(job: JobView, zone: Zone) =
+        !job.spec.spreadAcrossZones || (tasksPerZone(job)[zone] ?: 0) < job.spec.maxTasksPerZone
+
+    private fun tasksPerZone(job: JobView) = tasksPerZone.getOrPut(job.spec.id) { HashMap(job.tasks.assignedPerZone) }
+
+    /** Returns a predicate that tells whether a machine, once it is empty, can take a task of [job]. */
+    fun servingMachines(job: JobView): (MachineView) -> Boolean {
+        val homeZone = if (job.spec.singleZone) homeZone(job, ignoresReservations = false) else null
+        return { machine ->
+            job.spec.perTask.fitsWithin(machine.type.capacity) &&
+                allows(job, machine, ignoresReservations = false) &&
+                (!job.spec.singleZone || homeZone == machine.zone)
+        }
+    }
+
+    /**
+     * Returns the zone in which all tasks of [job] have to run: that of its tasks on machines, or else the one with free
+     * capacity for most of them, of equals the first by name. Null if no zone can take any.
+     */
+    fun homeZone(job: JobView, ignoresReservations: Boolean): Zone? {
+        tasksPerZone(job).entries.firstOrNull { it.value > 0 }?.let { return it.key }
+        val excluded = excludedPerGroup(job, ignoresReservations)
+        val fittingTasks = HashMap<Zone, Int>()
+        for (group in snapshot.index.groups) {
+            val usable = group.size - (excluded[group] ?: 0)
+            if (usable == 0 || !allowsKind(job, group.kind) || !isBelowZoneLimit(job, group.kind.zone)) continue
+            val perMachine = job.spec.perTask.instancesWithin(group.freeCapacity, job.tasks.openCount)
+            fittingTasks.merge(group.kind.zone, usable * perMachine, Int::plus)
+        }
+        return fittingTasks.entries.maxWithOrNull(compareBy<Map.Entry<Zone, Int>> { it.value }.thenByDescending { it.key.text })?.key
+    }
+
+    /** Counts the machines of each group that are reserved for or excluded from [job] so that it may not use them. */
+    private fun excludedPerGroup(job: JobView, ignoresReservations: Boolean): Map<MachineGroup, Int> {
+        val affected = snapshot.index.reservedMachines + job.excludedMachines.asSequence().mapNotNull(snapshot::machine)
+        return affected.distinct()
+            .filter { !allowsMachine(job, it, ignoresReservations) }
+            .mapNotNull { it.group }
+            .groupingBy { it }
+            .eachCount()
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PreemptionPlanner.kt
@@ -8,29 +8,34 @@
 import mountmast.protocol.Urgency
 import mountmast.protocol.Zone
 
-/** Reserves machines for blocked tasks by evicting all their residents (the paper's Eq. 3 to 5). Not thread-safe. */
-class PreemptionPlanner(
+/**
+ * Reserves machines for blocked tasks by preempting all tasks on them; the paper calls this eviction (Eq. 3 to 5).
+ * Not thread-safe: one for each cycle.
+ */
+internal class PreemptionPlanner(
     private val snapshot: ClusterSnapshot,
     private val policy: SchedulingPolicy,
     private val assurance: Assurance,
     private val placement: Placement,
+    private val constraints: PlacementConstraints,
 ) {
     private val planned = ArrayList<Preemption>()
 
+    /** The preemptions decided on in this cycle. */
     val preemptions: List<Preemption> get() = planned
 
-    /** A larger fleet gives its guarantees as fast as a small one only if it may evict on as large a share of it. */
-    private val mostEvictions = maxOf(policy.preemptionsPerCycle, snapshot.machines.size / MACHINES_PER_EVICTION)
+    /** A larger cluster gives its guarantees as fast as a small one only if it may preempt on as large a share of it. */
+    private val maxPreemptions = maxOf(policy.preemptionsPerCycle, snapshot.machines.size / MACHINES_PER_PREEMPTION)
 
-    /** Machines whose residents may all be stopped if who they are allows it, the cheapest first. */
-    private val emptiable: List<MachineView> by lazy(LazyThreadSafetyMode.NONE) {
-        snapshot.machines.filter { isEmptiable(it) }.sortedBy { cost(it) }
+    /** Machines whose tasks may all be preempted if the tasks themselves allow it, the cheapest first. */
+    private val preemptableMachines: List<MachineView> by lazy(LazyThreadSafetyMode.NONE) {
+        snapshot.machines.filter { isPreemptable(it) }.sortedBy { cost(it) }
     }
 
-    /** What no machine could be emptied for in this pass: the same is not looked for again. */
-    private val unmet = HashSet<Demand>()
+    /** Demands that no preemption could meet in this cycle, so that equal ones are not searched for again. */
+    private val unmetDemands = HashSet<Demand>()
 
-    /** All of a job that decides which machines may be emptied for it. */
+    /** Everything about a job that decides which machines may be preempted for it. */
     private data class Demand(
         val team: TeamId,
         val urgency: Urgency,
@@ -41,72 +46,72 @@
         val isGuaranteed: Boolean,
     )
 
-    /** Empties the cheapest machines for [blocked] tasks, as far as a pass may evict. */
+    /** Preempts the cheapest machines for [blocked] tasks of [job], up to the limit of a cycle. */
     fun preemptFor(job: JobView, blocked: Int, isGuaranteed: Boolean) {
         val demand = demand(job, isGuaranteed)
-        if (planned.size >= mostEvictions || (demand != null && demand in unmet)) return
-        var left = blocked - placement.reservedCapacity(job, blocked)
+        if (planned.size >= maxPreemptions || (demand != null && demand in unmetDemands)) return
+        var left = blocked - snapshot.reservedCapacity(job, blocked)
         if (left <= 0) return
-        val canServe = placement.servingMachines(job)
-        for (machine in emptiable) {
-            if (left <= 0 || planned.size >= mostEvictions) return
-            if (!canEmpty(machine, job, isGuaranteed) || !canServe(machine)) continue
-            planned += Preemption(machine.id, job.spec.id, machine.residents.map { it.task })
+        val canServe = constraints.servingMachines(job)
+        for (machine in preemptableMachines) {
+            if (left <= 0 || planned.size >= maxPreemptions) return
+            if (!mayPreempt(machine, job, isGuaranteed) || !canServe(machine)) continue
+            planned += Preemption(machine.id, job.spec.id, machine.assignedTasks.map { it.task })
             snapshot.index.reserve(machine, job.spec.id)
             left -= job.spec.perTask.instancesWithin(machine.type.capacity, left)
         }
-        if (left > 0 && demand != null) unmet += demand
+        if (left > 0 && demand != null) unmetDemands += demand
     }
 
-    /** Null where more decides than a job's own record. */
+    /** Returns what decides on machines for [job], or null if that is more than its own specification. */
     private fun demand(job: JobView, isGuaranteed: Boolean): Demand? {
         val spec = job.spec
-        if (spec.singleZone || spec.spreadAcrossZones || job.avoid.isNotEmpty()) return null
+        if (spec.singleZone || spec.spreadAcrossZones || job.excludedMachines.isNotEmpty()) return null
         return Demand(spec.team, spec.urgency, spec.perTask, spec.types, spec.zone, spec.spotAllowed, isGuaranteed)
     }
 
-    private fun isEmptiable(machine: MachineView) =
-        machine.reservedFor == null && machine.residents.isNotEmpty() && machine.residents.none { it.stopping }
+    private fun isPreemptable(machine: MachineView) =
+        machine.reservedFor == null && machine.assignedTasks.isNotEmpty() && machine.assignedTasks.none { it.isStopping }
 
-    private fun canEmpty(machine: MachineView, job: JobView, isGuaranteed: Boolean): Boolean {
-        if (machine.reservedFor != null || placement.hasStartedOn(machine)) return false
-        return machine.residents.all { isEvictable(it, job, isGuaranteed) }
+    private fun mayPreempt(machine: MachineView, job: JobView, isGuaranteed: Boolean): Boolean {
+        if (machine.reservedFor != null || placement.hasStartOn(machine)) return false
+        return machine.assignedTasks.all { mayPreempt(it, job, isGuaranteed) }
     }
 
-    /** Only borrowed work gives way, and only as the protocol's "Preemption" allows. */
-    private fun isEvictable(resident: Resident, job: JobView, isGuaranteed: Boolean): Boolean {
-        val isLessUrgent = resident.urgency > job.spec.urgency
-        if (!isGuaranteed) return isLessUrgent && snapshot.teams[resident.team]?.hasGuarantee != true
-        val givesWay = isLessUrgent || (resident.team != job.spec.team && isBeyondGuarantee(resident.team))
-        return givesWay && resident.task in borrowedTasks
+    /** Only borrowed work is preempted, and only as the protocol's "Preemption" allows. */
+    private fun mayPreempt(assigned: AssignedTask, job: JobView, isGuaranteed: Boolean): Boolean {
+        val isLessUrgent = assigned.urgency > job.spec.urgency
+        if (!isGuaranteed) return isLessUrgent && snapshot.quotas[assigned.team]?.hasGuarantee != true
+        val hasLowerClaim = isLessUrgent || (assigned.team != job.spec.team && isBeyondGuarantee(assigned.team))
+        return hasLowerClaim && assigned.task in borrowedTasks
     }
 
     private fun isBeyondGuarantee(team: TeamId): Boolean {
-        val use = snapshot.uses[team] ?: return false
-        return snapshot.teams[team]?.guaranteeCovers(use) == false
+        val usage = snapshot.usage[team] ?: return false
+        return snapshot.quotas[team]?.guaranteeCovers(usage) == false
     }
 
     private val borrowedTasks: Set<TaskId> by lazy(LazyThreadSafetyMode.NONE) {
-        val seen = HashMap<JobId, Int>()
+        val countPerJob = HashMap<JobId, Int>()
         val borrowed = HashSet<TaskId>()
-        for (resident in snapshot.machines.flatMap { it.residents }.sortedBy { it.task.index }) {
-            val rank = (seen[resident.task.job] ?: 0) + 1
-            seen[resident.task.job] = rank
-            if (rank > (assurance.guaranteedTasks[resident.task.job] ?: 0)) borrowed += resident.task
+        for (assigned in snapshot.machines.flatMap { it.assignedTasks }.sortedBy { it.task.index }) {
+            val rank = (countPerJob[assigned.task.job] ?: 0) + 1
+            countPerJob[assigned.task.job] = rank
+            if (rank > (assurance.guaranteedTasks[assigned.task.job] ?: 0)) borrowed += assigned.task
         }
         borrowed
     }
 
-    /** Φ of the paper's Eq. 4: the cost of stopping all residents of a machine. */
+    /** Φ of the paper's Eq. 4: the cost of preempting all tasks of a machine. */
     private fun cost(machine: MachineView): Double {
-        val victims = machine.residents
+        val victims = machine.assignedTasks
         val meanRemainingS = victims.sumOf { it.remainingS } / victims.size
         return victims.sumOf { (1 + policy.overheadWeight * it.preemptions) / it.remainingS } +
-            policy.fragmentWeight * (victims.size - 1) / meanRemainingS
+            policy.fragmentationWeight * (victims.size - 1) / meanRemainingS
     }
 
     private companion object {
-        /** One machine in so many may be emptied by a pass, where that is more than the policy says. */
-        const val MACHINES_PER_EVICTION = 250
+        /** One machine in so many may be preempted in a cycle, if that is more than the policy says. */
+        const val MACHINES_PER_PREEMPTION = 250
     }
 }
--- a/src/test/kotlin/mountmast/coordination/scheduling/PlacementTest.kt
+++ b/src/test/kotlin/mountmast/coordination/scheduling/PlacementTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The machines that are chosen by groups are those that a look at every machine for every task would choose. */
+/** The search through groups of machines chooses the same machines as an exhaustive search for every task. */
 class PlacementTest {
     private val zones = listOf(Zone("a"), Zone("b"), Zone("c"))
     private val types = listOf(
@@ -27,26 +27,24 @@
         MachineType(TypeId("g"), 32.0, 4.0, 256.0, 50.0, 0.3, 4.0, 1.5, 50.0, zones),
     )
     private val team = TeamQuota(TeamId("t"), 0.0, 0.0, 0.0, 0.0)
-    private val teams = mapOf(team.id to team)
+    private val quotas = mapOf(team.id to team)
 
     private fun machine(random: Random, number: Int): MachineView {
         val type = types.random(random)
         val used = random.nextInt(0, 5) / 4.0
-        val room = Resources(type.cpus * (1 - used), type.gpus * (1 - used), type.memoryGb * (1 - used * random.nextInt(1, 3) / 2))
+        val freeCapacity = Resources(type.cpus * (1 - used), type.gpus * (1 - used), type.memoryGb * (1 - used * random.nextInt(1, 3) / 2))
         val images = (1..6).filter { random.nextInt(3) == 0 }.mapTo(HashSet()) { ImageId("i$it") }
         val reservedFor = if (random.nextInt(12) == 0) JobId("j-${random.nextInt(1, 12)}") else null
         return MachineView(
             MachineId("vm-" + number.toString().padStart(6, '0')),
-            type,
-            zones.random(random),
-            random.nextBoolean(),
-            room,
+            MachineKind(type, zones.random(random), random.nextBoolean()),
+            freeCapacity,
             images,
             reservedFor,
         ) { emptyList() }
     }
 
-    private fun job(random: Random, number: Int, fleet: List<MachineView>): JobView {
+    private fun job(random: Random, number: Int, machines: List<MachineView>): JobView {
         val tasks = random.nextInt(1, 60)
         val cpus = listOf(0.5, 1.0, 2.0, 4.0, 8.0).random(random)
         val spec = JobSpec(
@@ -57,85 +55,86 @@
             spreadAcrossZones = random.nextInt(5) == 0, spotAllowed = random.nextInt(3) != 0, estimateS = 50.0,
             checkpointEveryS = if (random.nextBoolean()) 20.0 else 0.0, checkpointSaveS = 1.0,
         )
-        val avoid = if (random.nextInt(3) == 0) fleet.shuffled(random).take(5).mapTo(HashSet()) { it.id } else emptySet()
-        val perZone = if (random.nextInt(3) == 0) mapOf(zones.random(random) to random.nextInt(1, 4)) else emptyMap()
+        val excludedMachines = if (random.nextInt(3) == 0) machines.shuffled(random).take(5).mapTo(HashSet()) { it.id } else emptySet()
+        val assignedPerZone = if (random.nextInt(3) == 0) mapOf(zones.random(random) to random.nextInt(1, 4)) else emptyMap()
         val waitedS = if (random.nextInt(6) == 0) 90.0 else 5.0
-        return JobView(
-            spec, WallTime(number.toLong()), tasks, tasks, perZone.values.sum(), perZone, 50.0, avoid, poisoned = false, mayStart = true,
-            slackS = random.nextDouble(0.0, 400.0), waitedS = waitedS,
-        ) { count -> IntArray(count) { it } }
+        val jobTasks = JobTasks(tasks, tasks, assignedPerZone.values.sum(), assignedPerZone) { count -> IntArray(count) { it } }
+        val timing = JobTiming(WallTime(number.toLong()), 50.0, slackS = random.nextDouble(0.0, 400.0), waitedS = waitedS)
+        return JobView(spec, jobTasks, timing, excludedMachines, isPoisoned = false, mayStart = true)
     }
 
-    /** The same by looking at each machine for each task. */
-    private class Scan(private val machines: List<MachineView>) {
-        private val room = machines.associateWithTo(HashMap()) { it.room }
+    /** Examines each machine for each task. */
+    private class ExhaustiveSearch(private val machines: List<MachineView>) {
+        private val freeCapacity = machines.associateWithTo(HashMap()) { it.freeCapacity }
         val starts = ArrayList<Pair<JobId, MachineId>>()
 
         fun place(job: JobView) {
             val spec = job.spec
-            val perZone = HashMap(job.perZone)
-            val home = if (spec.singleZone) perZone.entries.firstOrNull { it.value > 0 }?.key ?: widestZone(job) ?: return else null
-            repeat(job.openCount) {
-                val best = machines.filter { (home == null || it.zone == home) && fits(job, it, perZone) }
+            val tasksPerZone = HashMap(job.tasks.assignedPerZone)
+            val homeZone =
+                if (spec.singleZone) tasksPerZone.entries.firstOrNull { it.value > 0 }?.key ?: widestZone(job) ?: return else null
+            repeat(job.tasks.openCount) {
+                val best = machines.filter { (homeZone == null || it.zone == homeZone) && fits(job, it, tasksPerZone) }
                     .minWithOrNull(compareBy<MachineView> { score(job, it) }.thenBy { it.id.text }) ?: return
-                room[best] = (room.getValue(best) - spec.perTask).rounded()
-                perZone.merge(best.zone, 1, Int::plus)
+                freeCapacity[best] = (freeCapacity.getValue(best) - spec.perTask).rounded()
+                tasksPerZone.merge(best.zone, 1, Int::plus)
                 starts += spec.id to best.id
             }
         }
 
         private fun widestZone(job: JobView): Zone? = machines.filter { isAllowed(job, it, emptyMap()) }.groupBy { it.zone }
-            .mapValues { (_, all) -> all.sumOf { job.spec.perTask.instancesWithin(room.getValue(it), job.openCount) } }
+            .mapValues { (_, all) -> all.sumOf { job.spec.perTask.instancesWithin(freeCapacity.getValue(it), job.tasks.openCount) } }
             .entries.sortedBy { it.key.text }.maxByOrNull { it.value }?.key
 
-        private fun fits(job: JobView, machine: MachineView, perZone: Map<Zone, Int>) =
-            job.spec.perTask.fitsWithin(room.getValue(machine)) && isAllowed(job, machine, perZone)
+        private fun fits(job: JobView, machine: MachineView, tasksPerZone: Map<Zone, Int>) =
+            job.spec.perTask.fitsWithin(freeCapacity.getValue(machine)) && isAllowed(job, machine, tasksPerZone)
 
-        private fun isAllowed(job: JobView, machine: MachineView, perZone: Map<Zone, Int>): Boolean {
+        private fun isAllowed(job: JobView, machine: MachineView, tasksPerZone: Map<Zone, Int>): Boolean {
             val spec = job.spec
             return (machine.reservedFor == null || machine.reservedFor == spec.id) &&
-                (spec.spotAllowed || !machine.spot) &&
+                (spec.spotAllowed || !machine.kind.isSpot) &&
                 (spec.types == null || machine.type.id in spec.types!!) &&
                 (spec.zone == null || machine.zone == spec.zone) &&
-                (machine.id !in job.avoid || job.waitedS > 70) &&
-                (!spec.spreadAcrossZones || (perZone[machine.zone] ?: 0) < spec.maxTasksPerZone)
+                (machine.id !in job.excludedMachines || job.timing.waitedS > 70) &&
+                (!spec.spreadAcrossZones || (tasksPerZone[machine.zone] ?: 0) < spec.maxTasksPerZone)
         }
 
         private fun score(job: JobView, machine: MachineView): Double {
             val spec = job.spec
             val fetchS = if (spec.image in machine.images) 0.0 else spec.imageGb / machine.type.fetchGbPerS
-            val left = room.getValue(machine) - spec.perTask
-            val leftover = maxOf(left.cpus / machine.type.cpus, left.memoryGb / machine.type.memoryGb)
+            val left = freeCapacity.getValue(machine) - spec.perTask
+            val leftShare = maxOf(left.cpus / machine.type.cpus, left.memoryGb / machine.type.memoryGb)
             val isWrongKind =
-                if (job.slackS > 200) !machine.spot && spec.spotAllowed else machine.spot && spec.checkpointEveryS <= 0
-            return fetchS + leftover + (if (isWrongKind) 0.5 else 0.0)
+                if (job.timing.slackS > 200) !machine.kind.isSpot && spec.spotAllowed else machine.kind.isSpot && spec.checkpointEveryS <= 0
+            return fetchS + leftShare + (if (isWrongKind) 0.5 else 0.0)
         }
     }
 
     private fun placement(snapshot: ClusterSnapshot): Placement {
         val assurance = AssuranceAssessment(SchedulingPolicy()).assess(snapshot)
-        return Placement(snapshot, SchedulingPolicy(startsPerCycle = 100_000), JobPriorities(snapshot, SchedulingPolicy(), assurance))
+        val constraints = PlacementConstraints(snapshot, JobPriorities(snapshot, SchedulingPolicy(), assurance))
+        return Placement(snapshot, SchedulingPolicy(startsPerCycle = 100_000), constraints)
     }
 
     @Test
-    fun `groups and a look at every machine choose the same machines on random fleets`() {
+    fun `a search through groups and an exhaustive search choose the same machines in random clusters`() {
         var starts = 0
         for (seed in 1L..300L) {
             val random = Random(seed)
             val machines = List(random.nextInt(1, 120)) { machine(random, it) }.shuffled(random)
             val jobs = (1..random.nextInt(1, 14)).map { job(random, it, machines) }
-            val scan = Scan(machines).apply { jobs.forEach(::place) }
-            val snapshot = ClusterSnapshot(machines, jobs, emptyMap(), teams, emptyMap())
+            val search = ExhaustiveSearch(machines).apply { jobs.forEach(::place) }
+            val snapshot = ClusterSnapshot(machines, jobs, emptyMap(), quotas, emptyMap())
             val placement = placement(snapshot)
-            jobs.forEach { placement.place(it, it.openCount) { true } }
-            assertEquals(scan.starts, placement.starts().map { it.job to it.machine }, "seed $seed")
-            starts += scan.starts.size
+            jobs.forEach { placement.place(it, it.tasks.openCount) { true } }
+            assertEquals(search.starts, placement.starts().map { it.job to it.machine }, "seed $seed")
+            starts += search.starts.size
         }
         assertTrue(starts > 10_000, "$starts starts in all")
     }
 
     @Test
-    fun `an index that is kept as machines change is the same as one made anew`() {
+    fun `an index that is updated as machines change equals one built anew`() {
         for (seed in 1L..40L) {
             val random = Random(seed)
             val index = MachineIndex()
@@ -147,7 +146,10 @@
                     known == null -> machines[number] = machine(random, number).also(index::add)
                     random.nextInt(3) == 0 -> index.remove(checkNotNull(machines.remove(number)))
                     random.nextInt(4) == 0 && known.reservedFor == null -> index.reserve(known, JobId("j-${random.nextInt(1, 9)}"))
-                    else -> index.changeRoom(known, Resources(random.nextInt(0, 4).toDouble(), 0.0, random.nextInt(0, 9).toDouble()))
+                    else -> index.updateFreeCapacity(
+                        known,
+                        Resources(random.nextInt(0, 4).toDouble(), 0.0, random.nextInt(0, 9).toDouble()),
+                    )
                 }
                 if (step % 20 == 0) assertTrue(describe(rebuilt(machines.values)) == describe(index), "seed $seed, step $step")
             }
@@ -157,9 +159,9 @@
         }
     }
 
-    /** A view belongs to one index, so the new one gets copies. */
+    /** A view belongs to one index, so the new index gets copies. */
     private fun rebuilt(machines: Collection<MachineView>) = MachineIndex.of(
-        machines.map { MachineView(it.id, it.type, it.zone, it.spot, it.room, it.images, it.reservedFor) { emptyList() } },
+        machines.map { MachineView(it.id, it.kind, it.freeCapacity, it.images, it.reservedFor) { emptyList() } },
     )
 
     private fun describe(index: MachineIndex): Set<String> = index.groups.flatMapTo(HashSet()) { group ->
@@ -167,14 +169,16 @@
         val holders = (1..8).map { ImageId("i$it") }.associateWith { image ->
             generateSequence(group.nextHolding(image, null)) { group.nextHolding(image, it) }.map { it.id }.toList()
         }
-        members.map { "${it.id} ${group.type.id} ${group.zone} ${group.spot} ${group.room} ${it.reservedFor} ${group.size} $holders" }
+        members.map {
+            "${it.id} ${group.kind.type.id} ${group.kind.zone} ${group.kind.isSpot} ${group.freeCapacity} ${it.reservedFor} ${group.size} $holders"
+        }
     } + "${index.reservedCount} ${index.reservedMachines.map { it.id.text }.sorted().toList()}"
 
     @Test
-    fun `a job that finds no room looks at groups, not at machines`() {
+    fun `machines without free capacity form few groups`() {
         val full = List(5000) { number ->
-            val room = Resources(number % 8 / 8.0, 0.0, 1.0)
-            MachineView(MachineId("vm-$number"), types[1], zones[number % 3], number % 2 == 0, room, emptySet(), null) { emptyList() }
+            val kind = MachineKind(types[1], zones[number % 3], number % 2 == 0)
+            MachineView(MachineId("vm-$number"), kind, Resources(number % 8 / 8.0, 0.0, 1.0), emptySet(), null) { emptyList() }
         }
         val index = MachineIndex.of(full)
         assertTrue(index.groups.size <= 48, "${index.groups.size} groups")
