--- a/src/main/kotlin/mountmast/coordination/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/Autoscaler.kt
@@ -9,39 +9,42 @@
 private val log = LoggerFactory.getLogger("mountmast.fleet")
 
 /**
- * The rented machines of one leader's term: reads what the cloud lists, returns machines that nobody needs and rents others for
- * work that waits. Called by one thread.
+ * Keeps the number of machines in line with the work during one leader's term: reads what the cloud lists, scales in machines that
+ * nobody needs and scales out for tasks that found no machine. Not thread-safe: called by one thread.
  */
 class Autoscaler(
     context: AutoscalingContext,
     cloud: Cloud,
     private val clock: Clock,
-    /** Begins the names of rental requests; no other process ever uses the same. */
-    rentalPrefix: String,
+    /** Begins the ids of scale-out requests; no other process ever uses the same. */
+    requestPrefix: String,
     policy: AutoscalingPolicy,
     timing: LeaseTiming,
-    /** Calls a second that the cloud takes. */
+    /** Calls per second that the cloud accepts. */
     cloudRatePerS: Double,
 ) {
-    /** A round comes once a second; what it may ask is the cloud's to say, not ours. */
+    /** A round comes once a second; how many calls it may make is limited by the cloud alone. */
     private val callsPerRound = maxOf(1, (cloudRatePerS * Cloud.RATE_SHARE).toInt())
     private val history = OfferingHistory(context.cluster)
     private val inventory = MachineInventory(context, cloud, policy)
-    private val scaleIn = ScaleIn(context, cloud, clock, policy, timing, history, callsPerRound)
-    private val scaleOut = ScaleOut(context, cloud, policy, timing, history, rentalPrefix, callsPerRound)
+    private val scaleIn = ScaleIn(context, cloud, clock, ScaleInRules(context, policy, timing), history, callsPerRound)
+    private val scaleOut = ScaleOut(context, cloud, policy, timing, history, requestPrefix, callsPerRound)
     private var isCloudFailing = false
 
-    /** One round; called about once a second. */
-    fun step() {
+    /**
+     * Runs one round; called about once a second. A round ends at the first call that the cloud fails, which is logged once
+     * until a round succeeds.
+     */
+    fun runRound() {
         try {
             val now = clock.now()
             inventory.refresh(now)
-            scaleIn.step(now)
-            scaleOut.step(now)
-            if (isCloudFailing) log.info("the cloud serves again")
+            scaleIn.runRound(now)
+            scaleOut.runRound(now)
+            if (isCloudFailing) log.info("cloud available again")
             isCloudFailing = false
         } catch (e: CloudException) {
-            if (!isCloudFailing) log.info("the cloud does not serve: {}", e.message)
+            if (!isCloudFailing) log.info("cloud unavailable: {}", e.message)
             isCloudFailing = true
         }
     }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
@@ -11,24 +11,30 @@
 import mountmast.transport.CloudException
 import kotlin.concurrent.withLock
 
-/** Keeps the ledger's machine types and machines as the cloud lists them. Called by one thread; takes the lock of [AutoscalingContext]. */
-class MachineInventory(private val context: AutoscalingContext, private val cloud: Cloud, private val policy: AutoscalingPolicy) {
+/**
+ * Updates the machine types and machines of the cluster state from what the cloud lists. Called by one thread; acquires the lock
+ * of [AutoscalingContext], never during a call to the cloud.
+ */
+internal class MachineInventory(private val context: AutoscalingContext, private val cloud: Cloud, private val policy: AutoscalingPolicy) {
     private val cluster get() = context.cluster
     private var typesReadAt: MonotonicTime? = null
     private var machinesReadAt: MonotonicTime? = null
 
-    /** Pages that the list of machines had last. */
-    private var pages = 0
+    /** How many pages the list of machines had last. */
+    private var pageCount = 0
 
-    /** Reads again what was read too long ago. Throws [CloudException] where that fails and cannot be done without. */
+    /**
+     * Reads types and machines if their interval has passed. Throws [CloudException] if the machines cannot be read, or the types
+     * cannot and none are known.
+     */
     fun refresh(now: MonotonicTime) {
-        if (isDue(typesReadAt, policy.typesEveryMs, now)) readTypes(now)
-        if (isDue(machinesReadAt, maxOf(policy.listEveryMs, pages * MS_PER_PAGE), now)) readMachines(now)
+        if (isDue(typesReadAt, policy.typesIntervalMs, now)) refreshTypes(now)
+        if (isDue(machinesReadAt, maxOf(policy.listIntervalMs, pageCount * MS_PER_PAGE), now)) refreshMachines(now)
     }
 
-    private fun isDue(last: MonotonicTime?, everyMs: Long, now: MonotonicTime) = last == null || now - last >= everyMs
+    private fun isDue(last: MonotonicTime?, intervalMs: Long, now: MonotonicTime) = last == null || now - last >= intervalMs
 
-    private fun readTypes(now: MonotonicTime) {
+    private fun refreshTypes(now: MonotonicTime) {
         val types = try {
             cloud.machineTypes()
         } catch (e: CloudException) {
@@ -47,31 +53,31 @@
         }
     }
 
-    /** A change of prices alone is not worth a write. */
+    /** A change of prices alone is not worth a write to the store. */
     private fun withoutPrices(types: Collection<MachineType>) = types.map { it.copy(price = 0.0, spotPrice = 0.0) }
 
-    private fun readMachines(now: MonotonicTime) {
+    private fun refreshMachines(now: MonotonicTime) {
         val listed = ArrayList<ListedMachine>()
-        var read = 0
+        var pagesRead = 0
         do {
             val page = cloud.list(listed.lastOrNull()?.id)
-            read++
+            pagesRead++
             listed += page.machines
         } while (page.more && page.machines.isNotEmpty())
         machinesReadAt = now
-        pages = read
-        context.lock.withLock { for (machine in listed) takeIn(machine, now) }
+        pageCount = pagesRead
+        context.lock.withLock { for (machine in listed) updateMachine(machine, now) }
     }
 
-    private fun takeIn(listed: ListedMachine, now: MonotonicTime) {
+    private fun updateMachine(listed: ListedMachine, now: MonotonicTime) {
         if (listed.id in cluster.tombstones) return
         val known = cluster.machines[listed.id]
-        if (known?.type == null) cluster.machines[listed.id] = create(listed, known, now)
+        if (known?.type == null) cluster.machines[listed.id] = createMachine(listed, known, now)
         if (listed.state == ListedState.FAILED) cluster.machines[listed.id]?.listedFailed = true
     }
 
-    /** The machine as listed, with all that was [known] of it before its type was. */
-    private fun create(listed: ListedMachine, known: Machine?, now: MonotonicTime): Machine {
+    /** Returns the machine as listed, with all that was [known] of it before its type was. */
+    private fun createMachine(listed: ListedMachine, known: Machine?, now: MonotonicTime): Machine {
         val machine = Machine(listed.id, listed.type, listed.zone, listed.spot, known?.state ?: MachineState.BOOTING)
         machine.rentedAt = now + -(listed.ageS * MS_PER_S).toLong()
         machine.knownAt = now
@@ -86,7 +92,7 @@
     private companion object {
         const val MS_PER_S = 1000
 
-        /** A long list is read less often, as each page is a call that renting and returning have to wait for. */
+        /** A long list is read less often, as each page is a call that scale out and scale in have to wait for. */
         const val MS_PER_PAGE = 1000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOut.kt
@@ -15,72 +15,79 @@
 private val log = LoggerFactory.getLogger("mountmast.fleet")
 
 /**
- * Rents machines, each request by a name that no other process uses. A request without an answer is repeated by the same name
- * before any other is made, so that none is carried out twice. Called by one thread; takes the lock of [AutoscalingContext].
+ * Requests the machines that [ScaleOutPlanner] plans. Requests are idempotent by an id that no other process uses: one whose outcome
+ * is unknown is repeated with the same id before any other is made, so that none is carried out twice. Called by one thread;
+ * acquires the lock of [AutoscalingContext], never during a call to the cloud.
  */
-class ScaleOut(
+internal class ScaleOut(
     private val context: AutoscalingContext,
     private val cloud: Cloud,
-    private val policy: AutoscalingPolicy,
+    policy: AutoscalingPolicy,
     timing: LeaseTiming,
     history: OfferingHistory,
-    /** Begins the names of rental requests. */
+    /** Begins the ids of requests. */
     private val requestPrefix: String,
     /** Calls to the cloud that a round may make. */
     callsPerRound: Int,
 ) {
     private val cluster get() = context.cluster
-    private val pausedUntil = HashMap<MachineOffering, MonotonicTime>()
-    private val planner = ScaleOutPlanner(context, timing, history, callsPerRound * Cloud.MAX_PER_RENTAL, ::isPaused)
+    private val backoff = OfferingBackoff(policy)
+    private val planner = ScaleOutPlanner(context, timing, history, backoff, callsPerRound * Cloud.MAX_PER_RENTAL)
     private var requestCount = 0
-    private var unanswered: RentalRequest? = null
 
-    /** One round of renting, decided as of [now]. Throws [CloudException] where the cloud does not answer. */
-    fun step(now: MonotonicTime) {
-        unanswered?.let { return send(it, now) }
+    /** The request whose outcome is unknown, if any. */
+    private var inDoubtRequest: RentalRequest? = null
+
+    /** Scales out as planned as of [now], or repeats the request in doubt. Throws [CloudException] if a call fails. */
+    fun runRound(now: MonotonicTime) {
+        inDoubtRequest?.let { return send(it, now) }
         val plan = context.lock.withLock { planner.plan(now) }
-        for ((offering, wanted) in plan) rent(offering, wanted, now)
+        for ((offering, wanted) in plan) requestMachines(offering, wanted, now)
     }
 
-    private fun rent(offering: MachineOffering, wanted: Int, now: MonotonicTime) {
+    private fun requestMachines(offering: MachineOffering, wanted: Int, now: MonotonicTime) {
         var left = wanted
-        while (left > 0 && !isPaused(offering, now)) {
+        while (left > 0 && !backoff.isBackedOff(offering, now)) {
             val count = minOf(left, Cloud.MAX_PER_RENTAL)
             val id = RentalRequestId("$requestPrefix-${++requestCount}")
-            send(RentalRequest(id, offering.type, offering.zone, offering.spot, count), now)
+            send(RentalRequest(id, offering.type, offering.zone, offering.isSpot, count), now)
             left -= count
         }
     }
 
-    private fun isPaused(offering: MachineOffering, now: MonotonicTime) = pausedUntil[offering].let { it != null && now < it }
-
     private fun send(request: RentalRequest, now: MonotonicTime) {
         val offering = MachineOffering(request.type, request.zone, request.spot)
-        unanswered = request
+        inDoubtRequest = request
         val outcome = try {
             cloud.rent(request)
         } catch (e: CloudException) {
-            if (!e.mayBeCarriedOut) unanswered = null
+            if (!e.mayBeCarriedOut) inDoubtRequest = null
             throw e
         }
-        unanswered = null
+        inDoubtRequest = null
         when (outcome) {
-            RentalOutcome.NoCapacity -> pausedUntil[offering] = now + policy.noCapacityPauseMs
+            RentalOutcome.NoCapacity -> backoff.recordNoCapacity(offering, now)
             is RentalOutcome.Rented -> {
-                if (outcome.machines.size < request.count) pausedUntil[offering] = now + policy.noCapacityPauseMs
-                logRental(offering, outcome.machines.size, request.count)
-                takeIn(outcome, offering, now)
+                if (outcome.machines.size < request.count) backoff.recordNoCapacity(offering, now)
+                logScaleOut(offering, outcome.machines.size, request.count)
+                addMachines(outcome, offering, now)
             }
         }
     }
 
-    private fun logRental(offering: MachineOffering, rented: Int, wanted: Int) =
-        log.info("rented {} of {} {} in {}{}", rented, wanted, offering.type, offering.zone, if (offering.spot) ", spot" else "")
+    private fun logScaleOut(offering: MachineOffering, received: Int, requested: Int) = log.info(
+        "scale out: machines={} requested={} type={} zone={} spot={}",
+        received,
+        requested,
+        offering.type,
+        offering.zone,
+        offering.isSpot,
+    )
 
-    private fun takeIn(outcome: RentalOutcome.Rented, offering: MachineOffering, now: MonotonicTime) = context.lock.withLock {
+    private fun addMachines(outcome: RentalOutcome.Rented, offering: MachineOffering, now: MonotonicTime) = context.lock.withLock {
         for (id in outcome.machines) {
             if (id in cluster.machines || id in cluster.tombstones) continue
-            cluster.machines[id] = Machine(id, offering.type, offering.zone, offering.spot, MachineState.BOOTING).apply {
+            cluster.machines[id] = Machine(id, offering.type, offering.zone, offering.isSpot, MachineState.BOOTING).apply {
                 rentedAt = now
                 knownAt = now
                 idleSince = now
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ZoneBudget.kt
@@ -0,0 +1,32 @@
+package mountmast.coordination.autoscaling
+
+import mountmast.coordination.state.Job
+import mountmast.protocol.JobSpec
+import mountmast.protocol.Zone
+
+/**
+ * How many more of a job's tasks each zone may hold. A job that is bound to the zone of its first tasks once had machines
+ * scaled out in the other, cheaper one, and waited beside them. Not thread-safe.
+ */
+internal class ZoneBudget(private val spec: JobSpec) {
+    private val tasksPerZone = HashMap<Zone, Int>()
+
+    /** Returns how many more tasks [zone] may hold. */
+    fun remaining(zone: Zone): Int = when {
+        spec.singleZone && tasksPerZone.keys.any { it != zone } -> 0
+        spec.spreadAcrossZones -> spec.maxTasksPerZone - (tasksPerZone[zone] ?: 0)
+        else -> Int.MAX_VALUE
+    }
+
+    /** Counts [tasks] more tasks in [zone]. */
+    fun consume(zone: Zone, tasks: Int) {
+        if (tasks > 0) tasksPerZone.merge(zone, tasks, Int::plus)
+    }
+
+    companion object {
+        /** Returns the budget that the tasks of [job] on machines leave. */
+        fun of(job: Job) = ZoneBudget(job.spec).apply {
+            if (job.spec.singleZone || job.spec.spreadAcrossZones) for (assignment in job.live.values) consume(assignment.zone, 1)
+        }
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -90,7 +90,7 @@
     override val unplacedTasks: List<UnplacedTasks> get() = schedulingCycle.waiting
 
     /** How long a machine may hear nothing before it is returned. */
-    override val unreachedPatienceMs: Long get() = 2 * timing.leaseExpiryMs
+    override val unreachableTimeoutMs: Long get() = 2 * timing.leaseExpiryMs
 
     /** Reads everything from the store, in two steps: first what is needed to go on, then hints. False once all is read. */
     fun load(): Boolean {
--- a/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
@@ -110,10 +110,10 @@
             val fleet = settings.fleet
             settings = settings.copy(
                 fleet = when (element) {
-                    "idle-return-s" -> fleet.copy(idleReturnMs = millis(element, 5.0, 86_400.0))
-                    "no-capacity-pause-s" -> fleet.copy(noCapacityPauseMs = millis(element, 1.0, 3600.0))
-                    "list-every-s" -> fleet.copy(listEveryMs = millis(element, 1.0, 600.0))
-                    "types-every-s" -> fleet.copy(typesEveryMs = millis(element, 5.0, 86_400.0))
+                    "idle-return-s" -> fleet.copy(idleTimeoutMs = millis(element, 5.0, 86_400.0))
+                    "no-capacity-pause-s" -> fleet.copy(noCapacityBackoffMs = millis(element, 1.0, 3600.0))
+                    "list-every-s" -> fleet.copy(listIntervalMs = millis(element, 1.0, 600.0))
+                    "types-every-s" -> fleet.copy(typesIntervalMs = millis(element, 5.0, 86_400.0))
                     else -> refuse("unknown element <$element>")
                 },
             )
--- a/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
@@ -39,8 +39,7 @@
      * Whether a team may borrow up to [usage]. Exception: a team without a guarantee has no bound on borrowing, as any
      * multiple of nothing would starve it for good.
      */
-    fun mayBorrow(quota: TeamQuota, usage: Resources): Boolean =
-        !quota.hasGuarantee || quota.guaranteeCovers(usage, policy.borrowingFactor)
+    fun mayBorrow(quota: TeamQuota, usage: Resources): Boolean = !quota.hasGuarantee || quota.guaranteeCovers(usage, policy.borrowingFactor)
 
     private fun hasGuarantee(job: JobView) = snapshot.quotas[job.spec.team]?.hasGuarantee == true
 
--- a/src/test/kotlin/mountmast/coordination/autoscaling/FleetSizeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/autoscaling/LargeClusterTest.kt
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Some 1,700 machines: what is done is counted, not timed. */
-class FleetSizeTest {
+/** A cluster of some 1,700 machines. Operations are counted, not timed. */
+class LargeClusterTest {
     private val world = World(90, quietNetwork = true, perOffer = 213)
 
-    private fun submit(numbers: IntRange, runS: Double): List<JobId> = numbers.map { number ->
+    private fun submitJobs(numbers: IntRange, runS: Double): List<JobId> = numbers.map { number ->
         val spec = world.job(number) {
             it.copy(
                 team = TeamId("free"), shape = Shape.ARRAY, urgency = Urgency.NORMAL, tasks = TASKS, cpus = 2.0, memoryGb = 4.0,
@@ -29,22 +29,22 @@
     private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
     @Test
-    fun `1700 machines are filled, all nodes end at once, and a third of the fleet is lost and made good`() {
+    fun `1700 machines are filled, all nodes crash at once, and a third of the machines is lost and replaced`() {
         world.run(5000, busy = false)
-        submit(1..JOBS, runS = 400.0)
+        submitJobs(1..JOBS, runS = 400.0)
         world.run(75_000, busy = false)
         val machines = world.cloud.workers.count { it.alive }
         val started = world.rules.started
         assertTrue(machines in 1550..1704, "$machines machines")
         assertTrue(started in 7500..8400, "$started starts")
-        // A command holds all starts of a machine that one pass decided on.
+        // A command holds all starts of a machine that one scheduling cycle decided on.
         assertTrue(world.network.commandsSent <= started, "${world.network.commandsSent} commands for $started starts")
-        // Hundreds of starts share a record, and polls of what is not final cost one request each.
+        // Hundreds of starts share a record, and polls of unfinished jobs cost one request each.
         assertTrue(world.store.writes < 3000, "${world.store.writes} writes")
         assertTrue(world.store.mostOps <= 8, "${world.store.mostOps} in one transaction")
         assertTrue(world.store.largestValue < 2 * 1024)
 
-        // Once all is placed, what is written and asked no longer depends on how much runs.
+        // Once all tasks are placed, the number of writes and requests no longer depends on how many run.
         val (requests, writes, commands) = Triple(world.store.requests, world.store.writes, world.network.commandsSent)
         val idle = world.cloud.workers.filter { !it.busy }.toSet()
         world.run(10_000, busy = false)
@@ -63,11 +63,14 @@
         assertTrue(leader().cluster.machines.values.sumOf { it.live.size } in started..ALL_TASKS)
         assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.all { it.hasShownCurrentTerm })
 
-        val hit = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 3 == 0 }
-        for ((i, worker) in hit.withIndex()) if (i % 2 == 0) world.cloud.take(worker.id) else worker.cutUntil = world.time.now + 9000
-        val vain = world.network.commandsLost
+        val affected = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 3 == 0 }
+        for ((i, worker) in affected.withIndex()) if (i % 2 == 0) world.cloud.take(worker.id) else worker.cutUntil = world.time.now + 9000
+        val lostBefore = world.network.commandsLost
         world.run(40_000, busy = false)
-        assertTrue(world.network.commandsLost - vain < hit.size, "${world.network.commandsLost - vain} commands to silent machines")
+        assertTrue(
+            world.network.commandsLost - lostBefore < affected.size,
+            "${world.network.commandsLost - lostBefore} commands to silent machines",
+        )
         val running = leader().cluster.machines.values.sumOf { machine -> machine.live.values.count { it.runningSince != null } }
         assertTrue(running > started * 9 / 10, "$running of $started run again")
     }
--- a/src/test/kotlin/mountmast/coordination/controller/OperatorSettingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/OperatorSettingsTest.kt
@@ -25,7 +25,7 @@
         assertEquals(3.0, settings.policy.borrowingFactor)
         assertEquals(Urgency.HIGH, settings.policy.threshold(TeamId("t")))
         assertEquals(Urgency.NORMAL, settings.policy.threshold(TeamId("other")))
-        assertEquals(90_000L, settings.fleet.idleReturnMs)
+        assertEquals(90_000L, settings.fleet.idleTimeoutMs)
     }
 
     @Test
