--- a/src/main/kotlin/mountmast/coordination/election/VacancyWatch.kt
+++ b/src/main/kotlin/mountmast/coordination/election/VacancyWatch.kt
@@ -34,7 +34,7 @@
 
     /** Waits up to [waitMs] milliseconds for the key of another leader to change. */
     fun await(waitMs: Long): VacancyWait {
-        if (!leadership.followsOtherLeader || observedUpTo.number == 0uL) return VacancyWait.NOT_NEEDED
+        if (!leadership.followsOtherLeader) return VacancyWait.NOT_NEEDED
         return try {
             val result = store.watch(Keys.LEADER, observedUpTo, waitMs)
             if (result is WatchResult.Changes) observedUpTo = result.upTo
--- a/src/test/kotlin/mountmast/coordination/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/mountmast/coordination/election/LeaderElectionTest.kt
@@ -159,6 +159,7 @@
             val key = checkNotNull(lossy.get(Keys.LEADER))
             assertEquals(key.modRevision, election.leaderLease?.modRevision, "seed $seed")
             assertEquals(1, metrics.counter(MetricNames.ELECTIONS).value, "seed $seed")
+            assertEquals(FencingToken(0u).firstOfNextTerm(), election.leaderLease?.token, "seed $seed: no election was lost")
         }
     }
 
@@ -183,6 +184,10 @@
         assertEquals(VacancyWait.WATCHED, second.election.awaitVacancy(0))
         second.trouble.storeCutUntil = Long.MAX_VALUE
         assertEquals(VacancyWait.FAILED, second.election.awaitVacancy(0))
+        second.trouble.storeCutUntil = 0
+        stepFor(timing.ttlMs + 2 * STEP_MS, second)
+        assertNotNull(second.token)
+        assertEquals(VacancyWait.NOT_NEEDED, second.election.awaitVacancy(0))
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
@@ -24,6 +24,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
+/** The negotiation of one node with a store in virtual time; the last test has three nodes. */
 class FormatNegotiationTest {
     private val time = VirtualTime()
     private val standIn = StandInStore(time)
@@ -37,36 +38,36 @@
 
     private fun FormatNegotiation.recordAllMembersAsCurrent() = members.forEach { recordVersion(it, FORMAT_VERSION) }
 
-    private fun FormatNegotiation.steps(count: Int) = repeat(count) { step() }
+    private fun FormatNegotiation.stepTimes(count: Int) = repeat(count) { step() }
 
     private fun storedRecord(): JsonElement? = store.get(Keys.FORMAT)?.value
 
-    private fun put(value: JsonElement, modRevision: ModRevision = ModRevision.ABSENT) {
-        val outcome = store.commit(Transaction(listOf(Compare(Keys.FORMAT, modRevision)), listOf(Write.Put(Keys.FORMAT, value))))
-        assertTrue(outcome is TransactionResult.Committed)
+    private fun storeRecord(value: JsonElement, modRevision: ModRevision = ModRevision.ABSENT) {
+        val result = store.commit(Transaction(listOf(Compare(Keys.FORMAT, modRevision)), listOf(Write.Put(Keys.FORMAT, value))))
+        assertTrue(result is TransactionResult.Committed)
     }
 
     private fun record(version: Int) = WireJson.encodeToJsonElement(FormatRecord(version))
 
     @Test
     fun `a deployment of one node is current at once, without a request to the store`() {
-        val alone = FormatNegotiation(store, emptyList())
-        assertTrue(alone.isCurrent)
-        alone.steps(20)
+        val negotiation = FormatNegotiation(store, emptyList())
+        assertTrue(negotiation.isCurrent)
+        negotiation.stepTimes(20)
         assertEquals(0, standIn.requests)
     }
 
     @Test
     fun `no node is current before it has recorded the current version of all others`() {
         val negotiation = negotiation()
-        negotiation.steps(5)
+        negotiation.stepTimes(5)
         negotiation.recordVersion(other, FORMAT_VERSION)
-        negotiation.steps(5)
+        negotiation.stepTimes(5)
         negotiation.recordVersion(third, 0)
-        negotiation.steps(5)
+        negotiation.stepTimes(5)
         negotiation.recordVersion(third, FORMAT_VERSION - 1)
         negotiation.recordVersion(NodeId("node-9"), FORMAT_VERSION)
-        negotiation.steps(30)
+        negotiation.stepTimes(30)
         assertFalse(negotiation.isCurrent)
         assertEquals(null, storedRecord())
     }
@@ -75,7 +76,7 @@
     fun `a node that knows all others to be current stores that, and a restarted one reads it`() {
         val negotiation = negotiation()
         negotiation.recordAllMembersAsCurrent()
-        negotiation.steps(2)
+        negotiation.stepTimes(2)
         assertTrue(negotiation.isCurrent)
         assertEquals(record(FORMAT_VERSION), storedRecord())
         val restarted = negotiation()
@@ -89,16 +90,16 @@
         val negotiation = negotiation()
         negotiation.recordAllMembersAsCurrent()
         negotiation.recordVersion(other, 0)
-        negotiation.steps(2)
+        negotiation.stepTimes(2)
         assertTrue(negotiation.isCurrent)
     }
 
     @Test
     fun `a node without heartbeats reads the result from the store now and then`() {
         val negotiation = negotiation()
-        negotiation.steps(3)
-        put(record(FORMAT_VERSION))
-        negotiation.steps(11)
+        negotiation.stepTimes(3)
+        storeRecord(record(FORMAT_VERSION))
+        negotiation.stepTimes(11)
         assertTrue(negotiation.isCurrent)
     }
 
@@ -116,24 +117,24 @@
         negotiation.step()
         assertTrue(negotiation.isCurrent)
         before = standIn.requests
-        negotiation.steps(100)
+        negotiation.stepTimes(100)
         assertEquals(before, standIn.requests)
     }
 
     @Test
     fun `of two nodes that write at once one fails its compare and reads`() {
-        val one = negotiation()
-        val two = negotiation()
-        one.recordAllMembersAsCurrent()
-        two.recordAllMembersAsCurrent()
-        one.step()
-        two.step()
-        one.step()
-        two.step()
-        assertTrue(one.isCurrent)
-        assertFalse(two.isCurrent)
-        two.step()
-        assertTrue(two.isCurrent)
+        val first = negotiation()
+        val second = negotiation()
+        first.recordAllMembersAsCurrent()
+        second.recordAllMembersAsCurrent()
+        first.step()
+        second.step()
+        first.step()
+        second.step()
+        assertTrue(first.isCurrent)
+        assertFalse(second.isCurrent)
+        second.step()
+        assertTrue(second.isCurrent)
         assertEquals(1, standIn.writes - 1, "the second write must not have been carried out")
     }
 
@@ -141,15 +142,15 @@
     fun `a write whose answer is lost is read back, or repeated if it was lost itself`() {
         for (seed in 1L..40L) {
             val lossy = Trouble(time).apply { lossRate = 0.6 }
-            val here = StandInStore(time).View(Random(seed), lossy)
-            val negotiation = negotiation(here)
+            val viewedStore = StandInStore(time).View(Random(seed), lossy)
+            val negotiation = negotiation(viewedStore)
             negotiation.recordAllMembersAsCurrent()
             repeat(200) {
                 negotiation.step()
                 time.advance(1000)
             }
             assertTrue(negotiation.isCurrent, "seed $seed")
-            assertEquals(record(FORMAT_VERSION), here.get(Keys.FORMAT)?.value, "seed $seed")
+            assertEquals(record(FORMAT_VERSION), viewedStore.get(Keys.FORMAT)?.value, "seed $seed")
         }
     }
 
@@ -157,45 +158,45 @@
     fun `late writes neither fail a negotiation nor lower a later version`() {
         for (seed in 1L..40L) {
             val late = Trouble(time).apply { lateWritesUntil = time.now + 60_000 }
-            val here = StandInStore(time).View(Random(seed), late)
-            val negotiation = negotiation(here)
+            val viewedStore = StandInStore(time).View(Random(seed), late)
+            val negotiation = negotiation(viewedStore)
             negotiation.recordAllMembersAsCurrent()
-            negotiation.steps(2)
-            val entry = here.get(Keys.FORMAT)
+            negotiation.stepTimes(2)
+            val entry = viewedStore.get(Keys.FORMAT)
             while (true) {
                 val compare = Compare(Keys.FORMAT, entry?.modRevision ?: ModRevision.ABSENT)
                 val write = Write.Put(Keys.FORMAT, record(FORMAT_VERSION + 1))
-                if (runCatching { here.commit(Transaction(listOf(compare), listOf(write))) }.isSuccess) break
+                if (runCatching { viewedStore.commit(Transaction(listOf(compare), listOf(write))) }.isSuccess) break
             }
             repeat(60) {
                 time.advance(1000)
                 negotiation.step()
             }
             assertTrue(negotiation.isCurrent, "seed $seed")
-            assertEquals(record(FORMAT_VERSION + 1), here.get(Keys.FORMAT)?.value, "seed $seed")
+            assertEquals(record(FORMAT_VERSION + 1), viewedStore.get(Keys.FORMAT)?.value, "seed $seed")
         }
     }
 
     @Test
     fun `a stored later version is current, and a stored older version is raised`() {
-        put(record(FORMAT_VERSION - 1))
+        storeRecord(record(FORMAT_VERSION - 1))
         val negotiation = negotiation()
-        negotiation.steps(20)
+        negotiation.stepTimes(20)
         assertFalse(negotiation.isCurrent)
         negotiation.recordAllMembersAsCurrent()
         negotiation.step()
         assertTrue(negotiation.isCurrent)
         assertEquals(record(FORMAT_VERSION), storedRecord())
-        put(record(FORMAT_VERSION + 1), checkNotNull(store.get(Keys.FORMAT)).modRevision)
+        storeRecord(record(FORMAT_VERSION + 1), checkNotNull(store.get(Keys.FORMAT)).modRevision)
         assertTrue(negotiation().apply { step() }.isCurrent)
     }
 
     @Test
     fun `an unreadable record is left alone, and nobody is current`() {
-        put(JsonPrimitive("later"))
+        storeRecord(JsonPrimitive("later"))
         val negotiation = negotiation()
         negotiation.recordAllMembersAsCurrent()
-        negotiation.steps(20)
+        negotiation.stepTimes(20)
         assertFalse(negotiation.isCurrent)
         assertEquals(JsonPrimitive("later"), storedRecord())
     }
@@ -206,7 +207,7 @@
         standIn.outage(20_000)
         negotiation.step()
         val before = standIn.requests
-        negotiation.steps(10)
+        negotiation.stepTimes(10)
         assertEquals(before, standIn.requests)
     }
 
