--- a/src/main/kotlin/mountmast/coordination/state/CommandDelivery.kt
+++ b/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
@@ -4,7 +4,7 @@
 import mountmast.protocol.MonotonicTime
 
 /** Progress of the commands that are sent directly to one machine's worker. Guarded as its [ClusterState] is. */
-class CommandDelivery {
+class CommandDeliveryState {
     /** Whether a request waits for its answer; there is at most one. */
     var isInFlight = false
 
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -112,10 +112,10 @@
     /** When a task was last placed or the job became known or was released, for detecting that it stalls. */
     var lastProgress = MonotonicTime(0)
 
-    /** When operators were last told that it stalls; null once it goes on. */
+    /** When operators were last informed that it stalls; null once it goes on. */
     var lastStallReport: MonotonicTime? = null
 
-    /** Whether operators were told that it is late. */
+    /** Whether operators were informed that it is late. */
     var calledLate = false
 
     /**
@@ -160,12 +160,12 @@
         lastStallReport = null
     }
 
-    /** Records that operators were told at [now] that the job stalls. */
+    /** Records that operators were informed at [now] that the job stalls. */
     fun recordStallReport(now: MonotonicTime) {
         lastStallReport = now
     }
 
-    /** Records that operators were told that the job is late. */
+    /** Records that operators were informed that the job is late. */
     fun recordLateReport() {
         calledLate = true
     }
--- a/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
@@ -52,7 +52,7 @@
     }
 
     private fun addPrerequisites(job: Job, prerequisites: List<JobId>, now: MonotonicTime) {
-        job.unmetDependencies.setPrerequisites(prerequisites)
+        job.unmetDependencies.markListKnown()
         for (id in prerequisites) {
             val finished = finishedJobs[id]
             if (finished?.status == JobStatus.DONE) {
--- a/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
@@ -42,9 +42,8 @@
     private val resolver = PrerequisiteResolver(lock, dependencies, store, sources.prerequisiteLists, clock, ::recordFinished)
     private var watchFrom = Revision(0u)
 
-    /** All changes of jobs before this are known, on this node's steady clock and by its time of day. */
-    private var knownUpTo = MonotonicTime(0)
-    private var knownUpToWall = knownBefore
+    /** All changes of jobs before this are known. */
+    private var knownUpTo = Moment(MonotonicTime(0), knownBefore)
 
     /** An informer whose state and sources are given one by one. */
     constructor(
@@ -66,29 +65,29 @@
     )
 
     /** For how long changes of jobs may have gone unknown at [now], in milliseconds; the caller holds the lock. */
-    fun unknownForMs(now: MonotonicTime): Long = now - knownUpTo
+    fun unknownForMs(now: MonotonicTime): Long = now - knownUpTo.monotonic
 
     /** The low watermark of cancellations; the caller holds the lock. */
-    fun watermark(): WallTime = cluster.watermark(knownUpToWall)
+    fun watermark(): WallTime = cluster.watermark(knownUpTo.wall)
 
     /** Reads new and cancelled jobs; waits up to [waitMs] for them. Throws a `StoreException` if the state service fails. */
     fun watch(waitMs: Long) {
-        val asked = clock.now()
-        val askedWall = clock.wall()
+        val requestedAt = Moment(clock.now(), clock.wall())
         when (val result = store.watch(Keys.JOBS, watchFrom, waitMs)) {
             is WatchResult.Changes -> lock.withLock {
                 for (change in result.changes) change.value?.let { applyChange(Entry(change.key, it, change.modRevision)) }
                 watchFrom = result.upTo
-                advanceKnownUpTo(asked, askedWall)
+                // A response holds all changes that were made before it was requested.
+                knownUpTo = requestedAt
             }
             WatchResult.Compacted -> {
                 val (entries, revision) = store.listAll(Keys.JOBS)
-                lock.withLock { takeInAll(entries, revision, asked, askedWall) }
+                lock.withLock { takeInAll(entries, revision, requestedAt.monotonic, requestedAt.wall) }
             }
         }
     }
 
-    /** The modification revision shows whether a change is news: what was written first may be seen last. */
+    /** Applies [entry] unless a later state of the job is known: what was written first may be seen last. */
     private fun applyChange(entry: Entry) {
         val id = Keys.jobOfKey(entry.key) ?: return
         val record = RecordDecoder.decode<JobRecord>(entry.key, entry.value) ?: return
@@ -97,17 +96,11 @@
         if (known == null || entry.modRevision.number > known.modRevision.number) takeIn(record, entry.modRevision)
     }
 
-    /** Applies all live jobs as they were at [revision] or later, asked for at [asked]; the caller holds the lock. */
+    /** Applies all live jobs as they were at [revision] or later, requested at [asked]; the caller holds the lock. */
     fun takeInAll(entries: List<Entry>, revision: Revision, asked: MonotonicTime, askedWall: WallTime) {
         for (entry in entries) RecordDecoder.decode<JobRecord>(entry.key, entry.value)?.let { takeIn(it, entry.modRevision) }
         watchFrom = revision
-        advanceKnownUpTo(asked, askedWall)
-    }
-
-    /** A response holds all changes that were made before it was asked for. */
-    private fun advanceKnownUpTo(asked: MonotonicTime, askedWall: WallTime) {
-        knownUpTo = asked
-        knownUpToWall = askedWall
+        knownUpTo = Moment(asked, askedWall)
     }
 
     /** Applies the record of a live job at [modRevision]; the caller holds the lock. */
@@ -116,7 +109,7 @@
         if (dependencies.isRecentlyFinished(id)) return
         val isNew = id !in cluster.jobs
         val now = clock.now()
-        val job = cluster.putJob(record, modRevision, now, knownUpToWall)
+        val job = cluster.putJob(record, modRevision, now, knownUpTo.wall)
         if (isNew) dependencies.addJob(job, record, now)
         if (job.cancelRecorded) dependencies.cancelDependents(job)
         if (job.cancelled || listener.isCancelledElsewhere(job.id)) {
@@ -133,7 +126,7 @@
     }
 
     private fun cancel(job: Job, recorded: Boolean) {
-        job.cancel(knownUpToWall, recorded)
+        job.cancel(knownUpTo.wall, recorded)
         job.live.values.forEach { listener.onCommandsDue(it) }
     }
 
@@ -155,4 +148,7 @@
      * any to read. Throws a `StoreException` if the state service fails.
      */
     fun resolvePrerequisites(): Boolean = resolver.resolveDue() > 0
+
+    /** One moment on this node's steady clock and by its time of day. */
+    private class Moment(val monotonic: MonotonicTime, val wall: WallTime)
 }
--- a/src/main/kotlin/mountmast/coordination/state/JobInformerListener.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformerListener.kt
@@ -4,7 +4,7 @@
 import mountmast.protocol.ModRevision
 import mountmast.storage.JobRecord
 
-/** What [JobInformer] tells and asks others; called with the lock of the leader's term held. */
+/** What the [JobInformer] calls on others, with the lock of the leader's term held. */
 interface JobInformerListener {
     /** Whether another node broadcast the cancellation of the job [id]. */
     fun isCancelledElsewhere(id: JobId): Boolean
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -19,7 +19,7 @@
     val worker = WorkerStatus()
 
     /** Commands that are sent directly. */
-    val delivery = CommandDelivery()
+    val delivery = CommandDeliveryState()
 
     /** Whether answers and commands arrive. */
     val reachability = MachineReachability()
--- a/src/main/kotlin/mountmast/coordination/state/UnmetDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/UnmetDependencies.kt
@@ -7,11 +7,7 @@
 class UnmetDependencies {
     private val openIds = LinkedHashSet<JobId>()
 
-    /** All jobs that it names. */
-    var prerequisites: List<JobId> = emptyList()
-        private set
-
-    /** Those of [prerequisites] that are not known to be done. */
+    /** The prerequisites that are not known to be done. */
     val open: Set<JobId> get() = openIds
 
     /** False until a list of prerequisites that is stored apart from the job's record has been read. */
@@ -27,18 +23,17 @@
         isListKnown = false
     }
 
-    /** Sets the list of prerequisites; [addOpen] and [recordDone] say of each whether it is done. */
-    internal fun setPrerequisites(ids: List<JobId>) {
+    /** Records that the list of prerequisites is known; [addOpen] and [recordDone] say of each one whether it is done. */
+    internal fun markListKnown() {
         isListKnown = true
-        prerequisites = ids
     }
 
-    /** Records that [id] is not known to be done. */
+    /** Records that the prerequisite [id] is not known to be done. */
     internal fun addOpen(id: JobId) {
         openIds += id
     }
 
-    /** Records that [id] was done at [at], which records of earlier versions do not say. */
+    /** Records that the prerequisite [id] was done at [at], which records of earlier versions do not say. */
     internal fun recordDone(id: JobId, at: WallTime?) {
         openIds -= id
         if (at != null) lastDoneAt = maxOf(at, lastDoneAt ?: at)
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -46,8 +46,13 @@
             MonotonicTime(at),
         )
 
-    private fun place(index: Int, machine: String, at: Long): Assignment =
-        cluster.assign(job, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply { markJournaled() }
+    private fun place(index: Int, machine: String, at: Long, of: Job = job): Assignment =
+        cluster.assign(of, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply { markJournaled() }
+
+    private fun arrayJob(number: Int, tasks: Int): Job {
+        val spec = World(1).job(number) { it.copy(shape = Shape.ARRAY, tasks = tasks) }
+        return cluster.putJob(JobRecord(spec, WallTime(0)), ModRevision(1u), MonotonicTime(0))
+    }
 
     private fun Assignment.shown(state: TaskState, cause: ExitCause? = null) = ReportedTask(taskName, attempt, state, cause)
 
@@ -140,31 +145,18 @@
 
     @Test
     fun `failures on a machine that proves sick are not held against its jobs`() {
-        val others = (2..4).map {
-            cluster.putJob(
-                JobRecord(
-                    World(1).job(it) { s ->
-                        s.copy(shape = Shape.ARRAY, tasks = 9)
-                    },
-                    WallTime(0),
-                ),
-                ModRevision(1u),
-                MonotonicTime(0),
-            )
-        }
-        fun fails(of: Job, index: Int, machine: String, at: Long) {
+        val others = (2..4).map { number -> arrayJob(number, tasks = 9) }
+        fun failTask(of: Job, index: Int, machine: String, at: Long) {
             heartbeat(machine, at)
-            val assignment = cluster.assign(of, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
-                markJournaled()
-            }
+            val assignment = place(index, machine, at, of)
             heartbeat(machine, at + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
             cluster.release(assignment, MonotonicTime(at + 20))
         }
-        for ((i, machine) in listOf("vm-1", "vm-2", "vm-3").withIndex()) fails(job, i, machine, i * 5000L)
+        for ((i, machine) in listOf("vm-1", "vm-2", "vm-3").withIndex()) failTask(job, i, machine, i * 5000L)
         assertTrue(job.poisoned)
         for ((i, machine) in listOf("vm-1", "vm-2", "vm-3").withIndex()) {
-            fails(others[i], 0, machine, 20_000L + i * 10_000)
-            fails(others[(i + 1) % 3], 1, machine, 25_000L + i * 10_000)
+            failTask(others[i], 0, machine, 20_000L + i * 10_000)
+            failTask(others[(i + 1) % 3], 1, machine, 25_000L + i * 10_000)
         }
         assertEquals(3, cluster.machines.values.count { it.quarantined })
         assertFalse(job.poisoned)
