--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -4,8 +4,10 @@
 import mountmast.coordination.autoscaling.AutoscalingPolicy
 import mountmast.coordination.election.LeaderElection
 import mountmast.coordination.election.LeaseTiming
+import mountmast.coordination.jobs.HostNode
 import mountmast.coordination.jobs.JobRecordPrefetcher
 import mountmast.coordination.jobs.JobService
+import mountmast.coordination.jobs.PrefetchResult
 import mountmast.coordination.membership.CancellationBroadcast
 import mountmast.coordination.membership.FormatNegotiation
 import mountmast.coordination.membership.PeerMembership
@@ -70,13 +72,13 @@
     val formats = FormatNegotiation(store, settings.members.map { it.node })
     private val membership = PeerMembership(settings.members, peers, cancellations, clock, OwnState())
     private val prerequisiteLists = PrerequisiteLists(store, settings.stateLimits)
-    private val jobService =
-        JobService(store, settings.teams, clock, membership::forward, ::ready, ::tellCancelled, settings.stateLimits, { formats.isCurrent })
+    private val hostNode = HostNode.of(membership::forward, ::ready, ::tellCancelled) { formats.isCurrent }
+    private val jobService = JobService(store, settings.teams, clock, settings.stateLimits, hostNode)
 
     /** What users may ask of this node. */
     val users: UserService get() = jobService
 
-    private val jobPrefetcher = JobRecordPrefetcher(store, jobService::noteRecord)
+    private val jobPrefetcher = JobRecordPrefetcher(store, jobService::cacheRecord)
 
     private class LeaderComponents(val leaderTerm: LeaderTerm, val writer: JournalCommitter, val autoscaler: Autoscaler)
 
@@ -167,7 +169,7 @@
         store.setRole(leader = true)
         val leaderTerm =
             LeaderTerm(
-                leaderLease, store, workers, settings.teams, policy, timing, clock, { it in cancellations }, prerequisiteLists, jobService::noteRecord,
+                leaderLease, store, workers, settings.teams, policy, timing, clock, { it in cancellations }, prerequisiteLists, jobService::cacheRecord,
                 losses, invariants,
             )
         val writer = JournalCommitter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { election.stepDown() }
@@ -212,7 +214,7 @@
     }
 
     /** Hears of the jobs that other nodes accept, while this node does not lead; false where there is nothing to wait for. */
-    fun watchJobs(waitMs: Long): Boolean = leaderComponents.get() == null && jobPrefetcher.step(waitMs)
+    fun watchJobs(waitMs: Long): Boolean = leaderComponents.get() == null && jobPrefetcher.prefetch(waitMs) == PrefetchResult.WATCHED
 
     /** Learns what became of jobs that others wait for; false where there was nothing to learn. */
     fun resolvePrerequisites(): Boolean {
--- a/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
@@ -1,181 +1,136 @@
 package mountmast.coordination.jobs
 
-import com.google.common.cache.Cache
-import com.google.common.cache.CacheBuilder
-import kotlinx.serialization.json.decodeFromJsonElement
 import mountmast.protocol.JobId
-import mountmast.protocol.ModRevision
-import mountmast.protocol.WireJson
-import mountmast.storage.Compare
-import mountmast.storage.FinishedJobRecord
-import mountmast.storage.JobRecord
-import mountmast.storage.Keys
-import mountmast.storage.StateStore
 import mountmast.storage.StoreException
 import mountmast.storage.StoreTimeoutException
-import mountmast.storage.Transaction
-import mountmast.storage.TransactionResult
 import java.util.concurrent.CompletableFuture
 import java.util.concurrent.ExecutionException
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.TimeoutException
-
-/** What the store says of a job. */
-sealed interface JobState {
-    /** Not over; [record] may say that it is cancelled. */
-    class Live(val record: JobRecord) : JobState
-    class Finished(val record: FinishedJobRecord) : JobState
-    data object Unknown : JobState
-}
+import java.util.concurrent.locks.ReentrantLock
+import kotlin.concurrent.withLock
 
 /**
- * Reads jobs for users, many with one request. No node may give a user an older answer than another did, so each answer
- * needs the store after the question came; but a single transaction that only compares tells of all jobs read before
- * whether they are as they were. While one is under way, questions gather for the next.
+ * Reads jobs for users, many with one request. No node may give a user an older answer than another did, so each read needs the
+ * state service after it began; but a single transaction that only compares confirms all cached records at once. One thread
+ * reads a batch at a time, for itself and others; reads that begin meanwhile wait for the next batch. Thread-safe.
  */
-class JobReader(
-    private val store: StateStore,
-    private val maxCompares: Int,
-    /** For how long a question waits for its answer at most. */
-    private val maxWaitMs: Long = USERS_WAIT_MS,
+internal class JobReader(
+    private val loader: JobStateLoader,
+    /** How many jobs one batch reads, except that a read of more jobs is a batch of its own. */
+    private val maxBatchJobs: Int,
+    /** For how long a read waits for its batch at most, in milliseconds. */
+    private val maxWaitMs: Long = USER_REQUEST_WAIT_MS,
 ) {
-    private class Seen(val record: JobRecord, val modRevision: ModRevision)
+    private sealed interface Signal {
+        class Completed(val states: Map<JobId, JobState>) : Signal
 
-    private class Question(val ids: Set<JobId>) {
-        /** The states, or null: the thread that asked is to read for all that wait. */
-        @Volatile
-        var answer = CompletableFuture<Map<JobId, JobState>?>()
+        /** The thread that waits is to read the next batch. */
+        data object ReadNextBatch : Signal
     }
 
-    private val lock = Any()
-    private val waiting = ArrayDeque<Question>()
-    private var reading = false
+    private class PendingRead(val ids: Set<JobId>) {
+        /** Completed by the thread that reads a batch; only the thread that waits for it sets a new one. */
+        @Volatile
+        var signal = CompletableFuture<Signal>()
+            private set
+
+        fun awaitAnotherSignal() {
+            signal = CompletableFuture()
+        }
+
+        fun isTurnToRead(): Boolean = signal.isDone && !signal.isCompletedExceptionally && signal.getNow(null) == Signal.ReadNextBatch
+    }
 
-    /** Jobs that were not over when they were last read. */
-    private val seen: Cache<JobId, Seen> = CacheBuilder.newBuilder().maximumSize(MAX_SEEN).build()
+    /** Guards [pendingReads] and [isBatchInProgress]; never held during a request to the state service. */
+    private val lock = ReentrantLock()
+    private val pendingReads = ArrayDeque<PendingRead>()
+    private var isBatchInProgress = false
 
-    /** The state of [id] at some moment after this was called. */
+    /** The state of [id] at some moment after the call began; throws as [readAll] does. */
     fun read(id: JobId): JobState = readAll(setOf(id)).getValue(id)
 
-    /** The states of [ids], each at some moment after this was called. */
+    /**
+     * The states of [ids], each at some moment after the call began. Throws [StoreException] if the state service fails or does not
+     * answer in time, and [IllegalArgumentException] if a record cannot be decoded.
+     */
     fun readAll(ids: Set<JobId>): Map<JobId, JobState> {
         if (ids.isEmpty()) return emptyMap()
-        val own = Question(ids)
-        var reads = synchronized(lock) {
-            waiting += own
-            !reading.also { reading = true }
+        val own = PendingRead(ids)
+        var readsBatch = lock.withLock {
+            pendingReads += own
+            !isBatchInProgress.also { isBatchInProgress = true }
         }
         while (true) {
-            if (reads) readForAll()
-            val answer = await(own)
-            if (answer != null) return answer
-            own.answer = CompletableFuture()
-            reads = true
+            if (readsBatch) readNextBatch()
+            when (val signal = await(own)) {
+                is Signal.Completed -> return signal.states
+                Signal.ReadNextBatch -> {
+                    own.awaitAnotherSignal()
+                    readsBatch = true
+                }
+            }
         }
     }
 
-    /** The record of [id] as it was last read, if it was not over then: what never changes in it may be used. */
-    fun lastSeen(id: JobId): JobRecord? = seen.getIfPresent(id)?.record
-
-    /** Takes note of a record that was read elsewhere, unless a newer one is known. */
-    fun note(record: JobRecord, modRevision: ModRevision) {
-        seen.asMap().merge(record.spec.id, Seen(record, modRevision)) { old, new -> if (new.modRevision.number > old.modRevision.number) new else old }
-    }
-
-    private fun await(question: Question): Map<JobId, JobState>? = try {
-        question.answer.get(maxWaitMs, TimeUnit.MILLISECONDS)
+    private fun await(read: PendingRead): Signal = try {
+        read.signal.get(maxWaitMs, TimeUnit.MILLISECONDS)
     } catch (e: ExecutionException) {
         throw e.cause ?: e
     } catch (e: TimeoutException) {
-        synchronized(lock) {
-            waiting.remove(question)
-            // Its turn to read may have come just now; then somebody else has to.
-            val answer = question.answer
-            if (answer.isDone && !answer.isCompletedExceptionally && answer.getNow(null) == null) handOn()
+        lock.withLock {
+            pendingReads.remove(read)
+            // Its turn to read may have come just now; then another thread has to.
+            if (read.isTurnToRead()) passTurn()
         }
-        throw StoreTimeoutException("reading ${question.ids.first()} takes too long")
+        throw StoreTimeoutException("reading ${read.ids.first()} takes too long")
     }
 
-    private fun readForAll() {
-        val batch = synchronized(lock) { takeBatch() }
+    private fun readNextBatch() {
+        val batch = lock.withLock { removeBatch() }
         try {
-            answer(batch)
+            complete(batch)
         } finally {
-            batch.forEach { it.answer.completeExceptionally(StoreTimeoutException("not read")) }
-            synchronized(lock) { handOn() }
+            batch.forEach { it.signal.completeExceptionally(StoreTimeoutException("not read")) }
+            lock.withLock { passTurn() }
         }
     }
 
-    /** As many questions as one comparison answers, at least one; the caller holds the lock. */
-    private fun takeBatch(): List<Question> {
-        val batch = ArrayList<Question>()
+    /** Removes as many reads as one comparison answers, at least one; the caller holds [lock]. */
+    private fun removeBatch(): List<PendingRead> {
+        val batch = ArrayList<PendingRead>()
         var size = 0
-        while (waiting.isNotEmpty() && (batch.isEmpty() || size + waiting.first().ids.size <= maxCompares)) {
-            val question = waiting.removeFirst()
-            size += question.ids.size
-            batch += question
+        while (pendingReads.isNotEmpty() && (batch.isEmpty() || size + pendingReads.first().ids.size <= maxBatchJobs)) {
+            val read = pendingReads.removeFirst()
+            size += read.ids.size
+            batch += read
         }
         return batch
     }
 
-    /** Has the next who waits read; the caller holds the lock. */
-    private fun handOn() {
-        val next = waiting.firstOrNull()
-        if (next == null) reading = false else next.answer.complete(null)
+    /** Has the thread of the first pending read read the next batch; the caller holds [lock]. */
+    private fun passTurn() {
+        val next = pendingReads.firstOrNull()
+        if (next == null) isBatchInProgress = false else next.signal.complete(Signal.ReadNextBatch)
     }
 
-    private fun answer(batch: List<Question>) {
-        val ids = batch.flatMapTo(LinkedHashSet()) { it.ids }
-        val states = HashMap<JobId, JobState>()
-        val known = ids.mapNotNull { id -> seen.getIfPresent(id)?.let { id to it } }
-        for (part in known.chunked(maxCompares)) addUnchanged(part.toMap(), states)
-        for (question in batch) answer(question, states)
+    private fun complete(batch: List<PendingRead>) {
+        val states = HashMap(loader.confirmCached(batch.flatMapTo(LinkedHashSet()) { it.ids }))
+        for (read in batch) complete(read, states)
     }
 
-    private fun answer(question: Question, states: MutableMap<JobId, JobState>) {
+    private fun complete(read: PendingRead, states: MutableMap<JobId, JobState>) {
         try {
-            question.answer.complete(question.ids.associateWith { id -> states.getOrPut(id) { readOne(id) } })
+            read.signal.complete(Signal.Completed(read.ids.associateWith { id -> states.getOrPut(id) { loader.load(id) } }))
         } catch (e: StoreException) {
-            question.answer.completeExceptionally(e)
+            read.signal.completeExceptionally(e)
         } catch (e: IllegalArgumentException) {
-            question.answer.completeExceptionally(e)
-        }
-    }
-
-    /** Adds those of [jobs] that are still as they were read; a single one is read as cheaply as compared. */
-    private fun addUnchanged(jobs: Map<JobId, Seen>, states: MutableMap<JobId, JobState>) {
-        if (jobs.size < 2) return
-        for (id in unchanged(jobs)) states[id] = JobState.Live(jobs.getValue(id).record)
-    }
-
-    /** Which of these jobs are still as they were read. */
-    private fun unchanged(jobs: Map<JobId, Seen>): Set<JobId> = try {
-        val compares = jobs.map { (id, it) -> Compare(Keys.job(id), it.modRevision) }
-        when (val outcome = store.commit(Transaction(compares, emptyList()))) {
-            is TransactionResult.Committed -> jobs.keys
-            is TransactionResult.CompareFailed -> jobs.keys - outcome.failed.mapNotNull(Keys::jobOfKey).toSet()
+            read.signal.completeExceptionally(e)
         }
-    } catch (e: StoreException) {
-        emptySet()
-    }
-
-    private fun readOne(id: JobId): JobState {
-        store.get(Keys.job(id))?.let { entry ->
-            val record = WireJson.decodeFromJsonElement<JobRecord>(entry.value)
-            seen.put(id, Seen(record, entry.modRevision))
-            return JobState.Live(record)
-        }
-        seen.invalidate(id)
-        // A job moves from one key to the other but never back, so this order cannot miss it.
-        val entry = store.get(Keys.finished(id)) ?: return JobState.Unknown
-        return JobState.Finished(WireJson.decodeFromJsonElement<FinishedJobRecord>(entry.value))
     }
 
     private companion object {
         /** Users wait two seconds for an answer. */
-        const val USERS_WAIT_MS = 1800L
-
-        /** Records of some 400 bytes. */
-        const val MAX_SEEN = 4000L
+        const val USER_REQUEST_WAIT_MS = 1800L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/JobRecordPrefetcher.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobRecordPrefetcher.kt
@@ -14,37 +14,47 @@
 
 private val log = LoggerFactory.getLogger("mountmast.jobs")
 
+/** What became of one watch for records. */
+enum class PrefetchResult {
+    /** The state service answered, with changes or without. */
+    WATCHED,
+
+    /** The state service did not answer; the next watch should wait a while. */
+    STORE_UNAVAILABLE,
+}
+
 /**
- * Has a node that does not lead hear of each job soon after another node accepted it: a submission that names jobs then needs
- * no reading before it is written, and questions about many jobs are answered by one comparison. No answer rests on what is
- * heard here but on what never changes in a record, so that missing some only costs a reading. Called by one thread.
+ * Brings the records of jobs that other nodes accept to a node that does not lead: a submission that names jobs then needs no
+ * read before it is written, and reads of many jobs are answered by one comparison. No answer rests on these records but on
+ * what never changes in them, so that a missed one only costs a read. Not thread-safe: called by one thread.
  */
 class JobRecordPrefetcher(private val store: StateStore, private val onRecord: (JobRecord, ModRevision) -> Unit) {
-    private var from: Revision? = null
+    /** Where the next watch begins; null to begin with what changes after the next request. */
+    private var nextRevision: Revision? = null
 
-    /** Waits up to [waitMs] for changes and tells of them; false where the state service did not answer. */
-    fun step(waitMs: Long): Boolean {
-        if (!store.isReachable) return false
+    /** Waits up to [waitMs] milliseconds for changes, and passes each new record on. */
+    fun prefetch(waitMs: Long): PrefetchResult {
+        if (!store.isReachable) return PrefetchResult.STORE_UNAVAILABLE
         return try {
-            val start = from ?: latest()
-            when (val outcome = store.watch(Keys.JOBS, start, waitMs)) {
+            val start = nextRevision ?: currentRevision()
+            when (val result = store.watch(Keys.JOBS, start, waitMs)) {
                 is WatchResult.Changes -> {
-                    outcome.changes.forEach(::take)
-                    from = outcome.upTo
+                    result.changes.forEach(::passOnRecord)
+                    nextRevision = result.upTo
                 }
-                // What was missed is read when somebody asks for it.
-                WatchResult.Compacted -> from = null
+                // A missed record is read when somebody asks for its job.
+                WatchResult.Compacted -> nextRevision = null
             }
-            true
+            PrefetchResult.WATCHED
         } catch (e: StoreException) {
             log.debug("watching jobs: {}", e.message)
-            false
+            PrefetchResult.STORE_UNAVAILABLE
         }
     }
 
-    private fun latest(): Revision = store.list(Keys.JOBS, after = Keys.JOBS + LAST, limit = 1).revision
+    private fun currentRevision(): Revision = store.list(Keys.JOBS, after = Keys.JOBS + BEHIND_EVERY_ID, limit = 1).revision
 
-    private fun take(change: WatchEvent) {
+    private fun passOnRecord(change: WatchEvent) {
         val value = change.value ?: return
         if (Keys.jobOfKey(change.key) == null) return
         try {
@@ -55,7 +65,7 @@
     }
 
     private companion object {
-        /** Behind every id, so that a page from there is empty and tells the revision alone. */
-        const val LAST = "~"
+        /** A page that begins here is empty, so that it carries the revision alone. */
+        const val BEHIND_EVERY_ID = "~"
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobSubmission.kt
@@ -0,0 +1,58 @@
+package mountmast.coordination.jobs
+
+import kotlinx.serialization.json.JsonObject
+import kotlinx.serialization.json.encodeToJsonElement
+import mountmast.protocol.Clock
+import mountmast.protocol.JobAnswer
+import mountmast.protocol.JobId
+import mountmast.protocol.JobStatus
+import mountmast.protocol.ModRevision
+import mountmast.protocol.WireJson
+import mountmast.storage.Compare
+import mountmast.storage.JobRecord
+import mountmast.storage.Keys
+import mountmast.storage.PrerequisiteLists
+import mountmast.storage.StateStore
+import mountmast.storage.Transaction
+import mountmast.storage.TransactionResult
+import mountmast.storage.Write
+
+/**
+ * Accepts jobs, once for each id: a submission of an id that was accepted before is answered with how that job stands, whatever else
+ * the submission says. Thread-safe.
+ */
+internal class JobSubmission(
+    private val store: StateStore,
+    private val validator: SubmissionValidator,
+    private val prerequisiteLists: PrerequisiteLists,
+    private val records: UnconfirmedRecordCache,
+    private val statuses: JobStatusReader,
+    private val clock: Clock,
+) {
+    /**
+     * Accepts the job [id] that [submission] describes, unless it exists. Throws `StoreException` if the state service fails, after
+     * which the job may be accepted or not, and [IllegalArgumentException] if a stored record cannot be decoded.
+     */
+    fun submit(id: JobId, submission: JsonObject): RequestOutcome = when (val check = validator.check(submission)) {
+        is SubmissionCheck.Invalid -> statuses.find(id).orReject(check.reason)
+        is SubmissionCheck.Valid -> store(JobRecord(check.spec, clock.wall()))
+    }
+
+    private fun store(record: JobRecord): RequestOutcome {
+        val id = record.spec.id
+        if (!prerequisiteLists.fitsWithoutPrerequisites(record)) return statuses.find(id).orReject(RequestRejection.RecordTooLarge)
+        val stored = prerequisiteLists.store(record)
+        val transaction = Transaction(
+            listOf(Compare(Keys.job(id), ModRevision.ABSENT), Compare(Keys.finished(id), ModRevision.ABSENT)),
+            listOf(Write.Put(Keys.job(id), WireJson.encodeToJsonElement(stored))),
+        )
+        return when (val result = store.commit(transaction)) {
+            is TransactionResult.Committed -> {
+                // Its user may name it in the next submission at once.
+                records.putIfNewer(stored, ModRevision(result.revision.number))
+                RequestOutcome.Accepted(JobAnswer(id, JobStatus.PENDING))
+            }
+            is TransactionResult.CompareFailed -> statuses.find(id).orReject(RequestRejection.ConcurrentChange)
+        }
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/jobs/ProgressCache.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/ProgressCache.kt
@@ -15,32 +15,34 @@
 
 private val log = LoggerFactory.getLogger("mountmast.progress")
 
-/** How many of a job's tasks are done and on machines. */
-data class Progress(val done: Int, val running: Int)
+/** How many of a job's tasks are done, and how many run on machines. */
+internal data class Progress(val done: Int, val running: Int)
 
 /**
- * How far running jobs have come, as the leader notes it about once a second: for display alone, so one reading
- * serves all polls of a while instead of a request for each.
+ * How far running jobs have come, as the leader writes it about once a second. For display alone: one read of all jobs serves
+ * every status request of a second, and after a failed read the last progress is shown on. Thread-safe.
  */
-class ProgressCache(private val store: StateStore, private val clock: Clock) {
+internal class ProgressCache(private val store: StateStore, private val clock: Clock) {
+    /** Guards [progressByJob] and [nextReadAt]; never held during a request to the state service. */
     private val lock = ReentrantLock()
-    private var board: Map<JobId, Progress> = emptyMap()
-    private var readNotBefore = MonotonicTime(Long.MIN_VALUE)
+    private var progressByJob: Map<JobId, Progress> = emptyMap()
+    private var nextReadAt = MonotonicTime(Long.MIN_VALUE)
 
-    fun of(id: JobId): Progress {
+    /** The progress of [id], no older than a second or two if the state service answers; none for a job that the leader has not written. */
+    fun progressOf(id: JobId): Progress {
         val now = clock.now()
-        val reads = lock.withLock {
-            (now >= readNotBefore).also { if (it) readNotBefore = now + READ_EVERY_MS }
+        val isReadDue = lock.withLock {
+            (now >= nextReadAt).also { if (it) nextReadAt = now + READ_INTERVAL_MS }
         }
-        if (reads) refresh()
-        return lock.withLock { board[id] } ?: NONE
+        if (isReadDue) refresh()
+        return lock.withLock { progressByJob[id] } ?: NONE
     }
 
     private fun refresh() {
         val entries = try {
             store.list(Keys.PROGRESS).entries
         } catch (e: StoreException) {
-            // What was known serves a while longer; the job's own state was read a moment ago.
+            // The last progress is shown a while longer; the job's own state was read a moment ago.
             log.debug("reading progress: {}", e.message)
             return
         }
@@ -52,20 +54,21 @@
                 log.warn("unreadable record {}: {}", entry.key, e.message)
                 continue
             }
-            text.splitToSequence(';').forEach { line -> add(line.split(' '), read) }
+            text.splitToSequence(';').forEach { job -> addProgress(job.split(' '), read) }
         }
-        lock.withLock { board = read }
+        lock.withLock { progressByJob = read }
     }
 
-    private fun add(fields: List<String>, to: HashMap<JobId, Progress>) {
-        if (fields.size != FIELDS) return
+    /** Adds the progress of the job in [fields], which are its id and its numbers of done and running tasks; other forms are skipped. */
+    private fun addProgress(fields: List<String>, to: HashMap<JobId, Progress>) {
+        if (fields.size != FIELDS_PER_JOB) return
         val job = JobId.parse(fields[0]) ?: return
         to[job] = Progress(fields[1].toIntOrNull() ?: return, fields[2].toIntOrNull() ?: return)
     }
 
     private companion object {
-        const val READ_EVERY_MS = 1000L
-        const val FIELDS = 3
+        const val READ_INTERVAL_MS = 1000L
+        const val FIELDS_PER_JOB = 3
         val NONE = Progress(0, 0)
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/jobs/SubmissionValidator.kt
@@ -0,0 +1,52 @@
+package mountmast.coordination.jobs
+
+import kotlinx.serialization.json.JsonObject
+import mountmast.protocol.JobSpec
+import mountmast.protocol.JobValidation
+import mountmast.protocol.Malformed
+import mountmast.protocol.TeamId
+import mountmast.protocol.TeamQuota
+
+/** Whether a submission describes a job that can be accepted. */
+internal sealed interface SubmissionCheck {
+    class Valid(val spec: JobSpec) : SubmissionCheck
+
+    class Invalid(val reason: RequestRejection) : SubmissionCheck
+}
+
+/** Checks submissions against the protocol, the quotas of teams, the machine types and the jobs that they wait for. Thread-safe. */
+internal class SubmissionValidator(
+    private val teams: Map<TeamId, TeamQuota>,
+    private val machineTypes: MachineTypeCache,
+    private val prerequisites: PrerequisiteValidator,
+    private val node: HostNode,
+) {
+    /** Checks [submission]. Throws `StoreException` if its prerequisites cannot be read, [IllegalArgumentException] if not decoded. */
+    fun check(submission: JsonObject): SubmissionCheck {
+        val spec = try {
+            JobValidation.parse(submission)
+        } catch (e: Malformed) {
+            return SubmissionCheck.Invalid(RequestRejection.MalformedBody(e.message))
+        }
+        val rejection = whyNeverRuns(spec) ?: whyPrerequisitesInvalid(spec)
+        return if (rejection == null) SubmissionCheck.Valid(spec) else SubmissionCheck.Invalid(rejection)
+    }
+
+    /** Null if machines and quotas allow the job. */
+    private fun whyNeverRuns(spec: JobSpec): RequestRejection? {
+        val types = machineTypes.types
+        if (types.isEmpty()) return RequestRejection.MachineTypesUnknown
+        return JobValidation.neverRuns(spec, teams, types)?.let { RequestRejection.NeverRuns(it) }
+    }
+
+    /** Null if the job may wait for all that it names. */
+    private fun whyPrerequisitesInvalid(spec: JobSpec): RequestRejection? = when {
+        spec.prerequisites.isEmpty() -> null
+        !node.acceptsPrerequisites -> RequestRejection.PrerequisitesUnsupported
+        else -> when (val check = prerequisites.check(spec.prerequisites)) {
+            PrerequisiteCheck.Valid -> null
+            is PrerequisiteCheck.NeverAccepted -> RequestRejection.PrerequisiteNeverAccepted(check.id)
+            is PrerequisiteCheck.IsService -> RequestRejection.PrerequisiteIsService(check.id)
+        }
+    }
+}
--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -10,6 +10,7 @@
 import kotlinx.serialization.json.buildJsonObject
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.protobuf.ProtoBuf
+import mountmast.coordination.jobs.HostNode
 import mountmast.coordination.jobs.JobService
 import mountmast.protocol.FencingToken
 import mountmast.protocol.ForwardedRequest
@@ -88,6 +89,16 @@
         }
     }
 
+    private class Host(
+        private val forwarding: (ForwardedRequest) -> UserAnswer?,
+        private val ready: Boolean,
+        override val acceptsPrerequisites: Boolean,
+    ) : HostNode {
+        override fun isReady() = ready
+        override fun forward(request: ForwardedRequest) = forwarding(request)
+        override fun onCancelled(id: JobId) = Unit
+    }
+
     private fun service(
         on: StateStore = store,
         forward: (ForwardedRequest) -> UserAnswer? = { null },
@@ -98,11 +109,8 @@
         on,
         mapOf(team.id to team),
         time.clock(0.0, 0),
-        forward,
-        { isReady },
-        {},
         StateLimits(80.0, 30.0, 2.0, 8),
-        { acceptsPrerequisites },
+        Host(forward, isReady, acceptsPrerequisites),
     ).also { if (knowsTypes) it.refreshTypes() }
 
     private fun routes(users: UserService, metrics: Metrics = Metrics()) =
--- a/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
@@ -32,29 +32,32 @@
 class JobReaderTest {
     private val time = VirtualTime()
     private val inner = StandInStore(time).View(Random(1), Trouble(time))
-    private val asked = AtomicInteger()
+    private val requests = AtomicInteger()
 
-    /** Lets one request after the other through, and only when told to. */
+    /** A request to the state service takes a permit while [isGated]. */
     private val gate = Semaphore(0)
 
     @Volatile
-    private var gated = false
+    private var isGated = false
 
     private val store = object : StateStore by inner {
         override fun get(key: String): Entry? = counted { inner.get(key) }
         override fun commit(transaction: Transaction): TransactionResult = counted { inner.commit(transaction) }
 
-        private fun <T> counted(act: () -> T): T {
-            asked.incrementAndGet()
-            if (gated) assertTrue(gate.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the gate stays closed")
-            return synchronized(inner) { act() }
+        private fun <T> counted(request: () -> T): T {
+            requests.incrementAndGet()
+            if (isGated) assertTrue(gate.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the gate stays closed")
+            return synchronized(inner) { request() }
         }
     }
 
-    /** No question gives up by itself: the test would depend on the machine's speed. */
-    private val reader = JobReader(store, 8, maxWaitMs = PATIENCE_S * 1000)
+    /** No read times out by itself: the test would depend on the machine's speed. */
+    private val reader = readerOn(store, maxWaitMs = PATIENCE_S * 1000)
     private val jobs = (1..20).map { World(1).job(it) }
 
+    private fun readerOn(store: StateStore, maxWaitMs: Long) =
+        JobReader(JobStateLoader(store, UnconfirmedRecordCache(), MAX_COMPARES), MAX_COMPARES, maxWaitMs)
+
     private fun put(number: Int, cancelled: Boolean, modRevision: ModRevision) = inner.commit(
         Transaction(
             listOf(Compare(Keys.job(jobs[number].id), modRevision)),
@@ -62,7 +65,7 @@
         ),
     )
 
-    /** Fails, rather than hangs, where that does not come about however slow the machine is. */
+    /** Fails, rather than hangs, if [reached] does not become true however slow the machine is. */
     private fun waitUntil(reached: () -> Boolean) {
         val until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S)
         while (!reached()) {
@@ -71,44 +74,46 @@
         }
     }
 
-    private fun cancelled(id: JobId) = (reader.read(id) as JobState.Live).record.cancelled
+    private fun isCancelled(id: JobId) = (reader.read(id) as JobState.Live).record.cancelled
 
     @Test
-    fun `questions that wait together are answered with few requests, and as the store has it after they came`() {
+    fun `concurrent reads are batched into few requests, and each returns the state after it began`() {
         jobs.indices.forEach { put(it, false, ModRevision.ABSENT) }
         jobs.forEach { reader.read(it.id) }
-        asked.set(0)
-        gated = true
+        requests.set(0)
+        isGated = true
         val threads = ConcurrentHashMap.newKeySet<Thread>()
         val pool = Executors.newFixedThreadPool(jobs.size) { task -> Thread(task).also { threads += it } }
-        val first = pool.submit<Boolean> { cancelled(jobs[0].id) }
-        waitUntil { asked.get() > 0 }
-        val rest = jobs.drop(1).map { job -> pool.submit<Boolean> { cancelled(job.id) } }
-        // The first waits for the store, all others for their answers.
+        val first = pool.submit<Boolean> { isCancelled(jobs[0].id) }
+        waitUntil { requests.get() > 0 }
+        val rest = jobs.drop(1).map { job -> pool.submit<Boolean> { isCancelled(job.id) } }
+        // The first waits for the state service, all others for their batch.
         waitUntil { threads.count { it.state == Thread.State.TIMED_WAITING } == jobs.size }
-        // The first request is still under way: what changes now must be in every answer but perhaps the first.
+        // The first request is still under way: what changes now must be in the result of every read but perhaps the first.
         synchronized(inner) { put(5, true, checkNotNull(inner.get(Keys.job(jobs[5].id))).modRevision) }
-        gated = false
+        isGated = false
         gate.release(100)
         assertEquals(listOf(5), rest.indices.filter { rest[it].get(PATIENCE_S, TimeUnit.SECONDS) }.map { it + 1 })
         assertEquals(false, first.get(PATIENCE_S, TimeUnit.SECONDS))
-        assertTrue(asked.get() <= 6, "${asked.get()} requests for ${jobs.size} questions")
+        assertTrue(requests.get() <= 6, "${requests.get()} requests for ${jobs.size} reads")
         pool.shutdown()
     }
 
     @Test
-    fun `an unknown job is unknown, and a failure is told to whoever asked and passes`() {
+    fun `a job never accepted is unknown, and a failed read throws and does not affect later reads`() {
         assertEquals(JobState.Unknown, reader.read(jobs[0].id))
         put(0, false, ModRevision.ABSENT)
         val trouble = Trouble(time).apply { storeRefusedUntil = 100 }
-        val failing = JobReader(StandInStore(time).View(Random(1), trouble), 8)
+        val failing = readerOn(StandInStore(time).View(Random(1), trouble), maxWaitMs = 1800)
         repeat(3) { assertThrows(StoreException::class.java) { failing.read(jobs[0].id) } }
         time.advance(200)
         assertEquals(JobState.Unknown, failing.read(jobs[0].id))
-        assertEquals(false, cancelled(jobs[0].id))
+        assertEquals(false, isCancelled(jobs[0].id))
     }
 
     private companion object {
+        const val MAX_COMPARES = 8
+
         /** Far beyond what any machine takes. */
         const val PATIENCE_S = 120L
     }
--- a/src/test/kotlin/mountmast/coordination/jobs/JobRecordPrefetcherTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobRecordPrefetcherTest.kt
@@ -16,8 +16,6 @@
 import mountmast.storage.Transaction
 import mountmast.storage.Write
 import org.junit.jupiter.api.Assertions.assertEquals
-import org.junit.jupiter.api.Assertions.assertFalse
-import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
@@ -26,8 +24,8 @@
     private val standIn = StandInStore(time, keptChanges = 10)
     private val trouble = Trouble(time)
     private val store = standIn.View(Random(1), trouble)
-    private val heard = ArrayList<Pair<JobId, ModRevision>>()
-    private val watch = JobRecordPrefetcher(store) { record, modRevision -> heard += record.spec.id to modRevision }
+    private val prefetched = ArrayList<Pair<JobId, ModRevision>>()
+    private val prefetcher = JobRecordPrefetcher(store) { record, modRevision -> prefetched += record.spec.id to modRevision }
     private val jobs = (1..30).map { World(1).job(it) }
 
     private fun put(key: String, value: JsonElement) = store.commit(Transaction(emptyList(), listOf(Write.Put(key, value))))
@@ -35,39 +33,39 @@
     private fun accept(number: Int) = put(Keys.job(jobs[number].id), WireJson.encodeToJsonElement(JobRecord(jobs[number], WallTime(0))))
 
     @Test
-    fun `what is accepted from now on is heard once, and nothing else`() {
+    fun `each job accepted from now on is prefetched once, and nothing else`() {
         accept(0)
-        assertTrue(watch.step(0))
+        assertEquals(PrefetchResult.WATCHED, prefetcher.prefetch(0))
         put(Keys.TYPES, JsonPrimitive(1))
         accept(1)
         store.commit(Transaction(emptyList(), listOf(Write.Delete(Keys.job(jobs[0].id)))))
         accept(2)
-        repeat(3) { assertTrue(watch.step(0)) }
-        assertEquals(listOf(jobs[1].id, jobs[2].id), heard.map { it.first })
-        assertEquals(store.get(Keys.job(jobs[2].id))?.modRevision, heard.last().second)
+        repeat(3) { assertEquals(PrefetchResult.WATCHED, prefetcher.prefetch(0)) }
+        assertEquals(listOf(jobs[1].id, jobs[2].id), prefetched.map { it.first })
+        assertEquals(store.get(Keys.job(jobs[2].id))?.modRevision, prefetched.last().second)
     }
 
     @Test
-    fun `a record that cannot be read is passed over, and an outage or too many changes end nothing`() {
-        assertTrue(watch.step(0))
+    fun `an unreadable record is skipped, and neither an outage nor a compaction ends the prefetching`() {
+        assertEquals(PrefetchResult.WATCHED, prefetcher.prefetch(0))
         put(Keys.job(jobs[3].id), JsonPrimitive("later"))
         accept(4)
-        assertTrue(watch.step(0))
-        assertEquals(listOf(jobs[4].id), heard.map { it.first })
+        assertEquals(PrefetchResult.WATCHED, prefetcher.prefetch(0))
+        assertEquals(listOf(jobs[4].id), prefetched.map { it.first })
         trouble.storeRefusedUntil = time.now + 1000
-        assertFalse(watch.step(0))
+        assertEquals(PrefetchResult.STORE_UNAVAILABLE, prefetcher.prefetch(0))
         time.advance(2000)
-        // More changes than the service keeps: those are not heard, later ones are.
+        // More changes than the service keeps: those are not prefetched, later ones are.
         (5..25).forEach(::accept)
         store.get(Keys.TERM)
-        repeat(2) { watch.step(0) }
+        repeat(2) { prefetcher.prefetch(0) }
         accept(26)
-        watch.step(0)
-        assertEquals(jobs[26].id, heard.last().first)
+        prefetcher.prefetch(0)
+        assertEquals(jobs[26].id, prefetched.last().first)
     }
 
     @Test
-    fun `a submission that names jobs which another node accepted is written without reading them first`() {
+    fun `a submission that waits for jobs which another node accepted is written without reading them first`() {
         val world = World(1, quietNetwork = true)
         val first = (1..3).map { world.accept(world.plainJob(it)) }
         world.run(5000, busy = false)
