--- a/src/main/kotlin/mountmast/coordination/jobs/ProgressCache.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/ProgressCache.kt
@@ -62,8 +62,10 @@
     /** Adds the progress of the job in [fields], which are its id and its numbers of done and running tasks; other forms are skipped. */
     private fun addProgress(fields: List<String>, to: HashMap<JobId, Progress>) {
         if (fields.size != FIELDS_PER_JOB) return
-        val job = JobId.parse(fields[0]) ?: return
-        to[job] = Progress(fields[1].toIntOrNull() ?: return, fields[2].toIntOrNull() ?: return)
+        val job = JobId.parse(fields[0])
+        val done = fields[1].toIntOrNull()
+        val running = fields[2].toIntOrNull()
+        if (job != null && done != null && running != null) to[job] = Progress(done, running)
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
+++ b/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
@@ -9,12 +9,16 @@
 import java.security.MessageDigest
 
 /**
- * Keeps lists of prerequisites that are too long for one value of the state service. The parts are written before the
+ * Stores lists of prerequisites that are too long for one value of the state service, in parts. The parts are written before the
  * job's record, which names them by a digest of the list: a job counts as accepted only when all parts are there, and
  * parts that a submission left behind before it failed are never taken for those of another list. Thread-safe.
  */
 class PrerequisiteLists(private val store: StateStore, private val limits: StateLimits) {
-    /** The record to store for [record], all of whose prerequisites stand in its spec: the list moves out if it is long. */
+    /**
+     * Returns the record to store for [record], whose spec names all prerequisites. If it does not fit into one value, its list is
+     * written to keys of its own, and the record returned refers to them. Throws [StoreException] if they cannot be written; parts
+     * written until then do no harm.
+     */
     fun store(record: JobRecord): JobRecord {
         if (fits(record)) return record
         val prerequisites = record.spec.prerequisites
@@ -25,28 +29,30 @@
         return record.copy(spec = record.spec.copy(prerequisites = emptyList()), prerequisiteList = reference)
     }
 
-    /** Whether [record] fits into one value as it is. */
-    fun fits(record: JobRecord): Boolean = jsonSize(WireJson.encodeToJsonElement(record)) <= limits.valueBytes
-
-    /** Whether all of [record] but its prerequisites fits into one value. */
+    /** Whether [record] can be stored: all of it but its prerequisites fits into one value. */
     fun fitsWithoutPrerequisites(record: JobRecord): Boolean =
         fits(record.copy(spec = record.spec.copy(prerequisites = emptyList()), prerequisiteList = LONGEST_REFERENCE))
 
+    private fun fits(record: JobRecord): Boolean = jsonSize(WireJson.encodeToJsonElement(record)) <= limits.valueBytes
+
     private fun writeParts(job: JobId, reference: PrerequisiteListRef, numbers: List<Int>, parts: List<List<JobId>>) {
         val writes = numbers.map { number ->
             val value = WireJson.encodeToJsonElement(PrerequisiteListPart(parts[number]))
             Write.Put(Keys.prerequisiteList(job, reference.digest, number), value)
         }
-        // Whoever wrote these keys before wrote the same, as the digest is part of them.
+        // An earlier write of these keys wrote the same values, as the digest is part of the keys.
         val compares = writes.map { Compare(it.key, ModRevision.ABSENT) }
         if (store.commit(Transaction(compares, writes)) is TransactionResult.Committed) return
-        // An earlier try left some of them behind: what is missing is written one by one.
+        // An earlier submission wrote some of them before it failed: those missing are written one by one.
         for ((write, compare) in writes.zip(compares)) {
             if (store.get(write.key) == null) store.commit(Transaction(listOf(compare), listOf(write)))
         }
     }
 
-    /** All prerequisites that [record] names; throws [StoreException] where they cannot be read. */
+    /**
+     * All prerequisites that [record] names or refers to. Throws [StoreException] if they cannot be read, and
+     * [IllegalArgumentException] if a part cannot be decoded.
+     */
     fun read(record: JobRecord): List<JobId> {
         val reference = record.prerequisiteList ?: return record.spec.prerequisites
         return (0 until reference.parts).flatMap { part -> readPart(record.spec.id, reference.digest, part) }
--- a/src/main/kotlin/mountmast/storage/TypesForm.kt
+++ b/src/main/kotlin/mountmast/storage/TypesForm.kt
@@ -6,9 +6,9 @@
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.WireJson
 
-/** How the machine types are kept: in one value where they fit, else in parts that are written before the first value. */
+/** The stored form of the machine types: one value if they fit, else parts that are written before the first value, which names them. */
 object TypesForm {
-    /** What to write, in this order, so that no value is larger than [limitBytes]. */
+    /** The writes that store [types], to be made in this order, with no value larger than [limitBytes]. */
     fun writes(types: MachineTypes, limitBytes: Int): List<Write.Put> {
         val whole = whole(types)
         if (jsonSize(whole.value) <= limitBytes) return listOf(whole)
@@ -20,12 +20,12 @@
         return parts + Write.Put(Keys.TYPES, WireJson.encodeToJsonElement(head))
     }
 
-    /** All in one value, however large: the only form that the first versions read. */
+    /** The write that stores [types] in one value, however large: the only form that the first versions read. */
     fun whole(types: MachineTypes) = Write.Put(Keys.TYPES, WireJson.encodeToJsonElement(TypesRecord(types.types)))
 
     /**
-     * The machine types that [store] holds, or null where there are none, or where they are just being changed.
-     * Throws [IllegalArgumentException] where they cannot be read.
+     * The machine types that [store] holds, or null if there are none, or if they are just being changed.
+     * Throws [StoreException] if the state service fails, and [IllegalArgumentException] if they cannot be decoded.
      */
     fun read(store: StateStore): MachineTypes? {
         val head = store.get(Keys.TYPES)?.let { WireJson.decodeFromJsonElement<TypesRecord>(it.value) } ?: return null
@@ -34,10 +34,11 @@
             val entry = store.get(Keys.typesPart(part)) ?: return null
             types += WireJson.decodeFromJsonElement<MachineTypes>(entry.value).types
         }
-        val belongTogether = head.digest == null || head.digest == digest(types)
-        return MachineTypes(types).takeIf { belongTogether }
+        val isConsistent = head.digest == null || head.digest == digest(types)
+        return MachineTypes(types).takeIf { isConsistent }
     }
 
+    /** Divides [types] in their order; a type larger than [limitBytes] is a group of its own. */
     private fun groups(types: List<MachineType>, limitBytes: Int): List<List<MachineType>> {
         val groups = ArrayList<ArrayList<MachineType>>()
         var bytes = 0
--- a/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
@@ -15,6 +15,7 @@
 import mountmast.storage.Keys
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
+import mountmast.storage.StoreTimeoutException
 import mountmast.storage.Transaction
 import mountmast.storage.TransactionResult
 import mountmast.storage.Write
@@ -111,6 +112,22 @@
         assertEquals(false, isCancelled(jobs[0].id))
     }
 
+    @Test
+    fun `a read that waits too long for its batch throws, and does not affect other reads`() {
+        put(0, false, ModRevision.ABSENT)
+        val impatient = readerOn(store, maxWaitMs = 50)
+        isGated = true
+        val pool = Executors.newSingleThreadExecutor()
+        val first = pool.submit<Boolean> { (impatient.read(jobs[0].id) as JobState.Live).record.cancelled }
+        waitUntil { requests.get() > 0 }
+        assertThrows(StoreTimeoutException::class.java) { impatient.read(jobs[1].id) }
+        isGated = false
+        gate.release(100)
+        assertEquals(false, first.get(PATIENCE_S, TimeUnit.SECONDS))
+        assertEquals(JobState.Unknown, impatient.read(jobs[1].id))
+        pool.shutdown()
+    }
+
     private companion object {
         const val MAX_COMPARES = 8
 
