--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -9,6 +9,7 @@
 import mountmast.coordination.membership.CancellationBroadcast
 import mountmast.coordination.membership.FormatNegotiation
 import mountmast.coordination.membership.PeerMembership
+import mountmast.coordination.persistence.CommitStep
 import mountmast.coordination.persistence.JournalCommitter
 import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.coordination.state.Invariants
@@ -197,7 +198,7 @@
     }
 
     /** Writes what the ledger changed; false where there was nothing to write. */
-    fun write(): Boolean = leaderComponents.get()?.takeIf { it.leaderTerm.ready }?.writer?.step() ?: false
+    fun write(): Boolean = leaderComponents.get()?.takeIf { it.leaderTerm.ready }?.writer?.commitNext() == CommitStep.Written
 
     /** Learns of new and cancelled jobs; false where the state service did not tell. */
     fun watch(waitMs: Long): Boolean {
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -3,6 +3,7 @@
 import mountmast.coordination.autoscaling.AutoscalingContext
 import mountmast.coordination.election.LeaderLease
 import mountmast.coordination.election.LeaseTiming
+import mountmast.coordination.persistence.HintsLoad
 import mountmast.coordination.persistence.JournalState
 import mountmast.coordination.persistence.PersistenceContext
 import mountmast.coordination.persistence.StateLoader
@@ -94,7 +95,7 @@
 
     /** Reads everything from the store, in two steps: first what is needed to go on, then hints. False once all is read. */
     fun load(): Boolean {
-        if (ready) return loader.loadHints()
+        if (ready) return loader.loadHints() == HintsLoad.LOADED
         loader.loadState()
         lock.withLock {
             heartbeats.takenFrom = clock.now()
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/persistence/BatchCollector.kt
@@ -0,0 +1,50 @@
+package mountmast.coordination.persistence
+
+import mountmast.storage.Keys
+import mountmast.storage.StateStore
+import mountmast.storage.StoreException
+import org.slf4j.LoggerFactory
+import kotlin.concurrent.withLock
+
+private val log = LoggerFactory.getLogger("mountmast.writer")
+
+/**
+ * Collects what the leader has to write into batches, within the store's limits and the leader's write budget. Called by the
+ * committing thread; takes the lock of [PersistenceContext], but not during a call to the store.
+ */
+internal class BatchCollector(
+    private val context: PersistenceContext,
+    private val store: StateStore,
+    private val limits: AdaptiveWriteLimits,
+    private val writers: BatchWriters,
+    private val areCompactFormsAgreed: () -> Boolean,
+) {
+    private val largeJournal = JournalSize.forValuesOf(limits.current.valueBytes)
+
+    /** Returns the next batch, or null if there is nothing to write, or nothing may be written yet. */
+    fun collect(): WriteBatch? {
+        val budget = store.writeBudget()
+        if (budget.available <= 0) return null
+        if (!writers.progress.areStoredPartsKnown && !loadStoredProgressParts()) return null
+        return context.lock.withLock {
+            val batch = WriteBatch(context.leaderModRevision, minOf(budget.available, limits.current.transactionOps))
+            writers.fill(batch, options(budget.isScarce))
+            batch.takeUnless { it.isEmpty }
+        }
+    }
+
+    private fun options(isScarce: Boolean): BatchOptions {
+        val isCompact = areCompactFormsAgreed()
+        val journalSize = if (isCompact) largeJournal else JournalSize.MINIMUM
+        return BatchOptions(limits.current, journalSize, isCompact, isScarce, maySplitTypes = isCompact || limits.wasRejected)
+    }
+
+    /** Returns whether the store could be read. */
+    private fun loadStoredProgressParts(): Boolean = try {
+        writers.progress.setStoredParts(store.listAll(Keys.PROGRESS).first.map { it.key })
+        true
+    } catch (e: StoreException) {
+        log.debug("listing the parts of the progress: {}", e.message)
+        false
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/persistence/CancellationWatermarkWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CancellationWatermarkWriter.kt
@@ -9,30 +9,29 @@
 import mountmast.storage.Keys
 
 /**
- * Tells the next leader, and those who help it, from when on there may be cancellations that no worker was told of. Guarded by
- * the lock of [PersistenceContext].
+ * Writes from when on there may be cancellations that no worker knows of, for the next leader and for the nodes that renew
+ * worker leases on its behalf. Guarded by the lock of [PersistenceContext].
  */
-class CancellationWatermarkWriter(private val context: PersistenceContext, private val clock: Clock) {
+internal class CancellationWatermarkWriter(private val context: PersistenceContext, private val clock: Clock) : BatchContributor {
     private var notBefore = MonotonicTime(0)
-    private var written: WallTime? = null
+    private var lastAdded: WallTime? = null
 
-    fun addTo(batch: WriteBatch) {
+    override fun contribute(batch: WriteBatch, options: BatchOptions) {
         val now = clock.now()
-        if (now < notBefore || batch.room <= 0) return
-        notBefore = now + EVERY_MS
+        if (now < notBefore || batch.remainingOps <= 0) return
+        notBefore = now + INTERVAL_MS
         val watermark = context.jobs.watermark()
-        if (watermark == written) return
-        written = watermark
+        if (watermark == lastAdded) return
+        lastAdded = watermark
         batch.put(Keys.WATERMARK, WireJson.encodeToJsonElement(CancellationWatermarkRecord(watermark)))
     }
 
-    /** What was added last may not have been written. */
-    fun requeue() {
+    override fun requeue() {
         notBefore = MonotonicTime(0)
-        written = null
+        lastAdded = null
     }
 
     private companion object {
-        const val EVERY_MS = 2000L
+        const val INTERVAL_MS = 2000L
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/persistence/CommittedBatchApplier.kt
@@ -0,0 +1,57 @@
+package mountmast.coordination.persistence
+
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.PendingChange
+import mountmast.coordination.state.Phase
+import mountmast.protocol.Clock
+import mountmast.protocol.ModRevision
+import org.slf4j.LoggerFactory
+import kotlin.concurrent.withLock
+
+private val log = LoggerFactory.getLogger("mountmast.writer")
+
+/**
+ * Applies what a committed transaction means to the cluster state: starts may be sent, ended tasks are released, finished jobs are
+ * removed. Takes the lock of [PersistenceContext].
+ */
+internal class CommittedBatchApplier(
+    private val context: PersistenceContext,
+    private val writers: BatchWriters,
+    private val clock: Clock,
+) {
+    /** Applies [batch], which was committed at [modRevision]. */
+    fun apply(batch: WriteBatch, modRevision: ModRevision) = context.lock.withLock {
+        context.journal.setWrittenAt(clock.now())
+        context.journal.append(batch.journalRecords, modRevision)
+        batch.journaledChanges.forEach(::applyChange)
+        if (batch.journaledChanges.any { it is PendingChange.Ended }) context.signals.wakePlacement()
+        writers.onCommitted(batch, modRevision)
+        for (finished in batch.finishedJobs) {
+            log.debug("job={} finished", finished.job.id)
+            context.jobs.finished(finished.job, finished.record)
+        }
+    }
+
+    /** Applies the tombstone record in the first slot of [batch], after which [batch] cannot be committed any more. */
+    fun applyTombstone(batch: WriteBatch, modRevision: ModRevision) = context.lock.withLock {
+        context.journal.setWrittenAt(clock.now())
+        context.journal.append(listOf(batch.journalRecords.first()), modRevision)
+        writers.requeue(batch)
+    }
+
+    private fun applyChange(change: PendingChange) {
+        when (change) {
+            is PendingChange.Started -> applyStart(change.assignment)
+            is PendingChange.Ended -> context.cluster.release(change.assignment, clock.now())
+            is PendingChange.Reserved -> Unit
+        }
+    }
+
+    private fun applyStart(assignment: Assignment) {
+        assignment.beingWritten = false
+        assignment.written = true
+        if (assignment.phase != Phase.INTENDED) return
+        assignment.phase = Phase.COMMITTED
+        context.onStartCommitted(assignment.machine)
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
@@ -1,6 +1,7 @@
 package mountmast.coordination.persistence
 
 import kotlinx.serialization.json.decodeFromJsonElement
+import mountmast.protocol.JobId
 import mountmast.protocol.WireJson
 import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JobRecord
@@ -13,37 +14,43 @@
 private val log = LoggerFactory.getLogger("mountmast.writer")
 
 /**
- * Learns what the store has under keys that were found changed, instead of what the leader expected there. Throws
- * `StoreException` where it cannot be read, and `IllegalArgumentException` where a record is unreadable. Takes the
- * lock of [PersistenceContext], but not during a call.
+ * Reads keys whose compare failed and adopts what the store has there, instead of what the leader expected. Takes the lock of
+ * [PersistenceContext], but not during a call to the store.
  */
-class ConflictResolver(private val context: PersistenceContext, private val store: StateStore, private val snapshots: SnapshotWriter) {
+internal class ConflictResolver(
+    private val context: PersistenceContext,
+    private val store: StateStore,
+    private val snapshots: SnapshotWriter,
+) {
+    /**
+     * Adopts what the store has under [key]. Throws `StoreException` if it cannot be read, and `IllegalArgumentException` if the
+     * record is unreadable.
+     */
     fun resolve(key: String) {
         when {
-            key.startsWith(Keys.JOBS) -> resolveJob(key)
-            // A snapshot's last step may have been carried out without an answer.
+            key.startsWith(Keys.JOBS) -> Keys.jobOfKey(key)?.let { resolveJob(it, key) }
+            // A snapshot's pointer may have been committed without an answer.
             key == Keys.SNAPSHOT -> resolveSnapshot()
-            else -> log.error("{} was changed by somebody else", key)
+            else -> log.error("key={} was changed by another writer", key)
         }
     }
 
-    private fun resolveJob(key: String) {
-        val id = Keys.jobOfKey(key) ?: return
-        val entry = store.get(key)
-        val finished = if (entry == null) store.get(Keys.finished(id)) else null
+    private fun resolveJob(id: JobId, key: String) {
+        val live = store.get(key)
+        val finished = if (live == null) store.get(Keys.finished(id)) else null
         context.lock.withLock {
             val job = context.cluster.jobs[id] ?: return
             when {
-                entry != null -> context.jobs.takeIn(WireJson.decodeFromJsonElement<JobRecord>(entry.value), entry.modRevision)
+                live != null -> context.jobs.takeIn(WireJson.decodeFromJsonElement<JobRecord>(live.value), live.modRevision)
                 finished != null -> context.jobs.finished(job, WireJson.decodeFromJsonElement<FinishedJobRecord>(finished.value))
-                else -> log.error("job {} is in the store no more", id)
+                else -> log.error("job={} is missing from the store", id)
             }
         }
     }
 
     private fun resolveSnapshot() {
         val entry = store.get(Keys.SNAPSHOT) ?: return
-        val record = WireJson.decodeFromJsonElement<SnapshotRecord>(entry.value)
-        context.lock.withLock { snapshots.became(record, entry.modRevision) }
+        val pointer = WireJson.decodeFromJsonElement<SnapshotRecord>(entry.value)
+        context.lock.withLock { snapshots.onPointerStored(pointer, entry.modRevision) }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/FailingJobsWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/FailingJobsWriter.kt
@@ -12,33 +12,34 @@
 import mountmast.storage.jsonSize
 
 /**
- * Notes which jobs fail wherever they run, as a hint: each new leader would start all of their tasks again, and stop
- * others for them. Guarded as the [ClusterState] is.
+ * Writes which jobs fail on every machine, as a hint. Without it each new leader started all tasks of such jobs again, and
+ * preempted others for them (incident 10c7; test: `CombinedFailuresTest`, "a job that fails on every machine is not started whole
+ * again by each new leader"). Guarded as its [ClusterState] is.
  */
-class FailingJobsWriter(private val cluster: ClusterState, private val clock: Clock) {
+internal class FailingJobsWriter(private val cluster: ClusterState, private val clock: Clock) : BatchContributor {
     private var notBefore = MonotonicTime(Long.MIN_VALUE / 2)
-    private var written: Map<JobId, FailingJob> = emptyMap()
+    private var lastAdded: Map<JobId, FailingJob> = emptyMap()
 
-    fun addTo(batch: WriteBatch, limits: WriteLimits) {
+    override fun contribute(batch: WriteBatch, options: BatchOptions) {
         val now = clock.now()
-        if (batch.room <= 0 || now < notBefore) return
-        notBefore = now + EVERY_MS
-        val failing = cluster.health.failing(most = limits.valueBytes / BYTES_PER_JOB)
-        if (failing == written) return
+        if (batch.remainingOps <= 0 || now < notBefore) return
+        notBefore = now + INTERVAL_MS
+        val maxBytes = options.limits.valueBytes
+        val failing = cluster.health.failing(most = maxBytes / BYTES_PER_JOB)
+        if (failing == lastAdded) return
         val value = WireJson.encodeToJsonElement(FailingRecord(failing))
-        if (jsonSize(value) > limits.valueBytes) return
-        written = failing
+        if (jsonSize(value) > maxBytes) return
+        lastAdded = failing
         batch.put(Keys.FAILING, value)
     }
 
-    /** What was added last may not have been written. */
-    fun requeue() {
+    override fun requeue() {
         notBefore = MonotonicTime(Long.MIN_VALUE / 2)
-        written = emptyMap()
+        lastAdded = emptyMap()
     }
 
     private companion object {
-        const val EVERY_MS = 1000L
+        const val INTERVAL_MS = 1000L
 
         /** About what a job takes in the record. */
         const val BYTES_PER_JOB = 200
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalCommitter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalCommitter.kt
@@ -1,22 +1,8 @@
 package mountmast.coordination.persistence
 
-import kotlinx.serialization.json.decodeFromJsonElement
-import kotlinx.serialization.json.encodeToJsonElement
-import mountmast.coordination.state.Assignment
-import mountmast.coordination.state.Job
-import mountmast.coordination.state.PendingChange
-import mountmast.coordination.state.Phase
 import mountmast.protocol.Clock
-import mountmast.protocol.JobStatus
 import mountmast.protocol.ModRevision
-import mountmast.protocol.MonotonicTime
-import mountmast.protocol.Shape
 import mountmast.protocol.StateLimits
-import mountmast.protocol.WireJson
-import mountmast.storage.Compare
-import mountmast.storage.Entry
-import mountmast.storage.FinishedJobRecord
-import mountmast.storage.JournalRecord
 import mountmast.storage.Keys
 import mountmast.storage.StateStore
 import mountmast.storage.StoreException
@@ -24,259 +10,133 @@
 import mountmast.storage.StoreTimeoutException
 import mountmast.storage.Transaction
 import mountmast.storage.TransactionResult
-import mountmast.storage.Write
 import org.slf4j.LoggerFactory
 import kotlin.concurrent.withLock
 
 private val log = LoggerFactory.getLogger("mountmast.writer")
 
 /**
- * Brings the ledger's changes into the store: group commit into a journal of few, large records, since the state
- * service counts writes. Now and then the whole ledger is written as a snapshot, in parts, and the journal's slots
- * are used again from then on.
+ * Commits the changes of the cluster state to the store: group commit into a journal of few, large records, since the store
+ * counts writes. Now and then a snapshot of the whole cluster state is written, in parts, and the journal's slots are used
+ * again from then on.
  *
- * Every transaction depends on the leader's key, and on the slot that it writes: one that is applied late, by this
+ * Every transaction depends on the leader's key, and on the slot that it writes: one that is executed late, by this
  * leader or a former one, changes nothing that was written since.
+ *
+ * Called by one thread; takes the lock of [PersistenceContext], but not during a call to the store.
+ *
+ * @param areCompactFormsAgreed whether every node reads the compressed forms; called with the lock held
+ * @param onDeposed called, without the lock, once the store shows that this node leads no more
  */
 class JournalCommitter(
     private val context: PersistenceContext,
     private val store: StateStore,
     stateLimits: StateLimits,
-    private val clock: Clock,
-    /** Whether every node reads the compact forms. */
-    private val compact: () -> Boolean = { false },
+    clock: Clock,
+    areCompactFormsAgreed: () -> Boolean = { false },
     private val onDeposed: () -> Unit,
 ) {
-    private val cluster get() = context.cluster
-    private var limits = WriteLimits.of(stateLimits)
-    private val largeJournal = JournalSize.of(limits.valueBytes)
-    private val journal = JournalWriter(context, clock)
-    private val snapshots = SnapshotWriter(context)
-    private val types = TypesWriter(context)
-    private val progress = ProgressWriter(cluster, clock)
-    private val failing = FailingJobsWriter(cluster, clock)
-    private val images = ImagesWriter(cluster, clock)
-    private val watermark = CancellationWatermarkWriter(context, clock)
-    private val conflicts = ConflictResolver(context, store, snapshots)
-    private var endsFirst = false
-    private var rejectedOnce = false
-    private var pausedUntil = MonotonicTime(Long.MIN_VALUE / 2)
-
-    /** A batch that got no answer: asked again word for word until its fate is known. */
-    private var inDoubtBatch: WriteBatch? = null
-
-    /**
-     * Set where [inDoubtBatch] is refused by now as too large. An earlier try of it may still be carried out, so the journal's
-     * slot that it depends on is written first.
-     */
-    private var tombstone: SlottedRecord? = null
-
-    /** Writes one transaction if there is anything to write; false where there was nothing, or it failed. */
-    fun step(): Boolean {
-        if (clock.now() < pausedUntil) return false
-        val batch = inDoubtBatch ?: collectBatch() ?: return false
-        val transaction = tombstone?.let(::tombstoneTransaction) ?: batch.transaction()
-        val outcome = try {
+    private val limits = AdaptiveWriteLimits(stateLimits, clock)
+    private val writers = BatchWriters(context, clock)
+    private val collector = BatchCollector(context, store, limits, writers, areCompactFormsAgreed)
+    private val applier = CommittedBatchApplier(context, writers, clock)
+    private val inDoubtResolver = InDoubtResolver(store)
+    private val conflicts = ConflictResolver(context, store, writers.snapshots)
+
+    /** The attempt to send next, whose batch may be in the store; null where no batch is in doubt. */
+    private var inDoubt: CommitAttempt? = null
+
+    /** Commits one transaction, if there is anything to write. Failures of the store are part of the result. */
+    fun commitNext(): CommitStep {
+        if (limits.isPaused()) return CommitStep.NothingToWrite
+        val attempt = inDoubt ?: collector.collect()?.let(CommitAttempt::First) ?: return CommitStep.NothingToWrite
+        return commit(attempt)
+    }
+
+    private fun commit(attempt: CommitAttempt): CommitStep {
+        val transaction = transactionOf(attempt)
+        val result = try {
             store.commit(transaction)
-        } catch (e: StoreTimeoutException) {
-            log.debug("commit of {} writes: {}", transaction.writes.size, e.message)
-            inDoubtBatch = batch
-            return false
-        } catch (e: StoreRequestRejectedException) {
-            rejected(batch, e)
-            return false
         } catch (e: StoreException) {
-            log.debug("commit of {} writes: {}", transaction.writes.size, e.message)
-            // What was refused was not executed; but an earlier try of the same may have been.
-            if (inDoubtBatch == null) context.lock.withLock { requeue(batch) }
-            return false
+            return onFailure(attempt, transaction, e)
         }
-        return when (outcome) {
-            is TransactionResult.Committed -> onCommitted(batch, ModRevision(outcome.revision.number))
-            is TransactionResult.CompareFailed -> resolve(outcome.failed, batch)
+        return when (result) {
+            is TransactionResult.Committed -> onCommitted(attempt, ModRevision(result.revision.number))
+            is TransactionResult.CompareFailed -> onCompareFailed(attempt, result.failed)
         }
     }
 
-    private fun onCommitted(batch: WriteBatch, modRevision: ModRevision): Boolean {
-        val wasTombstone = tombstone != null
-        inDoubtBatch = null
-        tombstone = null
-        context.lock.withLock {
-            context.journal.writtenAt = clock.now()
-            if (wasTombstone) onTombstoneWritten(batch, modRevision) else committed(batch, modRevision)
-        }
-        return true
-    }
-
-    private fun collectBatch(): WriteBatch? {
-        val room = store.writeBudget()
-        if (room.available <= 0) return null
-        if (!progress.knowsParts && !findProgress()) return null
-        return context.lock.withLock { collect(minOf(room.available, limits.transactionOps), room.isScarce) }
+    private fun transactionOf(attempt: CommitAttempt): Transaction = when (attempt) {
+        is CommitAttempt.First, is CommitAttempt.Repeated -> attempt.batch.transaction()
+        is CommitAttempt.Tombstone -> context.lock.withLock { attempt.transaction(context) }
     }
 
-    private fun findProgress(): Boolean = try {
-        progress.found(store.listAll(Keys.PROGRESS).first.map { it.key })
-        true
-    } catch (e: StoreException) {
-        log.debug("finding progress: {}", e.message)
-        false
-    }
-
-    /** What matters most comes first: the ends of jobs and the journal, last what is for display or a hint. */
-    private fun collect(mostOps: Int, isScarce: Boolean): WriteBatch? {
-        val batch = WriteBatch(context.leaderModRevision, mostOps)
-        val isCompact = compact()
-        val size = if (isCompact) largeJournal else JournalSize.LEAST
-        val ready = cluster.finishing.filter { it.nothingLives() }
-        endsFirst = !endsFirst
-        addJournal(batch, size, ready.size, isCompact, isScarce)
-        for (job in ready) if (batch.room >= OPS_PER_END) addFinishedJob(batch, job)
-        watermark.addTo(batch)
-        types.addTo(batch, limits, inParts = isCompact || rejectedOnce)
-        snapshots.addTo(batch, limits, size, isCompact, isScarce)
-        if (!limits.isLeast) {
-            progress.addTo(batch, limits, isCompact, isScarce)
-            failing.addTo(batch, limits)
-            images.addTo(batch, limits, isScarce)
-        }
-        return batch.takeUnless { it.isEmpty }
-    }
-
-    /** The journal leaves half of the transaction to jobs that are over, and one change to what else is due. */
-    private fun addJournal(batch: WriteBatch, size: JournalSize, finishedJobs: Int, isCompact: Boolean, isScarce: Boolean) {
-        val half = maxOf(OPS_PER_END, batch.room / 2)
-        val forEnds = minOf(finishedJobs * OPS_PER_END, half)
-        // Where both do not fit they take turns.
-        val left = if (batch.room > forEnds) {
-            batch.room - forEnds
-        } else if (endsFirst) {
-            0
-        } else {
-            batch.room
+    private fun onCommitted(attempt: CommitAttempt, modRevision: ModRevision): CommitStep {
+        inDoubt = null
+        when (attempt) {
+            is CommitAttempt.First, is CommitAttempt.Repeated -> applier.apply(attempt.batch, modRevision)
+            is CommitAttempt.Tombstone -> applier.applyTombstone(attempt.batch, modRevision)
         }
-        val forOthers = if (left >= MIN_SHARED_OPS) 1 else 0
-        journal.addTo(batch, limits, size, left - forOthers, isCompact, isScarce)
-    }
-
-    private fun addFinishedJob(batch: WriteBatch, job: Job) {
-        val record = finalRecord(job)
-        batch.requires(Keys.job(job.id), job.modRevision)
-        batch.put(Keys.finished(job.id), WireJson.encodeToJsonElement(record))
-        batch.delete(Keys.job(job.id))
-        batch.finished += JobEnd(job, record)
+        return CommitStep.Written
     }
 
-    private fun finalRecord(job: Job): FinishedJobRecord {
-        val status = if (job.cancelRecorded) JobStatus.CANCELLED else JobStatus.DONE
-        return FinishedJobRecord(status, job.spec.tasks, clock.wall(), job.spec.shape == Shape.SERVICE)
-    }
-
-    private fun requeue(batch: WriteBatch) {
-        journal.requeue(batch.written)
-        // What users are told went with it.
-        progress.forget()
-        failing.requeue()
-        watermark.requeue()
-    }
-
-    private fun committed(batch: WriteBatch, modRevision: ModRevision) {
-        journal.committed(batch.records, modRevision)
-        var freed = false
-        for (change in batch.written) {
-            when (change) {
-                is PendingChange.Started -> started(change.assignment)
-                is PendingChange.Ended -> {
-                    cluster.release(change.assignment, clock.now())
-                    freed = true
-                }
-                is PendingChange.Reserved -> {}
+    private fun onFailure(attempt: CommitAttempt, transaction: Transaction, failure: StoreException): CommitStep {
+        when (failure) {
+            is StoreRequestRejectedException -> onRejected(attempt, failure)
+            is StoreTimeoutException -> {
+                log.debug("commit of {} writes: {}", transaction.writes.size, failure.message)
+                if (attempt is CommitAttempt.First) inDoubt = CommitAttempt.Repeated(attempt.batch)
+            }
+            else -> {
+                log.debug("commit of {} writes: {}", transaction.writes.size, failure.message)
+                // This attempt was not executed; but an earlier one of the same batch may have been.
+                if (attempt is CommitAttempt.First) requeue(attempt.batch)
             }
         }
-        if (freed) context.signals.wakePlacement()
-        snapshots.committed(batch, modRevision)
-        for (end in batch.finished) {
-            log.debug("job {} is over", end.job.id)
-            context.jobs.finished(end.job, end.record)
-        }
-        types.committed(batch)
-    }
-
-    private fun started(assignment: Assignment) {
-        assignment.beingWritten = false
-        assignment.written = true
-        if (assignment.phase != Phase.INTENDED) return
-        assignment.phase = Phase.COMMITTED
-        context.onStartCommitted(assignment.machine)
+        return CommitStep.Failed
     }
 
-    /** The state service takes less than was thought: the same is not tried again, but less at a time. */
-    private fun rejected(batch: WriteBatch, e: StoreRequestRejectedException) {
-        log.debug("{}", e.message)
-        rejectedOnce = true
-        if (limits.isLeast) pausedUntil = clock.now() + REJECTED_PAUSE_MS
-        limits = limits.halved()
-        if (inDoubtBatch == null || batch.records.isEmpty()) {
-            inDoubtBatch = null
-            tombstone = null
-            context.lock.withLock { requeue(batch) }
+    /** Writes less at a time from here on: the same transaction would be rejected again. */
+    private fun onRejected(attempt: CommitAttempt, rejection: StoreRequestRejectedException) {
+        log.debug("{}", rejection.message)
+        limits.reduce()
+        if (attempt is CommitAttempt.First || attempt.batch.journalRecords.isEmpty()) {
+            requeue(attempt.batch)
         } else {
-            val first = batch.records.first()
-            tombstone = SlottedRecord(first.slot, JournalRecord(first.number, ""))
+            inDoubt = CommitAttempt.Tombstone(attempt.batch)
         }
     }
 
-    private fun tombstoneTransaction(empty: SlottedRecord): Transaction {
-        val compares = listOf(
-            Compare(Keys.LEADER, context.leaderModRevision),
-            Compare(empty.key, context.journal.modRevisionOf(empty.slot)),
-        )
-        return Transaction(compares, listOf(Write.Put(empty.key, WireJson.encodeToJsonElement(empty.record))))
-    }
-
-    /** An empty record is in the first slot of [batch], which can be carried out no more. */
-    private fun onTombstoneWritten(batch: WriteBatch, modRevision: ModRevision) {
-        journal.committed(listOf(batch.records.first()), modRevision)
-        requeue(batch)
-    }
-
-    /** Learns what the store has instead of what was expected; true where the batch turns out to be in it. */
-    private fun resolve(failed: List<String>, batch: WriteBatch): Boolean {
-        if (Keys.LEADER in failed) {
+    private fun onCompareFailed(attempt: CommitAttempt, failedKeys: List<String>): CommitStep {
+        if (Keys.LEADER in failedKeys) {
             onDeposed()
-            return false
+            return CommitStep.Failed
         }
-        try {
-            if (batch.records.isNotEmpty() && inDoubtBatch != null && wasCarriedOut(batch)) return true
-            inDoubtBatch = null
-            tombstone = null
-            context.lock.withLock { requeue(batch) }
-            failed.forEach(conflicts::resolve)
+        return try {
+            resolve(attempt, failedKeys)
         } catch (e: StoreException) {
-            log.debug("reading again: {}", e.message)
+            log.debug("reading the keys of failed compares: {}", e.message)
+            CommitStep.Failed
         } catch (e: IllegalArgumentException) {
-            log.error("unreadable record among {}: {}", failed, e.message)
+            log.error("unreadable record among {}: {}", failedKeys, e.message)
+            CommitStep.Failed
         }
-        return false
     }
 
-    /** Whether an earlier try of [batch], or its fence, was carried out although no answer came: only we write in this term. */
-    private fun wasCarriedOut(batch: WriteBatch): Boolean {
-        val first = batch.records.first()
-        val entry = store.get(first.key) ?: return false
-        if (WireJson.decodeFromJsonElement<JournalRecord>(entry.value).number != first.number) return false
-        if (!isTombstone(entry)) tombstone = null
-        return onCommitted(batch, entry.modRevision)
+    /** Learns what the store has instead of what was expected, which may be an earlier attempt of the same batch. */
+    private fun resolve(attempt: CommitAttempt, failedKeys: List<String>): CommitStep {
+        when (val earlier = inDoubtResolver.resolve(attempt)) {
+            is EarlierOutcome.BatchCommitted -> return onCommitted(CommitAttempt.Repeated(attempt.batch), earlier.modRevision)
+            is EarlierOutcome.TombstoneCommitted -> return onCommitted(attempt, earlier.modRevision)
+            EarlierOutcome.NotCommitted -> requeue(attempt.batch)
+        }
+        failedKeys.forEach(conflicts::resolve)
+        return CommitStep.Failed
     }
 
-    private fun isTombstone(entry: Entry) = tombstone?.let { WireJson.encodeToJsonElement(it.record) == entry.value } == true
-
-    private companion object {
-        /** A job that is over is moved: one put and one delete. */
-        const val OPS_PER_END = 2
-
-        /** From so many changes on the journal leaves one to others. */
-        const val MIN_SHARED_OPS = 3
-        const val REJECTED_PAUSE_MS = 1000L
+    /** Ends the doubt about [batch], which is not in the store and will not be, and makes its contents be written again. */
+    private fun requeue(batch: WriteBatch) {
+        inDoubt = null
+        context.lock.withLock { writers.requeue(batch) }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
@@ -20,13 +20,16 @@
 
 private val log = LoggerFactory.getLogger("mountmast.ledger")
 
-/** Rebuilds [cluster] from what earlier leaders wrote, as of [now]. Guarded as the ledger is. */
+/**
+ * Rebuilds [cluster] from the snapshot and the journal of earlier leaders, entry by entry. Machines that are named there count as
+ * heard at [now], until their workers' leases can have expired. Guarded as [cluster] is.
+ */
 class JournalReplay(private val cluster: ClusterState, private val now: MonotonicTime) : JournalReader {
     override fun done(job: JobId, ranges: String) {
         val known = cluster.jobs[job] ?: return
-        val set = BitSet()
-        if (!Ranges.decodeInto(ranges, set, known.spec.tasks)) log.error("unreadable ranges of {}: {}", job, ranges)
-        set.stream().forEach(known::setDone)
+        val completed = BitSet()
+        if (!Ranges.decodeInto(ranges, completed, known.spec.tasks)) log.error("unreadable ranges of job={}: {}", job, ranges)
+        completed.stream().forEach(known::setDone)
         if (known.isComplete) cluster.finishing += known
     }
 
@@ -35,11 +38,11 @@
     }
 
     override fun started(task: TaskId, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone) {
-        // A job that is over by now has no record any more, and nothing of it runs.
+        // A job that has finished since has no record any more, and nothing of it runs.
         val job = cluster.jobs[task.job] ?: return
         if (task.index >= job.spec.tasks || job.done.get(task.index)) return
         job.live.get(task.index)?.let { older ->
-            log.error("{} is listed twice, on {} and {}", task, older.machine, machine)
+            log.error("task={} is listed twice: machine={} and machine={}", task, older.machine, machine)
             cluster.release(older, now)
         }
         val known = cluster.machines.getOrPut(machine) {
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalState.kt
@@ -0,0 +1,70 @@
+package mountmast.coordination.persistence
+
+import mountmast.protocol.ModRevision
+import mountmast.protocol.MonotonicTime
+import mountmast.storage.SnapshotRecord
+
+/** Which journal records and which snapshot the store holds, as this leader knows it. Guarded by the lock of [PersistenceContext]. */
+class JournalState {
+    private class Slot(val modRevision: ModRevision, val recordNumber: Long)
+
+    private val slots = HashMap<Int, Slot>()
+
+    /** When this leader's last transaction was committed; null before the first. */
+    var writtenAt: MonotonicTime? = null
+        private set
+
+    /** Number of the next record; records are numbered from 1. */
+    var nextRecordNumber = 1L
+        private set
+
+    /** Number of the last record whose changes the latest complete snapshot contains; 0 without a snapshot. */
+    var lastRecordInSnapshot = 0L
+        private set
+
+    /** Number of the latest complete snapshot; 0 without one. */
+    var snapshotGeneration = 0L
+        private set
+
+    /** Modification revision of the key that points to the latest complete snapshot. */
+    var snapshotModRevision = ModRevision.ABSENT
+        private set
+
+    /** How many records a new leader would replay. */
+    val recordsSinceSnapshot: Long get() = nextRecordNumber - 1 - lastRecordInSnapshot
+
+    /** Modification revision of the key of [slot]. */
+    fun modRevisionOf(slot: Int): ModRevision = slots[slot]?.modRevision ?: ModRevision.ABSENT
+
+    /** Whether [slot] holds no record that a new leader would have to replay. */
+    fun isFree(slot: Int): Boolean = (slots[slot]?.recordNumber ?: 0) <= lastRecordInSnapshot
+
+    /** Sets that the store holds record [recordNumber] in [slot]; 0 stands for a record that cannot be read. */
+    fun setSlot(slot: Int, recordNumber: Long, modRevision: ModRevision) {
+        slots[slot] = Slot(modRevision, recordNumber)
+    }
+
+    /** Sets that [pointer], or where it is null no readable pointer to a snapshot, is in the store at [modRevision]. */
+    fun setSnapshot(pointer: SnapshotRecord?, modRevision: ModRevision) {
+        snapshotModRevision = modRevision
+        if (pointer == null) return
+        lastRecordInSnapshot = pointer.upTo
+        snapshotGeneration = pointer.generation
+    }
+
+    /** Continues the numbers after [lastRecordNumber], the highest one in any slot, and after the snapshot's. */
+    fun continueAfter(lastRecordNumber: Long) {
+        nextRecordNumber = maxOf(lastRecordInSnapshot, lastRecordNumber) + 1
+    }
+
+    /** Sets that the store holds [records], which continue the journal, written at [modRevision]. */
+    internal fun append(records: List<SlottedRecord>, modRevision: ModRevision) {
+        for (slotted in records) setSlot(slotted.slot, slotted.number, modRevision)
+        nextRecordNumber += records.size
+    }
+
+    /** Sets when the last transaction was committed. */
+    fun setWrittenAt(now: MonotonicTime) {
+        writtenAt = now
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
@@ -9,50 +9,55 @@
 import mountmast.storage.ProgressRecord
 import mountmast.storage.TextCodec
 
-/** Tells the nodes that users ask how far the running jobs have come: about once a second, less often while changes are short. */
-class ProgressWriter(private val cluster: ClusterState, private val clock: Clock) {
-    private val written = ArrayList<ProgressRecord?>()
-    private var doneAt = MonotonicTime(Long.MIN_VALUE / 2)
+/**
+ * Writes how many tasks of each running job are done and how many run, for the nodes that users ask: about once a second, less often
+ * while writes are scarce. Guarded as its [ClusterState] is.
+ */
+internal class ProgressWriter(private val cluster: ClusterState, private val clock: Clock) : BatchContributor {
+    /** What was added last for each part; null where that is unknown or may not be in the store. */
+    private val lastAdded = ArrayList<ProgressRecord?>()
+    private var roundEndedAt = MonotonicTime(Long.MIN_VALUE / 2)
 
-    /** Parts of the round that is being written. */
+    /** Parts of the round that is being written; null between rounds. */
     private var round: List<ProgressRecord>? = null
 
-    var knowsParts = false
+    /** Whether [setStoredParts] was called, without which parts of an earlier leader might be left in the store. */
+    var areStoredPartsKnown = false
         private set
 
-    /** The store holds [keys]; parts that an earlier leader wrote and that are not needed are emptied. */
-    fun found(keys: List<String>) {
-        knowsParts = true
+    /** Sets which [keys] of progress the store has; parts of an earlier leader that are not needed will be emptied. */
+    fun setStoredParts(keys: List<String>) {
+        areStoredPartsKnown = true
         val parts = keys.mapNotNull { it.removePrefix(Keys.PROGRESS).toIntOrNull() }.maxOrNull()?.plus(1) ?: 0
-        while (written.size < parts) written += null
+        while (lastAdded.size < parts) lastAdded += null
     }
 
-    fun addTo(batch: WriteBatch, limits: WriteLimits, compact: Boolean, isScarce: Boolean) {
+    override fun contribute(batch: WriteBatch, options: BatchOptions) {
         val now = clock.now()
-        if (round == null && now - doneAt < if (isScarce) SHORT_EVERY_MS else EVERY_MS) return
-        val records = round ?: records(limits, compact).also { round = it }
+        if (round == null && now - roundEndedAt < if (options.isScarce) SCARCE_INTERVAL_MS else INTERVAL_MS) return
+        val records = round ?: records(options).also { round = it }
         for ((part, record) in records.withIndex()) {
-            if (written[part] == record) continue
-            if (batch.room <= 0) return
+            if (lastAdded[part] == record) continue
+            if (batch.remainingOps <= 0) return
             batch.put(Keys.progress(part), WireJson.encodeToJsonElement(record))
-            written[part] = record
+            lastAdded[part] = record
         }
         round = null
-        doneAt = now
+        roundEndedAt = now
     }
 
-    /** What was in a batch may not have been written. */
-    fun forget() {
-        written.replaceAll { null }
+    override fun requeue() {
+        lastAdded.replaceAll { null }
         round = null
-        doneAt = MonotonicTime(Long.MIN_VALUE / 2)
+        roundEndedAt = MonotonicTime(Long.MIN_VALUE / 2)
     }
 
-    private fun records(limits: WriteLimits, compact: Boolean): List<ProgressRecord> {
-        val records = TextCodec.pack(describe(), limits.valueBytes, compact).mapTo(ArrayList()) { ProgressRecord(it.plain, it.compressed) }
+    private fun records(options: BatchOptions): List<ProgressRecord> {
+        val records = TextCodec.pack(describe(), options.limits.valueBytes, options.isCompact)
+            .mapTo(ArrayList()) { ProgressRecord(it.plain, it.compressed) }
         // Parts that are not needed any more are emptied.
-        while (records.size < written.size) records += ProgressRecord("")
-        while (written.size < records.size) written += null
+        while (records.size < lastAdded.size) records += ProgressRecord("")
+        while (lastAdded.size < records.size) lastAdded += null
         return records
     }
 
@@ -64,7 +69,7 @@
     }
 
     private companion object {
-        const val EVERY_MS = 1000L
-        const val SHORT_EVERY_MS = 3000L
+        const val INTERVAL_MS = 1000L
+        const val SCARCE_INTERVAL_MS = 3000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
@@ -7,6 +7,8 @@
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
+import mountmast.protocol.Revision
+import mountmast.protocol.WallTime
 import mountmast.storage.Entry
 import mountmast.storage.FailingRecord
 import mountmast.storage.ImagesRecord
@@ -25,9 +27,18 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
+/** What a call of [StateLoader.loadHints] did. */
+enum class HintsLoad {
+    /** The hints were read and restored. */
+    LOADED,
+
+    /** They were loaded before; nothing was read. */
+    ALREADY_LOADED,
+}
+
 /**
  * Rebuilds a leader's state from what the leaders before it wrote. Only a leader changes what is read here, and the one before
- * can no more. Called by one thread; takes [lock], but not during a call.
+ * no longer can. Called by one thread; takes [lock], but not during a call to the store.
  */
 class StateLoader(
     private val lock: ReentrantLock,
@@ -37,46 +48,53 @@
     private val store: StateStore,
     private val clock: Clock,
 ) {
-    private var areImagesRead = false
+    private class StoredSnapshot(val pointer: Entry?, val record: SnapshotRecord?, val parts: List<Entry>)
+
+    private class StoredState(
+        val types: MachineTypes?,
+        val liveJobs: List<Entry>,
+        val revision: Revision,
+        val snapshot: StoredSnapshot,
+        val journalSlots: List<Entry>,
+        val failingJobs: Entry?,
+    )
 
-    /** Reads what is needed to go on. */
+    private var areHintsLoaded = false
+
+    /** Reads and restores what a leader needs to continue. Throws `StoreException` if the store cannot be read. */
     fun loadState() {
         val asked = clock.now()
         val askedWall = clock.wall()
-        val types = readTypes()
-        val (liveJobs, revision) = store.listAll(Keys.JOBS)
-        val pointer = store.get(Keys.SNAPSHOT)
-        val snapshot = pointer?.let { RecordDecoder.decode<SnapshotRecord>(it.key, it.value) }
-        val parts = if (snapshot == null) emptyList() else store.listAll(Keys.snapshotParts(snapshot.generation)).first
-        val (slots, _) = store.listAll(Keys.JOURNAL)
-        val failing = store.get(Keys.FAILING)
+        val stored = readState()
         val read = clock.now()
-        lock.withLock {
-            types?.let(cluster::replaceTypes)
-            jobs.takeInAll(liveJobs, revision, asked, askedWall)
-            journal.snapshotModRevision = pointer?.modRevision ?: ModRevision.ABSENT
-            replay(snapshot, parts, slots, clock.now())
-            failing?.let(::recallFailing)
-        }
+        lock.withLock { restore(stored, asked, askedWall) }
         log.info(
             "read {} jobs up to revision {}, {} parts of snapshot {} and {} slots of the journal in {} ms, replayed in {} ms",
-            liveJobs.size,
-            revision,
-            parts.size,
-            snapshot?.generation ?: 0,
-            slots.size,
+            stored.liveJobs.size,
+            stored.revision,
+            stored.snapshot.parts.size,
+            stored.snapshot.record?.generation ?: 0,
+            stored.journalSlots.size,
             read - asked,
             clock.now() - read,
         )
     }
 
-    /** Reads hints; false where they were read before. */
-    fun loadHints(): Boolean {
-        if (areImagesRead) return false
+    /** Reads and restores hints, once in a term. Throws `StoreException` if the store cannot be read. */
+    fun loadHints(): HintsLoad {
+        if (areHintsLoaded) return HintsLoad.ALREADY_LOADED
         val (images, _) = store.listAll(Keys.IMAGES)
-        areImagesRead = true
-        lock.withLock { for (entry in images) RecordDecoder.decode<ImagesRecord>(entry.key, entry.value)?.let(::recallImages) }
-        return true
+        areHintsLoaded = true
+        lock.withLock { for (entry in images) RecordDecoder.decode<ImagesRecord>(entry.key, entry.value)?.let(::restoreImages) }
+        return HintsLoad.LOADED
+    }
+
+    private fun readState(): StoredState {
+        val types = readTypes()
+        val (liveJobs, revision) = store.listAll(Keys.JOBS)
+        val snapshot = readSnapshot()
+        val (journalSlots, _) = store.listAll(Keys.JOURNAL)
+        return StoredState(types, liveJobs, revision, snapshot, journalSlots, store.get(Keys.FAILING))
     }
 
     private fun readTypes(): MachineTypes? = try {
@@ -86,40 +104,53 @@
         null
     }
 
-    private fun recallFailing(entry: Entry) {
+    private fun readSnapshot(): StoredSnapshot {
+        val pointer = store.get(Keys.SNAPSHOT)
+        val record = pointer?.let { RecordDecoder.decode<SnapshotRecord>(it.key, it.value) }
+        val parts = if (record == null) emptyList() else store.listAll(Keys.snapshotParts(record.generation)).first
+        return StoredSnapshot(pointer, record, parts)
+    }
+
+    private fun restore(stored: StoredState, asked: MonotonicTime, askedWall: WallTime) {
+        stored.types?.let(cluster::replaceTypes)
+        jobs.takeInAll(stored.liveJobs, stored.revision, asked, askedWall)
+        val reader = JournalReplay(cluster, clock.now())
+        val unreadable = replaySnapshot(stored.snapshot, reader) + replayJournal(stored.journalSlots, reader)
+        if (unreadable > 0) log.error("{} entries of the journal cannot be read", unreadable)
+        stored.failingJobs?.let(::restoreFailingJobs)
+    }
+
+    private fun restoreFailingJobs(entry: Entry) {
         RecordDecoder.decode<FailingRecord>(entry.key, entry.value)?.let { cluster.health.recall(it.jobs, clock.now()) }
     }
 
-    private fun recallImages(record: ImagesRecord) {
+    private fun restoreImages(record: ImagesRecord) {
         for ((id, images) in record.images) {
             val machine = cluster.machines[id]
             if (machine?.type != null) machine.recallImages(images) else cluster.recalledImages[id] = images
         }
     }
 
-    private fun replay(snapshot: SnapshotRecord?, parts: List<Entry>, slots: List<Entry>, now: MonotonicTime) {
-        val reader = JournalReplay(cluster, now)
-        var unreadable = 0
-        if (snapshot != null) {
-            journal.generation = snapshot.generation
-            journal.snapshotUpTo = snapshot.upTo
-            for (entry in parts.take(snapshot.parts)) {
-                RecordDecoder.decode<SnapshotPart>(entry.key, entry.value)?.let { unreadable += replayText(entry.key, reader, it::text) }
-            }
-        }
-        val records = slots.mapNotNull(::noteSlot).sortedBy { it.number }
-        journal.next = maxOf(journal.snapshotUpTo, records.lastOrNull()?.number ?: 0) + 1
-        for (record in records) {
-            if (record.number > journal.snapshotUpTo) unreadable += replayText("record ${record.number}", reader, record::text)
+    /** Returns how many entries could not be read. */
+    private fun replaySnapshot(snapshot: StoredSnapshot, reader: JournalReader): Int {
+        journal.setSnapshot(snapshot.record, snapshot.pointer?.modRevision ?: ModRevision.ABSENT)
+        return snapshot.parts.take(snapshot.record?.parts ?: 0).sumOf { entry ->
+            RecordDecoder.decode<SnapshotPart>(entry.key, entry.value)?.let { replayText(entry.key, reader, it::text) } ?: 0
         }
-        if (unreadable > 0) log.error("{} entries of the journal cannot be read", unreadable)
     }
 
-    /** What a slot of the journal holds; what cannot be read is written over. */
-    private fun noteSlot(entry: Entry): JournalRecord? {
+    /** Returns how many entries could not be read. */
+    private fun replayJournal(slots: List<Entry>, reader: JournalReader): Int {
+        val records = slots.mapNotNull(::restoreSlot).sortedBy { it.number }
+        journal.continueAfter(records.lastOrNull()?.number ?: 0)
+        return records.filter { it.number > journal.lastRecordInSnapshot }.sumOf { replayText("record ${it.number}", reader, it::text) }
+    }
+
+    /** Returns the record in a slot of the journal, or null if it is unreadable; such a slot is free. */
+    private fun restoreSlot(entry: Entry): JournalRecord? {
         val slot = Keys.slotOfKey(entry.key) ?: return null
         val record = RecordDecoder.decode<JournalRecord>(entry.key, entry.value)
-        journal.note(slot, record?.number ?: 0, entry.modRevision)
+        journal.setSlot(slot, record?.number ?: 0, entry.modRevision)
         return record
     }
 
--- a/src/test/kotlin/mountmast/coordination/persistence/FallingLimitsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/FallingLimitsTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The state service takes less from some moment on, with and without the settings saying so. */
+/** The store's limits fall at some moment, with and without the settings announcing it. */
 class FallingLimitsTest {
     private fun world(
         seed: Long,
@@ -25,23 +25,23 @@
         agreesOnForms = compact,
     )
 
-    private fun finish(world: World) {
+    private fun runUntilAllJobsFinish(world: World) {
         world.cancelServices()
         world.run(100_000, busy = false)
         repeat(12) { if (world.unfinished().any { world.poll(it)?.isFinal != true }) world.run(50_000, busy = false) }
         world.jobs.keys.forEach { world.poll(it) }
-        assertTrue(world.rules.started > 0, "nothing_ran")
-        assertEquals(emptyList<Any>(), world.unfinished().filter { world.poll(it)?.isFinal != true }, "jobs that never got done")
+        assertTrue(world.rules.started > 0, "no task was started")
+        assertEquals(emptyList<Any>(), world.unfinished().filter { world.poll(it)?.isFinal != true }, "jobs that never finished")
     }
 
-    private fun leader(world: World) = world.seats.filter { it.controller?.leaderTerm() != null }
+    private fun leaderSeats(world: World) = world.seats.filter { it.controller?.leaderTerm() != null }
 
     @Test
-    fun `nothing is refused where the lower limits are announced`() {
+    fun `no transaction is rejected where the lower limits are announced`() {
         for (compact in listOf(false, true)) {
             val world = world(171, fallsAtMs = 30_000, isAnnounced = true, compact = compact)
             world.run(70_000, busy = true)
-            finish(world)
+            runUntilAllJobsFinish(world)
             assertEquals(0, world.store.tooLarge)
             assertTrue(world.store.mostOps <= AFTER.transactionOps)
         }
@@ -54,24 +54,24 @@
             world.run(20_000, busy = true)
             repeat(30) { number -> world.accept(world.plainJob(5000 + number) { it.copy(team = TeamId("free"), tasks = 40) }) }
             world.run(40_000, busy = true)
-            finish(world)
-            assertTrue(world.store.tooLarge in 1..20, "seed $seed: ${world.store.tooLarge} refused")
+            runUntilAllJobsFinish(world)
+            assertTrue(world.store.tooLarge in 1..20, "seed $seed: ${world.store.tooLarge} rejected")
         }
     }
 
     @Test
-    fun `limits fall while one leader takes over from another`() {
+    fun `limits fall during a failover`() {
         for (seed in 181L..188L) {
             val world = world(seed, fallsAtMs = 30_000, isAnnounced = seed % 2 == 0L, compact = seed % 3 == 0L, quiet = false)
             world.run(28_500, busy = true)
-            leader(world).forEach { it.trouble.lateWritesUntil = world.time.now + 20_000 }
+            leaderSeats(world).forEach { it.trouble.lateWritesUntil = world.time.now + 20_000 }
             world.run(1000, busy = true)
-            leader(world).forEach { it.crash(1000) }
+            leaderSeats(world).forEach { it.crash(1000) }
             world.run(40_000, busy = true)
-            leader(world).forEach { it.crash(200) }
+            leaderSeats(world).forEach { it.crash(200) }
             world.run(20_000, busy = true)
-            finish(world)
-            assertTrue(world.store.tooLarge <= 60, "seed $seed: ${world.store.tooLarge} refused")
+            runUntilAllJobsFinish(world)
+            assertTrue(world.store.tooLarge <= 60, "seed $seed: ${world.store.tooLarge} rejected")
         }
     }
 
@@ -81,7 +81,7 @@
         for (compact in listOf(false, true)) {
             val world = World(190, quietNetwork = true, limits = least, agreesOnForms = compact)
             world.run(40_000, busy = true)
-            finish(world)
+            runUntilAllJobsFinish(world)
             assertEquals(0, world.store.tooLarge)
             assertTrue(world.store.mostOps <= 2)
         }
@@ -102,7 +102,7 @@
                 world.rules.quietSince = world.time.now + 2 * World.CANCEL_MS + 5000
                 world.cancelServices()
                 world.run(100_000, busy = false)
-                finish(world)
+                runUntilAllJobsFinish(world)
             } catch (e: Throwable) {
                 throw AssertionError("seed $seed at ${world.time.now} ms: ${e.message}", e)
             }
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -161,7 +161,7 @@
     }
 
     @Test
-    fun `a leader reads production's snapshot and journal into the same ledger as production did`() {
+    fun `a leader reads production's snapshot and journal into the same cluster state as production did`() {
         assertEquals(0, unreadable(entries))
         assertEquals(lines("ledger.txt"), describe(loaded(storeOf(entries))))
     }
@@ -345,7 +345,8 @@
     /** In the form in which production's code described its own. */
     private fun describe(leaderTerm: LeaderTerm): List<String> {
         val journal = leaderTerm.journal
-        val lines = arrayListOf("journal next ${journal.next} snapshotUpTo ${journal.snapshotUpTo} generation ${journal.generation}")
+        val snapshot = "snapshotUpTo ${journal.lastRecordInSnapshot} generation ${journal.snapshotGeneration}"
+        val lines = arrayListOf("journal next ${journal.nextRecordNumber} $snapshot")
         for (job in leaderTerm.cluster.jobs.values.sortedBy { it.id }) {
             lines += "job ${job.id} cancelled ${job.cancelled} done ${job.done}"
             for (it in job.preemptions.int2IntEntrySet().sortedBy { it.intKey }) lines += "evicted ${job.id}/${it.intKey} ${it.intValue}"
--- a/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What a full fleet writes where the state service takes few changes a second. */
+/** What the leader of a full fleet writes where the store allows few writes a second. */
 class WriteBudgetTest {
     /** A fleet of [machines] on which [perSecond] tasks start and end each second, in jobs of [TASKS_PER_JOB] tasks. */
-    private class Day(private val name: String, machines: Int, private val perSecond: Int, compact: Boolean) {
+    private class FullFleet(private val name: String, machines: Int, private val perSecond: Int, compact: Boolean) {
         val world = World(
             91,
             quietNetwork = true,
@@ -28,7 +28,7 @@
         private var submitted = 0
         private var refused = 0
         private val everySubmissionMs = 1000L * TASKS_PER_JOB / perSecond
-        private var nextAt = 5000L
+        private var nextSubmissionAt = 5000L
 
         private fun submitNext() {
             val spec = world.job(submitted++) {
@@ -41,7 +41,7 @@
             submit(spec)
         }
 
-        /** As users do, who come again a second later where they are refused. */
+        /** Submits as users do, who repeat the submission a second later if it is refused. */
         private fun submit(spec: JobSpec) {
             if (world.submit(spec) in 200..201) return
             refused++
@@ -51,21 +51,21 @@
         fun run(ms: Long) {
             val until = world.time.now + ms
             while (world.time.now < until) {
-                while (nextAt <= world.time.now) {
+                while (nextSubmissionAt <= world.time.now) {
                     submitNext()
-                    nextAt += everySubmissionMs
+                    nextSubmissionAt += everySubmissionMs
                 }
                 world.run(200, busy = false)
             }
         }
 
-        /** Plays on for a while and checks what was written. */
+        /** Runs until the load is steady, and then for [MEASURED_MS]; checks what was written meanwhile, and returns writes a second. */
         fun measure(): Map<WriteKind, Double> {
             run(RAMP_MS)
             val before = HashMap(world.store.writesByKind)
             val startedBefore = world.rules.started
             val refusedBefore = refused
-            val share = StoreRateQuota.writes(LIMITS, 3, leads = true)
+            val quota = StoreRateQuota.writes(LIMITS, 3, leads = true)
             val beganAt = world.time.now
             run(MEASURED_MS)
             val seconds = (world.time.now - beganAt) / 1000.0
@@ -78,18 +78,18 @@
                     started,
                     refused - refusedBefore,
                     ofLeader,
-                    share,
+                    quota,
                     world.store.overRate,
                 ),
             )
-            println("$name: ${pendingChanges()} changes wait")
+            println("$name: ${pendingChanges()} changes pending")
             assertEquals(0, world.store.overRate, "requests over the rates")
             assertEquals(0, world.store.tooLarge, "transactions over the limits")
-            assertTrue(ofLeader <= share, "$ofLeader of $share")
+            assertTrue(ofLeader <= quota, "$ofLeader of $quota")
             assertTrue(started > perSecond * 0.85, "$started starts a second")
-            assertTrue(pendingChanges() < perSecond * 5, "${pendingChanges()} changes wait")
+            assertTrue(pendingChanges() < perSecond * 5, "${pendingChanges()} changes pending")
             assertEquals(refusedBefore, refused, "submissions refused")
-            assertTrue((perKind[WriteKind.PROGRESS] ?: 0.0) >= 0.3, "progress is told")
+            assertTrue((perKind[WriteKind.PROGRESS] ?: 0.0) >= 0.3, "the progress of jobs is written")
             assertTrue((perKind[WriteKind.WATERMARK] ?: 0.0) >= 0.3, "the watermark is written")
             assertTrue((perKind[WriteKind.SNAPSHOT] ?: 0.0) > 0, "snapshots are written")
             return perKind
@@ -101,18 +101,18 @@
     }
 
     @Test
-    fun `600 machines with 60 starts and ends a second stay within the leader's share`() {
-        Day("600 machines, compact", 600, 60, compact = true).measure()
+    fun `600 machines with 60 starts and ends a second stay within the leader's write quota`() {
+        FullFleet("600 machines, compact", 600, 60, compact = true).measure()
     }
 
     @Test
-    fun `900 machines with 90 starts and ends a second stay within the leader's share`() {
-        Day("900 machines, compact", 900, 90, compact = true).measure()
+    fun `900 machines with 90 starts and ends a second stay within the leader's write quota`() {
+        FullFleet("900 machines, compact", 900, 90, compact = true).measure()
     }
 
     @Test
-    fun `600 machines get along while the compact forms are not agreed on`() {
-        Day("600 machines, old forms", 600, 60, compact = false).measure()
+    fun `600 machines stay within the write quota while the compressed forms are not agreed on`() {
+        FullFleet("600 machines, plain forms", 600, 60, compact = false).measure()
     }
 
     private companion object {
