--- a/src/main/kotlin/mountmast/coordination/persistence/CommitAttempt.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CommitAttempt.kt
@@ -23,7 +23,7 @@
      * [batch] is in doubt, but is rejected as too large by now. An earlier attempt may still be executed, so a tombstone record, which
      * is empty, is written into the first slot that the batch depends on.
      *
-     * Test: `FallingLimitsTest`, "limits fall during a failover".
+     * Test: `FallingLimitsTest`, "failures of every kind meet falling limits".
      */
     class Tombstone(override val batch: WriteBatch) : CommitAttempt {
         private val slotted = batch.journalRecords.first().let { SlottedRecord(it.slot, JournalRecord(it.number, "")) }
--- a/src/main/kotlin/mountmast/coordination/persistence/CommittedBatchApplier.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CommittedBatchApplier.kt
@@ -42,7 +42,7 @@
     private fun applyChange(change: PendingChange) {
         when (change) {
             is PendingChange.Started -> applyStart(change.assignment)
-            is PendingChange.Ended -> context.cluster.release(change.assignment, clock.now())
+            is PendingChange.Ended -> context.cluster.assignments.release(change.assignment, clock.now())
             is PendingChange.Reserved -> Unit
         }
     }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
@@ -18,8 +18,8 @@
 private val log = LoggerFactory.getLogger("mountmast.ledger")
 
 /**
- * Rebuilds [cluster] from the snapshot and the journal of earlier leaders, entry by entry. Machines that are named there count as
- * heard at [now], until their workers' leases can have expired. Guarded as [cluster] is.
+ * Rebuilds [cluster] from the snapshot and the journal of earlier leaders, entry by entry. An earlier leader may have heard and
+ * answered the machines that are named there until [now]. Guarded as [cluster] is.
  */
 class JournalReplay(private val cluster: ClusterState, private val now: MonotonicTime) : JournalReader {
     override fun done(job: JobId, ranges: String) {
@@ -40,16 +40,16 @@
         if (task.index >= job.spec.tasks || job.done.get(task.index)) return
         job.live.get(task.index)?.let { older ->
             log.error("task={} is listed twice: machine={} and machine={}", task, older.machine, machine)
-            cluster.release(older, now)
+            cluster.assignments.release(older, now)
         }
-        cluster.restoreAssignment(job, task.index, Placement(machine, incarnation, zone), attempt, now)
+        cluster.assignments.restore(job, task.index, Placement(machine, incarnation, zone), attempt, now)
     }
 
     override fun ended(task: TaskId, end: TaskEnd) {
         val job = cluster.jobs[task.job] ?: return
         if (end == TaskEnd.DONE && task.index < job.spec.tasks) cluster.completeTask(job, task.index)
         if (end == TaskEnd.PREEMPTED) job.countPreemption(task.index)
-        job.live.get(task.index)?.let { cluster.release(it, now) }
+        job.live.get(task.index)?.let { cluster.assignments.release(it, now) }
     }
 
     override fun reserved(machine: MachineId, job: JobId, victims: List<TaskId>) {
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -64,7 +64,7 @@
             val change = cluster.pendingChanges.removeFirstOrNull() ?: break
             // Ended or cancelled before its start was journaled: it was never sent, nor will be.
             if (change is PendingChange.Started && isVoid(change.assignment)) {
-                cluster.release(change.assignment, clock.now())
+                cluster.assignments.release(change.assignment, clock.now())
             } else {
                 append(change, text)
                 changes += change
--- a/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
@@ -89,10 +89,7 @@
     }
 
     private fun restoreImages(record: ImagesRecord) {
-        for ((id, images) in record.images) {
-            val machine = cluster.machines[id]
-            if (machine?.type != null) machine.recallImages(images) else cluster.recalledImages[id] = images
-        }
+        for ((id, images) in record.images) cluster.recallImages(id, images)
     }
 
     /** Returns how many entries could not be read. */
--- a/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
@@ -73,6 +73,7 @@
         compares += Compare(key, modRevision)
     }
 
+    /** Adds a put of [value] under [key]. */
     fun put(key: String, value: JsonElement) = put(Write.Put(key, value))
 
     /** Appends [slotted], which contains [changes], to the journal; its slot has to be at [slotModRevision]. */
