--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -13,6 +13,7 @@
 import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.TaskLosses
+import mountmast.coordination.workers.DeliveryStep
 import mountmast.coordination.workers.LeaseRenewalDelegate
 import mountmast.protocol.Clock
 import mountmast.protocol.FencingToken
@@ -105,7 +106,7 @@
         election.step()
         val leaderTerm = leaderComponents.get()?.leaderTerm
         // Cut off from the workers alone, in either direction, this node would renew for ever while their leases run out.
-        val why = leaderTerm?.heartbeats?.resignationReason() ?: leaderTerm?.let(::whyUninformed)
+        val why = leaderTerm?.liveness?.resignationReason() ?: leaderTerm?.let(::whyUninformed)
         if (leaderTerm != null && why != null && membership.serving() > 0) election.resign(leaderTerm.leaderLease, why)
         syncLeaderComponents()
         weighUsers()
@@ -193,7 +194,7 @@
     fun runSchedulingCycle() {
         val leaderTerm = leaderTerm() ?: return
         leaderTerm.runSchedulingCycle()
-        election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.heartbeats.expireSilent(it) }
+        election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.liveness.expireLeases(it) }
     }
 
     /** Writes what the ledger changed; false where there was nothing to write. */
@@ -233,14 +234,14 @@
     }
 
     /** Sends commands to one worker; false where there were none to send. */
-    fun deliverCommands(waitMs: Long): Boolean = leaderTerm()?.dispatch?.deliverNext(waitMs) ?: false
+    fun deliverCommands(waitMs: Long): Boolean = leaderTerm()?.dispatch?.deliverNext(waitMs) == DeliveryStep.DONE
 
     /** Calls one worker that may still be with a former leader; false where there was none to call. */
-    fun announceLeader(): Boolean = leaderTerm()?.dispatch?.announceNext() ?: false
+    fun announceLeader(): Boolean = leaderTerm()?.dispatch?.announceNext() == DeliveryStep.DONE
 
     override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome {
         election.observeToken(heartbeat.token)
-        val leaderLease = election.leaderLease() ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat) ?: HeartbeatOutcome.Elsewhere(election.leader())
+        val leaderLease = election.leaderLease() ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat)
         val leaderTerm = leaderComponents.get()?.leaderTerm
         if (!election.mayRenewWorkerLeases() || heartbeat.token.term > leaderLease.token.term) return HeartbeatOutcome.Elsewhere(null)
         if (leaderTerm == null || leaderTerm.leaderLease !== leaderLease || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Elsewhere(null)
@@ -250,7 +251,7 @@
         } else {
             HeartbeatResponse(maxOf(leaderLease.token, heartbeat.token), leaseRenewalDelegate.stopCommandsFor(heartbeat))
         }
-        if (answer.token.number > 0u) leaderTerm.heartbeats.renewals.note(heartbeat.machine, receivedAt)
+        if (answer.token.number > 0u) leaderTerm.liveness.renewals.record(heartbeat.machine, receivedAt)
         return HeartbeatOutcome.Accepted(answer)
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -18,7 +18,10 @@
 import mountmast.coordination.state.TermSignals
 import mountmast.coordination.workers.CommandDispatcher
 import mountmast.coordination.workers.HeartbeatHandler
+import mountmast.coordination.workers.OutstandingCommands
 import mountmast.coordination.workers.ReachabilityMonitor
+import mountmast.coordination.workers.WorkerContext
+import mountmast.coordination.workers.WorkerLivenessMonitor
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
@@ -67,24 +70,22 @@
     override var pendingTypes: MachineTypes? = null
 
     private val dependencies = JobDependencies(cluster)
-    val heartbeats = HeartbeatHandler(lock, cluster, leaderLease, reachability, signals, timing, clock, invariants)
     override val jobs = JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, leaderLease.watermark, JobsListener())
 
+    private val workerContext = WorkerContext(lock, cluster, leaderLease, signals, timing, clock, invariants)
+    private val outstandingCommands = OutstandingCommands(workerContext) { now -> jobs.unknownForMs(now) < timing.ttlMs }
+    val heartbeats = HeartbeatHandler(workerContext, outstandingCommands, reachability)
+    val liveness = WorkerLivenessMonitor(workerContext, reachability)
+
     /** Commands to the workers. */
-    val dispatch = CommandDispatcher(lock, cluster, leaderLease, workers, timing, clock, { now ->
-        jobs.unknownForMs(now) < timing.ttlMs
-    }, invariants) { heartbeat, now -> heartbeats.take(heartbeat, now, isHeartbeat = false) }
+    val dispatch = CommandDispatcher(workerContext, outstandingCommands, workers, heartbeats)
 
     private val snapshots = SnapshotCache(cluster, dependencies, teams, timing, clock)
     private val schedulingCycle = SchedulingCycle(cluster, snapshots, dispatch, signals, policy, clock)
     private val loader = StateLoader(lock, cluster, journal, jobs, store, clock)
 
-    init {
-        heartbeats.dispatch = dispatch
-    }
-
     /** Whether what the leaders before wrote is read. */
-    val ready: Boolean get() = heartbeats.takenFrom != null
+    val ready: Boolean get() = workerContext.readyAt != null
 
     /** Open tasks that found no machine in the last pass; the caller holds the lock. */
     override val waiting: List<Waiting> get() = schedulingCycle.waiting
@@ -97,7 +98,7 @@
         if (ready) return loader.loadHints()
         loader.loadState()
         lock.withLock {
-            heartbeats.takenFrom = clock.now()
+            workerContext.markReady(clock.now())
             log.info(
                 "term {}: {} jobs, {} assignments on {} machines",
                 leaderLease.token,
@@ -123,7 +124,7 @@
 
     /** One pass of the scheduler. */
     fun runSchedulingCycle() = lock.withLock {
-        heartbeats.takenFrom?.let(schedulingCycle::run)
+        workerContext.readyAt?.let(schedulingCycle::run)
     }
 
     override val leaderModRevision: ModRevision get() = leaderLease.modRevision
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -17,16 +17,25 @@
 
 private val log = LoggerFactory.getLogger("mountmast.ledger")
 
+/** What became of a heartbeat in [HeartbeatReconciler.reconcile]. */
+sealed interface HeartbeatReconciliation {
+    /** It was newer than what was known, and the state of [machine] is now as it says. */
+    class Applied(val machine: Machine) : HeartbeatReconciliation
+
+    /** It is no newer than what is known, or its machine was deleted: nothing was changed. */
+    data object Stale : HeartbeatReconciliation
+}
+
 /**
- * Brings what workers report into [cluster]. What a report says of exits and sessions is final, so it needs no proof of being
- * recent. Guarded as the ledger is.
+ * Reconciles the cluster state with workers' heartbeats. What a heartbeat says of exits and incarnations is final, so it needs no proof of
+ * being recent. Guarded by the lock of the leader's term.
  */
 class HeartbeatReconciler(private val cluster: ClusterState) {
-    /** Returns false where the report is older than what is known already. */
-    fun take(heartbeat: Heartbeat, now: MonotonicTime): Boolean {
-        if (heartbeat.machine in cluster.tombstones) return false
-        val machine = knownMachine(heartbeat, now)
-        if (!isNews(machine, heartbeat)) return false
+    /** Applies [heartbeat], received at [now], to the cluster state unless it is stale. */
+    fun reconcile(heartbeat: Heartbeat, now: MonotonicTime): HeartbeatReconciliation {
+        if (heartbeat.machine in cluster.tombstones) return HeartbeatReconciliation.Stale
+        val machine = findOrAddMachine(heartbeat, now)
+        if (!isNewer(heartbeat, machine)) return HeartbeatReconciliation.Stale
         if (machine.incarnation.let { it == null || heartbeat.incarnation > it }) beginIncarnation(machine, heartbeat, now)
         if (machine.state != MachineState.UP) {
             machine.state = MachineState.UP
@@ -35,13 +44,13 @@
         machine.sequence = heartbeat.sequence
         machine.address = heartbeat.address
         machine.heardAt = now
-        heartbeat.reclaimNoticeS?.let { takeNotice(machine, it) }
-        readTasks(machine, heartbeat, now)
-        return true
+        heartbeat.reclaimNoticeS?.let { recordReclaimNotice(machine, it) }
+        reconcileTasks(machine, heartbeat, now)
+        return HeartbeatReconciliation.Applied(machine)
     }
 
-    /** The machine that reports; one that was known only by name gets its kind from the report. */
-    private fun knownMachine(heartbeat: Heartbeat, now: MonotonicTime): Machine {
+    /** Returns the machine of [heartbeat]; one that was known only by name gets its type from the heartbeat. */
+    private fun findOrAddMachine(heartbeat: Heartbeat, now: MonotonicTime): Machine {
         val before = cluster.machines[heartbeat.machine]
         if (before?.type != null) return before
         val machine = Machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, MachineState.UP)
@@ -54,7 +63,7 @@
         return machine
     }
 
-    private fun isNews(machine: Machine, heartbeat: Heartbeat): Boolean {
+    private fun isNewer(heartbeat: Heartbeat, machine: Machine): Boolean {
         val incarnation = machine.incarnation ?: return true
         return heartbeat.incarnation > incarnation || (heartbeat.incarnation == incarnation && heartbeat.sequence > machine.sequence)
     }
@@ -66,50 +75,51 @@
         machine.incarnationSince = now
         machine.answeredSequence = null
         machine.answeredHeartbeatSequence = HeartbeatSequence(0u)
-        // A session that nobody answered yet lives a full lease from its beginning, which may have been just now.
+        // An incarnation that nobody has answered yet lives for a full lease from its beginning, which may have been just now.
         machine.leaseRenewedAt = now
     }
 
-    private fun takeNotice(machine: Machine, reclaimNoticeS: Double) {
+    private fun recordReclaimNotice(machine: Machine, reclaimNoticeS: Double) {
         if (machine.reclaimNoticed) return
         machine.reclaimNoticed = true
         machine.reclaimNoticeS = reclaimNoticeS
-        log.info("machine {} will be taken in {} s", machine.id, reclaimNoticeS)
+        log.info("machine will be reclaimed by the cloud: machine={} in_s={}", machine.id, reclaimNoticeS)
     }
 
-    private fun readTasks(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) {
+    private fun reconcileTasks(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) {
         val unassignedTasks = ArrayList<UnassignedTask>()
         for (reported in heartbeat.tasks) {
-            val assignment = machine.live[reported.task]?.takeIf { it.attempt == reported.attempt && it.incarnation == heartbeat.incarnation }
-            if (assignment == null) unassignedTasks += unknown(reported) else readTask(machine, assignment, reported, now)
+            val assignment = machine.live[reported.task]
+                ?.takeIf { it.attempt == reported.attempt && it.incarnation == heartbeat.incarnation }
+            if (assignment == null) unassignedTasks += unassigned(reported) else reconcileTask(machine, assignment, reported, now)
         }
         machine.unassignedTasks = unassignedTasks
     }
 
-    private fun unknown(reported: ReportedTask) =
+    private fun unassigned(reported: ReportedTask) =
         UnassignedTask(reported.task, reported.attempt, reported.state == TaskState.EXITED, reported.cause == ExitCause.DONE)
 
-    private fun readTask(machine: Machine, assignment: Assignment, reported: ReportedTask, now: MonotonicTime) {
+    private fun reconcileTask(machine: Machine, assignment: Assignment, reported: ReportedTask, now: MonotonicTime) {
         if (assignment.phase >= Phase.ENDED) return
         if (reported.state == TaskState.RUNNING && assignment.runningSince == null) assignment.runningSince = now
         assignment.reported = reported.state
-        if (reported.state == TaskState.EXITED) exited(machine, assignment, reported.cause, now)
+        if (reported.state == TaskState.EXITED) endExited(machine, assignment, reported.cause, now)
     }
 
-    private fun exited(machine: Machine, assignment: Assignment, cause: ExitCause?, now: MonotonicTime) {
+    private fun endExited(machine: Machine, assignment: Assignment, cause: ExitCause?, now: MonotonicTime) {
         val job = assignment.job
         cluster.end(assignment, completed = cause == ExitCause.DONE)
         when (cause) {
-            ExitCause.DONE -> completed(machine, assignment, now)
+            ExitCause.DONE -> recordCompletion(machine, assignment, now)
             ExitCause.FAILED -> cluster.health.failed(machine, job, now)
-            // The worker's room and the ledger's differ for a moment, for instance while a killed task saves.
-            ExitCause.NO_ROOM, ExitCause.BUSY -> machine.notBefore = now + REFUSED_PAUSE_MS
-            ExitCause.UNKNOWN -> job.notBefore = now + REFUSED_PAUSE_MS
+            // The worker's free capacity and the one known here differ for a moment, for instance while a killed task saves.
+            ExitCause.NO_ROOM, ExitCause.BUSY -> machine.notBefore = now + REJECTION_PAUSE_MS
+            ExitCause.UNKNOWN -> job.notBefore = now + REJECTION_PAUSE_MS
             else -> {}
         }
     }
 
-    private fun completed(machine: Machine, assignment: Assignment, now: MonotonicTime) {
+    private fun recordCompletion(machine: Machine, assignment: Assignment, now: MonotonicTime) {
         val job = assignment.job
         machine.strikes.clear()
         job.failedOn.clear()
@@ -121,7 +131,8 @@
     }
 
     private companion object {
-        const val REFUSED_PAUSE_MS = 1000L
+        /** How long nothing is started again where a worker rejected a start. */
+        const val REJECTION_PAUSE_MS = 1000L
         const val MS_PER_S = 1000.0
     }
 }
--- a/src/main/kotlin/mountmast/coordination/workers/LeaseRenewalDelegate.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaseRenewalDelegate.kt
@@ -14,27 +14,35 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /**
- * Answers workers without knowing the jobs: in the name of a leader that was elected a moment ago and is too slow for all
- * workers at once, or before a leader has read them. Thread-safe.
+ * Renews workers' leases without knowing the jobs: on behalf of a leader that was just elected and is too slow for all workers at once,
+ * or at the leader before it has loaded its state. Thread-safe.
  */
 class LeaseRenewalDelegate(private val election: LeaderElection, private val cancellations: CancellationBroadcast) {
-    private val renewed = ConcurrentHashMap.newKeySet<MachineId>()
+    private val renewedMachines = ConcurrentHashMap.newKeySet<MachineId>()
 
     @Volatile
     private var delegatedUnder = FencingToken(0u)
 
-    /** Renews a worker's lease once for a leader just elected, or returns null; the worker's next report is sent there. */
-    fun renewOnBehalf(heartbeat: Heartbeat): HeartbeatOutcome? {
-        val token = election.delegatedToken() ?: return null
+    /**
+     * Renews a worker's lease once on behalf of a leader that was just elected. Refers the worker to the leader, if one is known, where no
+     * leader has delegated renewals, and for each further heartbeat of the worker.
+     */
+    fun renewOnBehalf(heartbeat: Heartbeat): HeartbeatOutcome {
+        val token = election.delegatedToken()
+        if (token == null || !claimRenewal(heartbeat, token)) return HeartbeatOutcome.Elsewhere(election.leader())
+        return HeartbeatOutcome.Accepted(HeartbeatResponse(maxOf(token, heartbeat.token), stopCommandsFor(heartbeat)))
+    }
+
+    /** Claims the one renewal of the heartbeat's machine under [token]; it is refused to workers that have seen a newer leader. */
+    private fun claimRenewal(heartbeat: Heartbeat, token: FencingToken): Boolean {
         if (token != delegatedUnder) {
-            renewed.clear()
+            renewedMachines.clear()
             delegatedUnder = token
         }
-        if (heartbeat.token.term > token.term || renewed.size >= MAX_RENEWED || !renewed.add(heartbeat.machine)) return null
-        return HeartbeatOutcome.Accepted(HeartbeatResponse(maxOf(token, heartbeat.token), stopCommandsFor(heartbeat)))
+        return heartbeat.token.term <= token.term && renewedMachines.size < MAX_RENEWALS && renewedMachines.add(heartbeat.machine)
     }
 
-    /** What can be told all the same: to stop what other nodes said is cancelled. */
+    /** Returns the commands that need no knowledge of the jobs: stops for tasks of jobs that were broadcast as cancelled. */
     fun stopCommandsFor(heartbeat: Heartbeat): List<WorkerCommand> = heartbeat.tasks.mapNotNull { reported ->
         val job = TaskId.parse(reported.task)?.job
         if (reported.state == TaskState.EXITED || job == null || job !in cancellations) {
@@ -45,6 +53,6 @@
     }
 
     private companion object {
-        const val MAX_RENEWED = 10_000
+        const val MAX_RENEWALS = 10_000
     }
 }
--- a/src/main/kotlin/mountmast/coordination/workers/LeaseRenewalLog.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaseRenewalLog.kt
@@ -5,17 +5,17 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /**
- * When each worker was last given an answer that it may take, by whatever path. Kept where answers leave the node, apart from the
- * ledger: before a lease is called over, both are compared. Thread-safe.
+ * When each worker was last sent a response that renews its lease, by whatever path. Recorded where responses leave the node, apart from
+ * the cluster state: before a lease expires, both are compared. Thread-safe.
  */
 class LeaseRenewalLog {
-    private val leaseRenewedAt = ConcurrentHashMap<MachineId, MonotonicTime>()
+    private val renewedAt = ConcurrentHashMap<MachineId, MonotonicTime>()
 
-    /** [machine] is about to be given such an answer, to a report that was taken in at [receivedAt]. */
-    fun note(machine: MachineId, receivedAt: MonotonicTime) {
-        leaseRenewedAt.merge(machine, receivedAt, ::maxOf)
+    /** Records that [machine] is about to be sent such a response, to a heartbeat that was received at [receivedAt]. */
+    fun record(machine: MachineId, receivedAt: MonotonicTime) {
+        renewedAt.merge(machine, receivedAt, ::maxOf)
     }
 
-    /** When [machine] was last given one in this term, or null where it never was. */
-    fun lastRenewal(machine: MachineId): MonotonicTime? = leaseRenewedAt[machine]
+    /** Returns when the last such heartbeat of [machine] was received in this term, or null if none was. */
+    fun lastRenewal(machine: MachineId): MonotonicTime? = renewedAt[machine]
 }
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -13,58 +13,76 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
+/** How a heartbeat changed what is known of whether its machine is reached. */
+enum class ReachabilityChange {
+    NONE,
+
+    /** Responses and commands seem no longer to reach the machine: it gets no more work. */
+    LOST,
+
+    /** They reach it again: it may get work. */
+    RESTORED,
+}
+
 /**
- * Detects machines whose reports arrive while answers and commands do not reach them. Guarded as its [ClusterState] is.
+ * Detects machines whose heartbeats arrive while responses and commands do not reach them. Guarded by the lock of the leader's term.
  */
 class ReachabilityMonitor(private val cluster: ClusterState, private val leaderLease: LeaderLease, private val timing: LeaseTiming) {
-    /** What a report tells of whether earlier answers arrived; both may be false. */
+    /** What a heartbeat shows of earlier responses; both may be false. */
     private class Evidence(val isEffectMissing: Boolean, val isEffectShown: Boolean)
 
     /**
-     * Takes note of [heartbeat], which this leader is about to answer; true where the machine is reached again and may have work.
+     * Updates [machine] for [heartbeat], which this leader, ready since [readyAt], is about to answer.
      *
-     * An answer did not arrive if the worker's token lags behind ours, or a start that it told is not shown; the caller counts
-     * sessions that rise although the worker was answered. A machine with [MAX_UNACKNOWLEDGED_HEARTBEATS] such reports in a row gets no more
-     * work, and is returned if that lasts. A report that shows an answer's effect clears it.
+     * A response did not arrive if the worker's token lags behind ours, or if a start in it is not shown; the caller counts incarnations
+     * that rise although the worker was answered. A machine with [MAX_UNACKNOWLEDGED_HEARTBEATS] such heartbeats in a row gets no more
+     * work, and is returned if that lasts. A heartbeat that shows a response's effect resets the count. Test: `RecoveryTest`, "a machine
+     * that hears nothing gets no more work and is returned, and its tasks run elsewhere".
      */
-    fun note(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime, readyAt: MonotonicTime): Boolean {
+    fun update(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime, readyAt: MonotonicTime): ReachabilityChange {
         val evidence = evidence(machine, heartbeat, now)
         when {
-            // A node that has just begun answers so slowly that workers drop its answers: that says nothing of them.
+            // A node that has just begun to lead answers so slowly that workers drop its responses: that says nothing of them (inc-0e16).
+            // Test: `RecoveryTest`, "a leader that has just begun does not take its own slow answers for deaf workers".
             now - readyAt < SETTLING_MS -> machine.unacknowledgedHeartbeats = 0
             evidence.isEffectMissing -> machine.unacknowledgedHeartbeats++
             evidence.isEffectShown -> machine.unacknowledgedHeartbeats = 0
         }
-        if (machine.unacknowledgedHeartbeats >= MAX_UNACKNOWLEDGED_HEARTBEATS && machine.unreachedSince == null) {
-            machine.unreachedSince = now
-            log.info("machine {} reports, but nothing seems to reach it", machine.id)
-            return false
+        return when {
+            machine.unacknowledgedHeartbeats >= MAX_UNACKNOWLEDGED_HEARTBEATS && machine.unreachedSince == null -> {
+                machine.unreachedSince = now
+                log.info("machine unreachable, although its heartbeats arrive: machine={}", machine.id)
+                ReachabilityChange.LOST
+            }
+            machine.unacknowledgedHeartbeats == 0 && machine.unreachedSince != null -> {
+                machine.unreachedSince = null
+                log.info("machine reachable again: machine={}", machine.id)
+                ReachabilityChange.RESTORED
+            }
+            else -> ReachabilityChange.NONE
         }
-        val isReachedAgain = machine.unacknowledgedHeartbeats == 0 && machine.unreachedSince != null
-        if (isReachedAgain) {
-            machine.unreachedSince = null
-            log.info("machine {} is reached again", machine.id)
-        }
-        return isReachedAgain
     }
 
     private fun evidence(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): Evidence {
         val answered = machine.answeredSequence
         val isTokenBehind = answered != null && answered < heartbeat.sequence && heartbeat.token < leaderLease.token
         val outlivesLease = now - machine.incarnationSince > timing.leaseExpiryMs && heartbeat.token.term == leaderLease.token.term
-        val toldStarts = machine.live.values.filter { isToldBefore(it, heartbeat) }
-        val (missing, shown) = toldStarts.partition { it.reported == null }
+        val commandedStarts = machine.live.values.filter { wasCommandedBefore(it, heartbeat) }
+        val (missing, shown) = commandedStarts.partition { it.reported == null }
         for (assignment in shown) assignment.startedInHeartbeat = null
         return Evidence(isTokenBehind || missing.isNotEmpty(), outlivesLease || shown.isNotEmpty())
     }
 
-    /** Whether the start of [assignment] was in the answer to a report of the same session before this one. */
-    private fun isToldBefore(assignment: Assignment, heartbeat: Heartbeat): Boolean {
-        val answered = assignment.startedInHeartbeat ?: return false
-        return assignment.phase == Phase.COMMITTED && assignment.incarnation == heartbeat.incarnation && heartbeat.sequence > answered
+    /** Whether the start of [assignment] was in the response to an earlier heartbeat of the same incarnation. */
+    private fun wasCommandedBefore(assignment: Assignment, heartbeat: Heartbeat): Boolean {
+        val startedIn = assignment.startedInHeartbeat ?: return false
+        return assignment.phase == Phase.COMMITTED && assignment.incarnation == heartbeat.incarnation && heartbeat.sequence > startedIn
     }
 
-    /** Whether so many workers hear nothing that it must be this node, which cannot send. The caller holds the lock. */
+    /**
+     * Whether so many machines are not reached that it must be this node, which cannot send. The caller holds the lock of the leader's
+     * term. Test: `RecoveryTest`, "a node that cannot send to any worker resigns and returns no machine".
+     */
     fun areMostUnreached(): Boolean {
         val up = cluster.machines.values.count { it.state == MachineState.UP && !it.deleting }
         val unreached = cluster.machines.values.count { it.unreachedSince != null && !it.deleting }
@@ -72,10 +90,10 @@
     }
 
     companion object {
-        /** Reports in a row that show nothing of the answers before them. */
+        /** Heartbeats in a row that show nothing of the responses before them. */
         const val MAX_UNACKNOWLEDGED_HEARTBEATS = 2
 
-        /** Of so few machines nothing can be told about the node itself. */
+        /** Fewer machines than this allow no conclusion about the node itself. */
         const val MIN_MACHINES_TO_JUDGE_NODE = 3
         private const val SETTLING_MS = 15_000L
     }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerContext.kt
@@ -0,0 +1,34 @@
+package mountmast.coordination.workers
+
+import mountmast.coordination.election.LeaderLease
+import mountmast.coordination.election.LeaseTiming
+import mountmast.coordination.state.ClusterState
+import mountmast.coordination.state.Invariants
+import mountmast.coordination.state.TermSignals
+import mountmast.protocol.Clock
+import mountmast.protocol.MonotonicTime
+import java.util.concurrent.locks.ReentrantLock
+
+/**
+ * What the parts of a leader's term that deal with workers share. [cluster] and [signals] are guarded by [lock], the lock of the
+ * leader's term, which is never held during I/O.
+ */
+class WorkerContext(
+    val lock: ReentrantLock,
+    val cluster: ClusterState,
+    val leaderLease: LeaderLease,
+    val signals: TermSignals,
+    val timing: LeaseTiming,
+    val clock: Clock,
+    val invariants: Invariants = Invariants(),
+) {
+    /** When this leader had loaded its state, or null before that: until then no heartbeat is reconciled and no lease expires. */
+    @Volatile
+    var readyAt: MonotonicTime? = null
+        private set
+
+    /** Sets [readyAt]: from now on heartbeats are reconciled. The caller holds [lock]. */
+    fun markReady(now: MonotonicTime) {
+        readyAt = now
+    }
+}
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -2,6 +2,7 @@
 
 import mountmast.coordination.persistence.JournalReplay
 import mountmast.coordination.workers.HeartbeatReconciler
+import mountmast.coordination.workers.HeartbeatReconciliation
 import mountmast.protocol.Attempt
 import mountmast.protocol.ExitCause
 import mountmast.protocol.FencingToken
@@ -32,7 +33,7 @@
     private var sequence = 0uL
 
     private fun heartbeat(machine: String, at: Long, vararg tasks: ReportedTask, incarnation: ULong = 1u): Boolean =
-        HeartbeatReconciler(cluster).take(
+        HeartbeatReconciler(cluster).reconcile(
             Heartbeat(
                 MachineId(
                     machine,
@@ -44,7 +45,7 @@
                 Zone("a"), false, WorkerIncarnation(incarnation), HeartbeatSequence(++sequence), FencingToken(0u), null, tasks.toList(),
             ),
             MonotonicTime(at),
-        )
+        ) is HeartbeatReconciliation.Applied
 
     private fun place(index: Int, machine: String, at: Long): Assignment =
         cluster.assign(job, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply {
--- a/src/test/kotlin/mountmast/coordination/workers/LeaseRenewalTest.kt
+++ b/src/test/kotlin/mountmast/coordination/workers/LeaseRenewalTest.kt
@@ -7,11 +7,14 @@
 import org.junit.jupiter.api.Test
 import kotlin.concurrent.withLock
 
-/** Every answer that renews a lease counts when the leader decides whether the lease is over. The rules are checked after each step. */
+/**
+ * Every response that renews a lease counts when the leader decides whether the lease has expired (inc 4000-machines). The rules are
+ * checked after each step.
+ */
 class LeaseRenewalTest {
-    /** Reports wait at a busy node, so that answers to direct commands overtake them: those bear higher report numbers. */
+    /** Heartbeats wait at a busy node, so that answers to command requests overtake them: those have higher sequence numbers. */
     @Test
-    fun `a worker whose reports are all overtaken by answers to commands keeps its lease in the leader's eyes too`() {
+    fun `a worker whose heartbeats are all overtaken by its answers to commands keeps its lease at the leader too`() {
         for (seed in 1L..4L) {
             val world = World(seed, quietNetwork = true)
             world.run(6000, busy = false)
@@ -20,7 +23,7 @@
             assertEquals(1, world.rules.runningOf(long), "seed $seed")
             world.network.heartbeatsWaitMs = 1800
             repeat(80) {
-                world.cloud.workers.filter { it.busy }.forEach { answerCommand(world, it) }
+                world.cloud.workers.filter { it.busy }.forEach { deliverCommandResponse(world, it) }
                 world.run(250, busy = false)
             }
             assertEquals(1, world.rules.startsOf(long), "starts of the long task, seed $seed")
@@ -28,10 +31,10 @@
         }
     }
 
-    /** What a worker answers to a direct command: its report, with the next number. */
-    private fun answerCommand(world: World, worker: StandInWorker) {
+    /** Delivers what a worker answers to a command request: its heartbeat, with the next sequence number. */
+    private fun deliverCommandResponse(world: World, worker: StandInWorker) {
         val leader = world.seats.firstNotNullOf { it.controller?.leaderTerm() }
         val now = MonotonicTime(1_000_000 + world.time.now)
-        leader.lock.withLock { leader.heartbeats.take(worker.heartbeat(), now, isHeartbeat = false) }
+        leader.lock.withLock { leader.heartbeats.onCommandResponse(worker.heartbeat(), now) }
     }
 }
