--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -35,14 +35,14 @@
      * is empty. The caller does not hold the lock of the leader's term.
      */
     fun deliverNext(waitMs: Long): DeliveryStep {
-        val delivery = context.lock.withLock {
+        val request = context.lock.withLock {
             if (deliveryQueue.isEmpty() && waitMs > 0) deliveryDue.await(waitMs, TimeUnit.MILLISECONDS)
             val now = context.clock.now()
             val id = deliveryQueue.firstOrNull { mayBeTaken(it, now) } ?: return DeliveryStep.IDLE
             deliveryQueue -= id
-            context.cluster.machines[id]?.let { beginDelivery(it, now) }
+            context.cluster.machines[id]?.let { beginRequest(it, now) }
         }
-        if (delivery != null) sender.send(delivery)
+        if (request != null) sender.send(request)
         return DeliveryStep.DONE
     }
 
@@ -54,10 +54,10 @@
 
     private fun mayBeTaken(id: MachineId, now: MonotonicTime): Boolean {
         val machine = context.cluster.machines[id] ?: return true
-        return !machine.deliveryInFlight && now >= machine.deliverNotBefore
+        return !machine.delivery.isInFlight && now >= machine.delivery.notBefore
     }
 
-    private fun beginDelivery(machine: Machine, now: MonotonicTime): CommandDelivery? {
+    private fun beginRequest(machine: Machine, now: MonotonicTime): OutgoingRequest? {
         val incarnation = machine.incarnation
         if (machine.state != MachineState.UP || incarnation == null || machine.deleting) return null
         // A host behind a cut occupies a sending thread until the deadline of its request, and with a fifth of the fleet cut off the
--- a/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
@@ -19,13 +19,14 @@
     IDLE,
 }
 
-/** Commands for one incarnation of a worker: in any other, a start would run that its assignment is not for. */
-internal class CommandDelivery(
+/** A command request that is on its way. Its commands are for one incarnation: in any other, a start would run that it is not for. */
+internal class OutgoingRequest(
     val machine: Machine,
     val incarnation: WorkerIncarnation,
-    val tokenOffset: Int,
     val commands: List<WorkerCommand>,
-)
+) {
+    val tokenOffset = machine.delivery.tokenOffset
+}
 
 /** Sends command requests to workers, and reconciles the heartbeats with which they answer. */
 internal class CommandSender(
@@ -34,41 +35,46 @@
     private val heartbeats: HeartbeatHandler,
 ) {
     /**
-     * Marks [commands] as being on their way to [machine] and returns the delivery, which has to be passed to [send]. The caller holds
+     * Records that [commands] are on their way to [machine] and returns the request, which has to be passed to [send]. The caller holds
      * the lock of the leader's term.
      */
-    fun begin(machine: Machine, incarnation: WorkerIncarnation, commands: List<WorkerCommand>): CommandDelivery {
-        forEachStart(machine, commands) { it.deliveriesInFlight++ }
-        machine.deliveryInFlight = true
-        return CommandDelivery(machine, incarnation, machine.tokenOffset, commands)
+    fun begin(machine: Machine, incarnation: WorkerIncarnation, commands: List<WorkerCommand>): OutgoingRequest {
+        forEachStart(machine, commands) { it.beginDelivery() }
+        machine.delivery.begin()
+        return OutgoingRequest(machine, incarnation, commands)
     }
 
-    /** Sends [delivery] and applies its outcome. The caller does not hold the lock of the leader's term: this waits for the worker. */
-    fun send(delivery: CommandDelivery) {
-        val token = context.leaderLease.token.advancedBy(delivery.tokenOffset)
-        val request = CommandRequest(token, delivery.incarnation, delivery.commands)
-        val outcome = workers.send(checkNotNull(delivery.machine.address), request)
-        context.lock.withLock { finish(delivery, outcome) }
+    /** Sends [request] and applies its outcome. The caller does not hold the lock of the leader's term: this waits for the worker. */
+    fun send(request: OutgoingRequest) {
+        val token = context.leaderLease.token.advancedBy(request.tokenOffset)
+        val message = CommandRequest(token, request.incarnation, request.commands)
+        val outcome = workers.send(checkNotNull(request.machine.address), message)
+        context.lock.withLock { finish(request, outcome) }
     }
 
-    private fun finish(delivery: CommandDelivery, outcome: CommandOutcome) {
+    private fun finish(request: OutgoingRequest, outcome: CommandOutcome) {
         val now = context.clock.now()
-        val machine = delivery.machine
-        machine.deliveryInFlight = false
-        forEachStart(machine, delivery.commands) { it.deliveriesInFlight-- }
+        val machine = request.machine
+        machine.delivery.end()
+        forEachStart(machine, request.commands) { it.endDelivery() }
         when (outcome) {
             is CommandOutcome.Executed -> heartbeats.onCommandResponse(outcome.heartbeat, now)
             is CommandOutcome.Rejected -> heartbeats.onCommandResponse(outcome.heartbeat, now)
-            CommandOutcome.NotSent -> machine.deliverNotBefore = now + DELIVERY_PAUSE_MS
+            CommandOutcome.NotSent -> machine.delivery.pauseUntil(now + DELIVERY_PAUSE_MS)
             CommandOutcome.Unknown -> {
-                machine.deliverNotBefore = now + DELIVERY_PAUSE_MS
-                for (command in delivery.commands) {
-                    if (command.type == CommandType.START) machine.mayStillStart[command.task to command.attempt] = delivery.tokenOffset
-                }
+                machine.delivery.pauseUntil(now + DELIVERY_PAUSE_MS)
+                recordUnansweredStarts(request)
             }
         }
     }
 
+    private fun recordUnansweredStarts(request: OutgoingRequest) {
+        for (command in request.commands) {
+            if (command.type != CommandType.START) continue
+            request.machine.delivery.recordUnansweredStart(command.task, command.attempt, sentWith = request.tokenOffset)
+        }
+    }
+
     private inline fun forEachStart(machine: Machine, commands: List<WorkerCommand>, action: (Assignment) -> Unit) {
         for (command in commands) {
             if (command.type != CommandType.START) continue
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -61,9 +61,7 @@
      * `LeaseRenewalTest`.
      */
     private fun renew(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): HeartbeatResponse {
-        machine.answeredHeartbeatSequence = heartbeat.sequence
-        machine.leaseRenewedAt = now
-        machine.answeredSequence = heartbeat.sequence
+        machine.worker.recordLeaseRenewal(heartbeat.sequence, now)
         val commands = outstanding.forHeartbeat(machine, heartbeat.sequence)
         outstanding.fenceOffStoppedTasks(machine)
         return HeartbeatResponse(outstanding.token(machine), commands)
@@ -77,11 +75,11 @@
         if (reconciliation !is HeartbeatReconciliation.Applied) return reconciliation
         val machine = reconciliation.machine
         if (origin == Origin.HEARTBEAT) {
-            machine.unacknowledgedHeartbeats += lostResponses
-            machine.lastHeartbeatAt = now
+            machine.reachability.countUnacknowledged(lostResponses)
+            machine.worker.recordUnsolicitedHeartbeat(now)
         }
         val showsCurrentTerm = heartbeat.token.term == context.leaderLease.token.term
-        if (showsCurrentTerm) machine.hasShownCurrentTerm = true
+        if (showsCurrentTerm) machine.worker.confirmCurrentTerm()
         outstanding.observeToken(machine, heartbeat.token)
         if (origin == Origin.HEARTBEAT && showsCurrentTerm) withdrawStopped(machine, heartbeat)
         if (cluster.pendingChanges.isNotEmpty()) context.signals.wakeWriter()
@@ -105,17 +103,17 @@
      */
     private fun withdrawStopped(machine: Machine, heartbeat: Heartbeat) {
         for (assignment in machine.live.values) {
-            if (assignment.phase != Phase.COMMITTED || assignment.terminationGraceS == null) continue
             // What the heartbeat lists has been reconciled, so it counts as reported by now.
-            if (assignment.reported != null || mayStillArrive(assignment, machine, heartbeat)) continue
-            cluster.end(assignment, completed = false)
+            val isStoppedUnseen = assignment.terminationGraceS != null && assignment.reported == null
+            val isWithdrawable = assignment.phase == Phase.COMMITTED && isStoppedUnseen && !mayStillStart(assignment, machine, heartbeat)
+            if (isWithdrawable) cluster.end(assignment, completed = false)
         }
     }
 
-    private fun mayStillArrive(assignment: Assignment, machine: Machine, heartbeat: Heartbeat): Boolean {
+    private fun mayStillStart(assignment: Assignment, machine: Machine, heartbeat: Heartbeat): Boolean {
         val startedIn = assignment.startedInHeartbeat
         return assignment.deliveriesInFlight > 0 ||
-            assignment.key in machine.mayStillStart ||
+            machine.delivery.hasUnansweredStart(assignment.taskName, assignment.attempt) ||
             (startedIn != null && heartbeat.sequence <= startedIn)
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -9,7 +9,6 @@
 import mountmast.coordination.state.UnassignedTask
 import mountmast.protocol.ExitCause
 import mountmast.protocol.Heartbeat
-import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.ReportedTask
 import mountmast.protocol.TaskState
@@ -36,14 +35,12 @@
         if (heartbeat.machine in cluster.tombstones) return HeartbeatReconciliation.Stale
         val machine = findOrAddMachine(heartbeat, now)
         if (!isNewer(heartbeat, machine)) return HeartbeatReconciliation.Stale
-        if (machine.incarnation.let { it == null || heartbeat.incarnation > it }) beginIncarnation(machine, heartbeat, now)
-        if (machine.state != MachineState.UP) {
-            machine.state = MachineState.UP
-            machine.idleSince = now
+        if (machine.incarnation.let { it == null || heartbeat.incarnation > it }) {
+            cluster.endIncarnation(machine, heartbeat.incarnation, LossCause.NEW_INCARNATION)
+            machine.beginIncarnation(heartbeat.incarnation, now)
         }
-        machine.sequence = heartbeat.sequence
-        machine.address = heartbeat.address
-        machine.heardAt = now
+        machine.markUp(now)
+        machine.worker.recordHeartbeat(heartbeat.sequence, heartbeat.address, now)
         heartbeat.reclaimNoticeS?.let { recordReclaimNotice(machine, it) }
         reconcileTasks(machine, heartbeat, now)
         return HeartbeatReconciliation.Applied(machine)
@@ -54,9 +51,8 @@
         val before = cluster.machines[heartbeat.machine]
         if (before?.type != null) return before
         val machine = Machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, MachineState.UP)
-        machine.rentedAt = before?.rentedAt ?: now
-        machine.knownAt = before?.knownAt ?: now
-        machine.idleSince = now
+        machine.rental.recordRental(rented = before?.rentedAt ?: now, known = before?.knownAt ?: now)
+        machine.rental.markIdle(now)
         before?.let(machine::takeOver)
         cluster.recalledImages.remove(heartbeat.machine)?.let(machine::recallImages)
         cluster.machines[heartbeat.machine] = machine
@@ -68,21 +64,9 @@
         return heartbeat.incarnation > incarnation || (heartbeat.incarnation == incarnation && heartbeat.sequence > machine.sequence)
     }
 
-    private fun beginIncarnation(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) {
-        cluster.endIncarnation(machine, heartbeat.incarnation, LossCause.NEW_INCARNATION)
-        machine.mayStillStart.clear()
-        machine.incarnation = heartbeat.incarnation
-        machine.incarnationSince = now
-        machine.answeredSequence = null
-        machine.answeredHeartbeatSequence = HeartbeatSequence(0u)
-        // An incarnation that nobody has answered yet lives for a full lease from its beginning, which may have been just now.
-        machine.leaseRenewedAt = now
-    }
-
     private fun recordReclaimNotice(machine: Machine, reclaimNoticeS: Double) {
         if (machine.reclaimNoticed) return
-        machine.reclaimNoticed = true
-        machine.reclaimNoticeS = reclaimNoticeS
+        machine.rental.recordReclaimNotice(reclaimNoticeS)
         log.info("machine will be reclaimed by the cloud: machine={} in_s={}", machine.id, reclaimNoticeS)
     }
 
@@ -93,7 +77,7 @@
                 ?.takeIf { it.attempt == reported.attempt && it.incarnation == heartbeat.incarnation }
             if (assignment == null) unassignedTasks += unassigned(reported) else reconcileTask(machine, assignment, reported, now)
         }
-        machine.unassignedTasks = unassignedTasks
+        machine.worker.replaceUnassignedTasks(unassignedTasks)
     }
 
     private fun unassigned(reported: ReportedTask) =
@@ -101,8 +85,7 @@
 
     private fun reconcileTask(machine: Machine, assignment: Assignment, reported: ReportedTask, now: MonotonicTime) {
         if (assignment.phase >= Phase.ENDED) return
-        if (reported.state == TaskState.RUNNING && assignment.runningSince == null) assignment.runningSince = now
-        assignment.reported = reported.state
+        assignment.recordReported(reported.state, now)
         if (reported.state == TaskState.EXITED) endExited(machine, assignment, reported.cause, now)
     }
 
@@ -113,17 +96,16 @@
             ExitCause.DONE -> recordCompletion(machine, assignment, now)
             ExitCause.FAILED -> cluster.health.failed(machine, job, now)
             // The worker's free capacity and the one known here differ for a moment, for instance while a killed task saves.
-            ExitCause.NO_ROOM, ExitCause.BUSY -> machine.notBefore = now + REJECTION_PAUSE_MS
-            ExitCause.UNKNOWN -> job.notBefore = now + REJECTION_PAUSE_MS
+            ExitCause.NO_ROOM, ExitCause.BUSY -> machine.health.pausePlacementUntil(now + REJECTION_PAUSE_MS)
+            ExitCause.UNKNOWN -> job.recentFailures.pausePlacementUntil(now + REJECTION_PAUSE_MS)
             else -> {}
         }
     }
 
     private fun recordCompletion(machine: Machine, assignment: Assignment, now: MonotonicTime) {
         val job = assignment.job
-        machine.strikes.clear()
-        job.failedOn.clear()
-        job.failures = 0
+        machine.health.clearStrikes()
+        job.recentFailures.clear()
         val since = assignment.runningSince ?: return
         val runS = (now - since) / MS_PER_S
         cluster.learnRun(job.spec.team, runS)
--- a/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
@@ -34,26 +34,26 @@
      * lock of the leader's term.
      */
     fun announceNext(): DeliveryStep {
-        val delivery = context.lock.withLock {
+        val request = context.lock.withLock {
             val id = announcementQueue.firstOrNull() ?: return DeliveryStep.IDLE
             announcementQueue -= id
             context.cluster.machines[id]?.let { beginAnnouncement(it, context.clock.now()) }
         }
-        if (delivery != null) sender.send(delivery)
+        if (request != null) sender.send(request)
         return DeliveryStep.DONE
     }
 
-    private fun beginAnnouncement(machine: Machine, now: MonotonicTime): CommandDelivery? {
-        if (machine.deliveryInFlight || !needsAnnouncement(machine, now)) return null
-        machine.announcedAt = now
+    private fun beginAnnouncement(machine: Machine, now: MonotonicTime): OutgoingRequest? {
+        if (machine.delivery.isInFlight || !needsAnnouncement(machine, now)) return null
+        machine.delivery.beginAnnouncement(now)
         // The request holds no command, so any incarnation will do where the worker's is not known.
         val incarnation = machine.incarnation ?: machine.live.values.firstOrNull()?.incarnation ?: WorkerIncarnation(1u)
-        return sender.begin(machine, incarnation, commands = emptyList())
+        return OutgoingRequest(machine, incarnation, commands = emptyList())
     }
 
     private fun needsAnnouncement(machine: Machine, now: MonotonicTime) = isAddressable(machine) &&
         !machine.hasShownCurrentTerm &&
-        now - machine.announcedAt > ANNOUNCEMENT_INTERVAL_MS
+        now - machine.delivery.announcedAt > ANNOUNCEMENT_INTERVAL_MS
 
     private fun isAddressable(machine: Machine) = machine.address != null &&
         !machine.deleting &&
--- a/src/main/kotlin/mountmast/coordination/workers/OutstandingCommands.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/OutstandingCommands.kt
@@ -22,7 +22,7 @@
     private val leaderLease get() = context.leaderLease
 
     /** Returns the fencing token for commands to [machine] and responses to its heartbeats. */
-    fun token(machine: Machine): FencingToken = leaderLease.token.advancedBy(machine.tokenOffset)
+    fun token(machine: Machine): FencingToken = leaderLease.token.advancedBy(machine.delivery.tokenOffset)
 
     /**
      * Raises the token of [machine] above those of unanswered commands that start tasks which are to be stopped by now. Such a command
@@ -32,8 +32,8 @@
      */
     fun fenceOffStoppedTasks(machine: Machine) {
         for (assignment in machine.live.values) {
-            if (assignment.terminationGraceS == null || assignment.reported != null) continue
-            machine.tokenOffset = maxOf(machine.tokenOffset, (machine.mayStillStart[assignment.key] ?: continue) + 1)
+            val isStoppedUnseen = assignment.terminationGraceS != null && assignment.reported == null
+            if (isStoppedUnseen) machine.delivery.fenceOffStart(assignment.taskName, assignment.attempt)
         }
     }
 
@@ -43,9 +43,7 @@
      */
     fun observeToken(machine: Machine, shown: FencingToken) {
         if (shown.term != leaderLease.token.term) return
-        val tokenOffset = (shown.number - leaderLease.token.number).toInt()
-        machine.tokenOffset = maxOf(machine.tokenOffset, tokenOffset)
-        machine.mayStillStart.values.removeIf { it < tokenOffset }
+        machine.delivery.observeTokenOffset((shown.number - leaderLease.token.number).toInt())
     }
 
     /**
@@ -54,7 +52,7 @@
      */
     fun forHeartbeat(machine: Machine, sequence: HeartbeatSequence): List<WorkerCommand> {
         val commands = ArrayList<WorkerCommand>()
-        addForAssignments(commands, machine) { it.startedInHeartbeat = sequence }
+        addForAssignments(commands, machine) { it.recordStartSent(sequence) }
         for (task in machine.unassignedTasks) {
             if (!task.exited) {
                 commands += WorkerCommand(CommandType.STOP, task.taskName, task.attempt, 0.0)
@@ -102,7 +100,7 @@
      */
     private fun mayBeForgotten(task: UnassignedTask, machine: Machine) =
         (task.completed || machine.unassignedTasks.size > MAX_REMEMBERED_ATTEMPTS) &&
-            task.taskName to task.attempt !in machine.mayStillStart
+            !machine.delivery.hasUnansweredStart(task.taskName, task.attempt)
 
     private companion object {
         /** Attempts that a worker need not forget within an incarnation; heartbeats must not grow without end. */
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -44,18 +44,18 @@
         when {
             // A node that has just begun to lead answers so slowly that workers drop its responses: that says nothing of them (inc-0e16).
             // Test: `RecoveryTest`, "a leader that has just begun does not take its own slow answers for deaf workers".
-            now - readyAt < SETTLING_MS -> machine.unacknowledgedHeartbeats = 0
-            evidence.isEffectMissing -> machine.unacknowledgedHeartbeats++
-            evidence.isEffectShown -> machine.unacknowledgedHeartbeats = 0
+            now - readyAt < SETTLING_MS -> machine.reachability.clearUnacknowledged()
+            evidence.isEffectMissing -> machine.reachability.countUnacknowledged()
+            evidence.isEffectShown -> machine.reachability.clearUnacknowledged()
         }
         return when {
             machine.unacknowledgedHeartbeats >= MAX_UNACKNOWLEDGED_HEARTBEATS && machine.unreachedSince == null -> {
-                machine.unreachedSince = now
+                machine.reachability.markUnreached(now)
                 log.info("machine unreachable, although its heartbeats arrive: machine={}", machine.id)
                 ReachabilityChange.LOST
             }
             machine.unacknowledgedHeartbeats == 0 && machine.unreachedSince != null -> {
-                machine.unreachedSince = null
+                machine.reachability.markReached()
                 log.info("machine reachable again: machine={}", machine.id)
                 ReachabilityChange.RESTORED
             }
@@ -69,7 +69,7 @@
         val outlivesLease = now - machine.incarnationSince > timing.leaseExpiryMs && heartbeat.token.term == leaderLease.token.term
         val commandedStarts = machine.live.values.filter { wasCommandedBefore(it, heartbeat) }
         val (missing, shown) = commandedStarts.partition { it.reported == null }
-        for (assignment in shown) assignment.startedInHeartbeat = null
+        for (assignment in shown) assignment.confirmStart()
         return Evidence(isTokenBehind || missing.isNotEmpty(), outlivesLease || shown.isNotEmpty())
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
@@ -29,8 +29,7 @@
             if (!isLeaseExpired(machine, ledUntil, readyAt) || !isExpiryConfirmed(machine, ledUntil)) continue
             log.info("worker lease expired: machine={} lost_tasks={}", machine.id, machine.live.size)
             cluster.endIncarnation(machine, null, LossCause.LEASE_EXPIRED)
-            machine.state = MachineState.EXPIRED
-            machine.expiredAt = now
+            machine.expireLease(now)
             context.signals.wakeWriter()
         }
     }
@@ -46,7 +45,7 @@
 
     /**
      * Whether no response that may have renewed the lease left this node in the meantime. An invariant: a lease that is in doubt does not
-     * expire (inc 4000-machines).
+     * expire (inc 4000-machines). Test: `LeaseRenewalTest`.
      */
     private fun isExpiryConfirmed(machine: Machine, ledUntil: MonotonicTime): Boolean {
         val renewedAt = renewals.lastRenewal(machine.id) ?: return true
@@ -56,9 +55,9 @@
     }
 
     /**
-     * Returns why this node should resign although the store lets it lead: it hears or reaches too few of its workers, whose leases would
-     * expire one by one. Returns null if it need not resign. Takes the lock of the leader's term. Tests: `RecoveryTest`, "a leader that no
-     * worker reaches resigns" and "a node that cannot send to any worker resigns and returns no machine".
+     * Returns why this node should resign although the store lets it lead: heartbeats of too few workers arrive, or its responses reach
+     * too few, and their leases would expire. Returns null if there is no reason. Takes the lock of the leader's term. Tests:
+     * `RecoveryTest`, "a leader that no worker reaches resigns" and "a node that cannot send to any worker resigns and returns no machine".
      */
     fun resignationReason(): String? = context.lock.withLock {
         val now = context.clock.now()
