--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -70,14 +70,19 @@
     override var pendingTypes: MachineTypes? = null
 
     private val dependencies = JobDependencies(cluster)
-    override val jobs = JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, leaderLease.watermark, JobsListener())
+    override val jobs =
+        JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, leaderLease.watermark, JobsListener())
 
     private val workerContext = WorkerContext(lock, cluster, leaderLease, signals, timing, clock, invariants)
     private val outstandingCommands = OutstandingCommands(workerContext) { now -> jobs.unknownForMs(now) < timing.ttlMs }
+
+    /** What the workers' heartbeats change, and the responses to them. */
     val heartbeats = HeartbeatHandler(workerContext, outstandingCommands, reachability)
+
+    /** Lease expiry, and whether the workers' heartbeats reach this node. */
     val liveness = WorkerLivenessMonitor(workerContext, reachability)
 
-    /** Commands to the workers. */
+    /** Delivers commands to the workers. */
     val dispatch = CommandDispatcher(workerContext, outstandingCommands, workers, heartbeats)
 
     private val snapshots = SnapshotCache(cluster, dependencies, teams, timing, clock)
--- a/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
@@ -20,11 +20,8 @@
 }
 
 /** A command request that is on its way. Its commands are for one incarnation: in any other, a start would run that it is not for. */
-internal class OutgoingRequest(
-    val machine: Machine,
-    val incarnation: WorkerIncarnation,
-    val commands: List<WorkerCommand>,
-) {
+internal class OutgoingRequest(val machine: Machine, val incarnation: WorkerIncarnation, val commands: List<WorkerCommand>) {
+    /** The offset of the token when the request was made: the machine's may rise before the answer arrives. */
     val tokenOffset = machine.delivery.tokenOffset
 }
 
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -106,7 +106,7 @@
             // What the heartbeat lists has been reconciled, so it counts as reported by now.
             val isStoppedUnseen = assignment.terminationGraceS != null && assignment.reported == null
             val isWithdrawable = assignment.phase == Phase.COMMITTED && isStoppedUnseen && !mayStillStart(assignment, machine, heartbeat)
-            if (isWithdrawable) cluster.end(assignment, completed = false)
+            if (isWithdrawable) cluster.assignments.end(assignment, completed = false)
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -36,7 +36,7 @@
         val machine = findOrAddMachine(heartbeat, now)
         if (!isNewer(heartbeat, machine)) return HeartbeatReconciliation.Stale
         if (machine.incarnation.let { it == null || heartbeat.incarnation > it }) {
-            cluster.endIncarnation(machine, heartbeat.incarnation, LossCause.NEW_INCARNATION)
+            cluster.assignments.endIncarnation(machine, heartbeat.incarnation, LossCause.NEW_INCARNATION)
             machine.beginIncarnation(heartbeat.incarnation, now)
         }
         machine.markUp(now)
@@ -54,8 +54,7 @@
         machine.rental.recordRental(rented = before?.rentedAt ?: now, known = before?.knownAt ?: now)
         machine.rental.markIdle(now)
         before?.let(machine::takeOver)
-        cluster.recalledImages.remove(heartbeat.machine)?.let(machine::recallImages)
-        cluster.machines[heartbeat.machine] = machine
+        cluster.putMachine(machine)
         return machine
     }
 
@@ -67,7 +66,7 @@
     private fun recordReclaimNotice(machine: Machine, reclaimNoticeS: Double) {
         if (machine.reclaimNoticed) return
         machine.rental.recordReclaimNotice(reclaimNoticeS)
-        log.info("machine will be reclaimed by the cloud: machine={} in_s={}", machine.id, reclaimNoticeS)
+        log.info("machine={} will be reclaimed by the cloud in {} s", machine.id, reclaimNoticeS)
     }
 
     private fun reconcileTasks(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) {
@@ -91,7 +90,7 @@
 
     private fun endExited(machine: Machine, assignment: Assignment, cause: ExitCause?, now: MonotonicTime) {
         val job = assignment.job
-        cluster.end(assignment, completed = cause == ExitCause.DONE)
+        cluster.assignments.end(assignment, completed = cause == ExitCause.DONE)
         when (cause) {
             ExitCause.DONE -> recordCompletion(machine, assignment, now)
             ExitCause.FAILED -> cluster.health.failed(machine, job, now)
@@ -108,7 +107,7 @@
         job.recentFailures.clear()
         val since = assignment.runningSince ?: return
         val runS = (now - since) / MS_PER_S
-        cluster.learnRun(job.spec.team, runS)
+        cluster.estimates.recordRun(job.spec.team, runS)
         cluster.health.completedIn(machine, assignment, runS)
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -36,14 +36,14 @@
      *
      * A response did not arrive if the worker's token lags behind ours, or if a start in it is not shown; the caller counts incarnations
      * that rise although the worker was answered. A machine with [MAX_UNACKNOWLEDGED_HEARTBEATS] such heartbeats in a row gets no more
-     * work, and is returned if that lasts. A heartbeat that shows a response's effect resets the count. Test: `RecoveryTest`, "a machine
-     * that hears nothing gets no more work and is returned, and its tasks run elsewhere".
+     * work, and is scaled in if that lasts. A heartbeat that shows a response's effect resets the count. Test: `RecoveryTest`, "an
+     * unreached machine gets no more work and is scaled in, and its tasks run elsewhere".
      */
     fun update(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime, readyAt: MonotonicTime): ReachabilityChange {
         val evidence = evidence(machine, heartbeat, now)
         when {
             // A node that has just begun to lead answers so slowly that workers drop its responses: that says nothing of them (inc-0e16).
-            // Test: `RecoveryTest`, "a leader that has just begun does not take its own slow answers for deaf workers".
+            // Test: `RecoveryTest`, "a leader just elected does not take its own slow responses for unreached workers".
             now - readyAt < SETTLING_MS -> machine.reachability.clearUnacknowledged()
             evidence.isEffectMissing -> machine.reachability.countUnacknowledged()
             evidence.isEffectShown -> machine.reachability.clearUnacknowledged()
@@ -51,12 +51,12 @@
         return when {
             machine.unacknowledgedHeartbeats >= MAX_UNACKNOWLEDGED_HEARTBEATS && machine.unreachedSince == null -> {
                 machine.reachability.markUnreached(now)
-                log.info("machine unreachable, although its heartbeats arrive: machine={}", machine.id)
+                log.info("machine={} unreached: its heartbeats arrive, but responses and commands seem not to reach it", machine.id)
                 ReachabilityChange.LOST
             }
             machine.unacknowledgedHeartbeats == 0 && machine.unreachedSince != null -> {
                 machine.reachability.markReached()
-                log.info("machine reachable again: machine={}", machine.id)
+                log.info("machine={} reached again", machine.id)
                 ReachabilityChange.RESTORED
             }
             else -> ReachabilityChange.NONE
@@ -81,7 +81,7 @@
 
     /**
      * Whether so many machines are not reached that it must be this node, which cannot send. The caller holds the lock of the leader's
-     * term. Test: `RecoveryTest`, "a node that cannot send to any worker resigns and returns no machine".
+     * term. Test: `RecoveryTest`, "a node that cannot send to any worker resigns and scales nothing in".
      */
     fun areMostUnreached(): Boolean {
         val up = cluster.machines.values.count { it.state == MachineState.UP && !it.deleting }
--- a/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
@@ -20,15 +20,15 @@
     /**
      * Marks the machines whose workers' leases have provably expired, and ends their assignments. A leader that was cut off does not know
      * which leases its successor renewed: silence counts only up to [ledUntil], the last moment at which certainly nobody else led
-     * (inc-c485). Takes the lock of the leader's term. Test: `RecoveryTest`, "a cut-off leader returns no machine when it comes back".
+     * (inc-c485). Takes the lock of the leader's term. Test: `RecoveryTest`, "a cut-off leader scales nothing in when it comes back".
      */
     fun expireLeases(ledUntil: MonotonicTime) = context.lock.withLock {
         val readyAt = context.readyAt ?: return
         val now = context.clock.now()
         for (machine in cluster.machines.values) {
             if (!isLeaseExpired(machine, ledUntil, readyAt) || !isExpiryConfirmed(machine, ledUntil)) continue
-            log.info("worker lease expired: machine={} lost_tasks={}", machine.id, machine.live.size)
-            cluster.endIncarnation(machine, null, LossCause.LEASE_EXPIRED)
+            log.info("machine={} lease expired: {} tasks lost", machine.id, machine.live.size)
+            cluster.assignments.endIncarnation(machine, null, LossCause.LEASE_EXPIRED)
             machine.expireLease(now)
             context.signals.wakeWriter()
         }
@@ -50,14 +50,14 @@
     private fun isExpiryConfirmed(machine: Machine, ledUntil: MonotonicTime): Boolean {
         val renewedAt = renewals.lastRenewal(machine.id) ?: return true
         return context.invariants.check(ledUntil - renewedAt >= timing.leaseExpiryMs) {
-            "lease of machine=${machine.id} would expire ${ledUntil - renewedAt} ms after a renewal that the cluster state does not know of"
+            "machine=${machine.id} lease would expire ${ledUntil - renewedAt} ms after a renewal that the cluster state does not know of"
         }
     }
 
     /**
      * Returns why this node should resign although the store lets it lead: heartbeats of too few workers arrive, or its responses reach
      * too few, and their leases would expire. Returns null if there is no reason. Takes the lock of the leader's term. Tests:
-     * `RecoveryTest`, "a leader that no worker reaches resigns" and "a node that cannot send to any worker resigns and returns no machine".
+     * `RecoveryTest`, "a leader that no worker reaches resigns" and "a node that cannot send to any worker resigns and scales nothing in".
      */
     fun resignationReason(): String? = context.lock.withLock {
         val now = context.clock.now()
