--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -19,7 +19,10 @@
 import mountmast.coordination.state.TermSignals
 import mountmast.coordination.workers.CommandDispatcher
 import mountmast.coordination.workers.HeartbeatHandler
+import mountmast.coordination.workers.OutstandingCommands
 import mountmast.coordination.workers.ReachabilityMonitor
+import mountmast.coordination.workers.WorkerContext
+import mountmast.coordination.workers.WorkerLivenessMonitor
 import mountmast.protocol.Clock
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
@@ -68,24 +71,27 @@
     override var pendingTypes: MachineTypes? = null
 
     private val dependencies = JobDependencies(cluster)
-    val heartbeats = HeartbeatHandler(lock, cluster, leaderLease, reachability, signals, timing, clock, invariants)
-    override val jobs = JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, leaderLease.watermark, JobsListener())
+    override val jobs =
+        JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, leaderLease.watermark, JobsListener())
 
-    /** Commands to the workers. */
-    val dispatch = CommandDispatcher(lock, cluster, leaderLease, workers, timing, clock, { now ->
-        jobs.unknownForMs(now) < timing.ttlMs
-    }, invariants) { heartbeat, now -> heartbeats.take(heartbeat, now, isHeartbeat = false) }
+    private val workerContext = WorkerContext(lock, cluster, leaderLease, signals, timing, clock, invariants)
+    private val outstandingCommands = OutstandingCommands(workerContext) { now -> jobs.unknownForMs(now) < timing.ttlMs }
+
+    /** What the workers' heartbeats change, and the responses to them. */
+    val heartbeats = HeartbeatHandler(workerContext, outstandingCommands, reachability)
+
+    /** Lease expiry, and whether the workers' heartbeats reach this node. */
+    val liveness = WorkerLivenessMonitor(workerContext, reachability)
+
+    /** Delivers commands to the workers. */
+    val dispatch = CommandDispatcher(workerContext, outstandingCommands, workers, heartbeats)
 
     private val snapshots = SnapshotCache(cluster, dependencies, teams, timing, clock)
     private val schedulingCycle = SchedulingCycle(cluster, snapshots, dispatch, signals, policy, clock)
     private val loader = StateLoader(lock, cluster, journal, jobs, store, clock)
 
-    init {
-        heartbeats.dispatch = dispatch
-    }
-
     /** Whether what the leaders before wrote is read. */
-    val ready: Boolean get() = heartbeats.takenFrom != null
+    val ready: Boolean get() = workerContext.readyAt != null
 
     /** Open tasks that found no machine in the last pass; the caller holds the lock. */
     override val unplacedTasks: List<UnplacedTasks> get() = schedulingCycle.waiting
@@ -98,7 +104,7 @@
         if (ready) return loader.loadHints() == HintsLoad.LOADED
         loader.loadState()
         lock.withLock {
-            heartbeats.takenFrom = clock.now()
+            workerContext.markReady(clock.now())
             log.info(
                 "term {}: {} jobs, {} assignments on {} machines",
                 leaderLease.token,
@@ -124,7 +130,7 @@
 
     /** One pass of the scheduler. */
     fun runSchedulingCycle() = lock.withLock {
-        heartbeats.takenFrom?.let(schedulingCycle::run)
+        workerContext.readyAt?.let(schedulingCycle::run)
     }
 
     override val leaderModRevision: ModRevision get() = leaderLease.modRevision
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
@@ -0,0 +1,86 @@
+package mountmast.coordination.workers
+
+import mountmast.coordination.state.Assignment
+import mountmast.coordination.state.Machine
+import mountmast.protocol.CommandRequest
+import mountmast.protocol.CommandType
+import mountmast.protocol.WorkerCommand
+import mountmast.protocol.WorkerIncarnation
+import mountmast.transport.CommandOutcome
+import mountmast.transport.WorkerClient
+import kotlin.concurrent.withLock
+
+/** Whether a step of command delivery had something to do. */
+enum class DeliveryStep {
+    /** A machine was taken from the queue, whether or not anything had to be sent to it: more may be queued. */
+    DONE,
+
+    /** Nothing is queued that may be sent now. */
+    IDLE,
+}
+
+/** A command request that is on its way. Its commands are for one incarnation: in any other, a start would run that it is not for. */
+internal class OutgoingRequest(val machine: Machine, val incarnation: WorkerIncarnation, val commands: List<WorkerCommand>) {
+    /** The offset of the token when the request was made: the machine's may rise before the answer arrives. */
+    val tokenOffset = machine.delivery.tokenOffset
+}
+
+/** Sends command requests to workers, and reconciles the heartbeats with which they answer. */
+internal class CommandSender(
+    private val context: WorkerContext,
+    private val workers: WorkerClient,
+    private val heartbeats: HeartbeatHandler,
+) {
+    /**
+     * Records that [commands] are on their way to [machine] and returns the request, which has to be passed to [send]. The caller holds
+     * the lock of the leader's term.
+     */
+    fun begin(machine: Machine, incarnation: WorkerIncarnation, commands: List<WorkerCommand>): OutgoingRequest {
+        forEachStart(machine, commands) { it.beginDelivery() }
+        machine.delivery.begin()
+        return OutgoingRequest(machine, incarnation, commands)
+    }
+
+    /** Sends [request] and applies its outcome. The caller does not hold the lock of the leader's term: this waits for the worker. */
+    fun send(request: OutgoingRequest) {
+        val token = context.leaderLease.token.advancedBy(request.tokenOffset)
+        val message = CommandRequest(token, request.incarnation, request.commands)
+        val outcome = workers.send(checkNotNull(request.machine.address), message)
+        context.lock.withLock { finish(request, outcome) }
+    }
+
+    private fun finish(request: OutgoingRequest, outcome: CommandOutcome) {
+        val now = context.clock.now()
+        val machine = request.machine
+        machine.delivery.end()
+        forEachStart(machine, request.commands) { it.endDelivery() }
+        when (outcome) {
+            is CommandOutcome.Executed -> heartbeats.onCommandResponse(outcome.heartbeat, now)
+            is CommandOutcome.Rejected -> heartbeats.onCommandResponse(outcome.heartbeat, now)
+            CommandOutcome.NotSent -> machine.delivery.pauseUntil(now + DELIVERY_PAUSE_MS)
+            CommandOutcome.Unknown -> {
+                machine.delivery.pauseUntil(now + DELIVERY_PAUSE_MS)
+                recordUnansweredStarts(request)
+            }
+        }
+    }
+
+    private fun recordUnansweredStarts(request: OutgoingRequest) {
+        for (command in request.commands) {
+            if (command.type != CommandType.START) continue
+            request.machine.delivery.recordUnansweredStart(command.task, command.attempt, sentWith = request.tokenOffset)
+        }
+    }
+
+    private inline fun forEachStart(machine: Machine, commands: List<WorkerCommand>, action: (Assignment) -> Unit) {
+        for (command in commands) {
+            if (command.type != CommandType.START) continue
+            machine.live[command.task]?.takeIf { it.attempt == command.attempt }?.let(action)
+        }
+    }
+
+    private companion object {
+        /** How long no commands are delivered to a worker that gave no answer. */
+        const val DELIVERY_PAUSE_MS = 2000L
+    }
+}
