--- a/src/main/kotlin/mountmast/CommandLineTool.kt
+++ b/src/main/kotlin/mountmast/CommandLineTool.kt
@@ -74,7 +74,7 @@
         try {
             settings = Settings.read(File(config))
             operators = if (tuning == null) OperatorSettings() else OperatorSettings.read(tuning) { File(tuning).inputStream() }
-            val unknown = operators.policy.guaranteedFromOf.keys - settings.teams.keys
+            val unknown = operators.scheduling.guaranteedFromOf.keys - settings.teams.keys
             if (unknown.isNotEmpty()) throw InvalidSettingsException("$tuning: <guaranteed-from> names an unknown team ${unknown.first()}")
         } catch (e: InvalidSettingsException) {
             return usage(e.message.orEmpty())
--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -32,19 +32,21 @@
 import java.util.jar.JarFile
 
 /**
- * Run once by the build: loads what serving loads, so that the JVM can archive those classes when this ends.
- * It serves on loopback for a moment, with nobody behind the cloud's and the state service's addresses.
+ * Run once by the build: loads the classes that serving loads, so that the JVM can archive them when this ends.
+ * It serves on loopback for a moment, with nobody behind the addresses of the cloud and the state service.
  */
 internal object WarmUp {
+    /** The only argument of a process that warms up. */
     const val COMMAND = "warm-up"
 
+    /** Starts a node, sends it one request of each kind, and returns once the classes are loaded. */
     fun run() {
         val (public, peer) = ServerSocket(0).use { a -> ServerSocket(0).use { b -> a.localPort to b.localPort } }
         start(Settings.parse(settings(public, peer)), OperatorSettings())
         CommandLineTool { _, _ -> }.run(arrayOf("--config", "/nonexistent"))
         loadOwnClasses()
-        callSelf(public)
-        callPeer(peer)
+        requestAsWorkerAndUser(public)
+        requestAsPeer(peer)
         Thread.sleep(SERVE_MS)
     }
 
@@ -57,29 +59,30 @@
         }
     }
 
-    private fun callSelf(port: Int) {
+    /** Sends what workers and users do. */
+    private fun requestAsWorkerAndUser(port: Int) {
         val caller = HttpCaller()
         val self = InetSocketAddress("127.0.0.1", port)
         val heartbeat = Heartbeat(
-            MachineId("vm-1"), "127.0.0.1:1", TypeId("t"), Zone("z"), false, WorkerIncarnation(1u), HeartbeatSequence(1u), FencingToken(0u), null,
-            listOf(ReportedTask("j-1/0", Attempt(1u), TaskState.RUNNING)),
+            MachineId("vm-1"), "127.0.0.1:1", TypeId("t"), Zone("z"), false, WorkerIncarnation(1u), HeartbeatSequence(1u),
+            FencingToken(0u), null, listOf(ReportedTask("j-1/0", Attempt(1u), TaskState.RUNNING)),
         )
         WireJson.encodeToString(HeartbeatResponse(FencingToken(1u), listOf(WorkerCommand(CommandType.START, "j-1/0", Attempt(1u)))))
         JobValidation.parse(JobValidation.parseObject(JOB))
         val bodies = listOf("/agent/beat" to WireJson.encodeToString(heartbeat), "/v1/jobs" to JOB)
-        for ((path, body) in bodies) caller.call(self, "POST", path, body.encodeToByteArray(), CALL_MS)
-        for (path in listOf("/ready", "/v1/jobs/j-1")) caller.call(self, "GET", path, null, CALL_MS)
+        for ((path, body) in bodies) caller.call(self, "POST", path, body.encodeToByteArray(), TIMEOUT_MS)
+        for (path in listOf("/ready", "/v1/jobs/j-1")) caller.call(self, "GET", path, null, TIMEOUT_MS)
     }
 
     /**
-     * What nodes say to each other. A class that is in no archive is read from its jar while the node already serves; the
+     * Sends what nodes do to each other. A class that is in no archive is read from its jar while the node already serves; the
      * JVM aborted in such a read (9e267033), and it costs a cold node time.
      */
-    private fun callPeer(port: Int) {
+    private fun requestAsPeer(port: Int) {
         val at = InetSocketAddress("127.0.0.1", port)
         val member = Member(NodeId("warm-1"), Zone("z"), at)
         val peers = HttpPeerClient()
-        checkNotNull(peers.exchangeHeartbeats(member, PeerHeartbeat("warm-1", 0, serves = true, leads = false))) { "no greeting" }
+        checkNotNull(peers.exchangeHeartbeats(member, PeerHeartbeat("warm-1", 0, serves = true, leads = false))) { "no peer heartbeat" }
         peers.forward(member, ForwardedRequest("GET", "/v1/jobs/j-1", ""))
         val command = WorkerCommand(CommandType.START, "j-1/0", Attempt(1u))
         HttpWorkerClient().send("127.0.0.1:$port", CommandRequest(FencingToken(1u), WorkerIncarnation(1u), listOf(command)))
@@ -121,5 +124,5 @@
         "vcpus":1.0,"cards":0.0,"memGb":1.0,"bundle":"i","sizeGb":1.0,"hulls":null,"yard":null,"together":false,
         "scatter":false,"loaners":true,"expectedS":1.0,"markEveryS":0.0,"markCostS":0.0,"dueS":null}"""
     private const val SERVE_MS = 2500L
-    private const val CALL_MS = 3000
+    private const val TIMEOUT_MS = 3000
 }
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -1,7 +1,5 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.autoscaling.Autoscaler
-import mountmast.coordination.autoscaling.AutoscalingPolicy
 import mountmast.coordination.election.LeaderElection
 import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.jobs.JobRecordPrefetcher
@@ -9,55 +7,40 @@
 import mountmast.coordination.membership.CancellationBroadcast
 import mountmast.coordination.membership.FormatNegotiation
 import mountmast.coordination.membership.PeerMembership
-import mountmast.coordination.persistence.JournalCommitter
-import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.TaskLosses
 import mountmast.coordination.workers.LeaseRenewalDelegate
 import mountmast.protocol.Clock
-import mountmast.protocol.FencingToken
 import mountmast.protocol.Heartbeat
-import mountmast.protocol.HeartbeatResponse
 import mountmast.protocol.JobId
-import mountmast.protocol.NodeId
+import mountmast.protocol.ModRevision
 import mountmast.protocol.PeerHeartbeat
 import mountmast.protocol.Settings
-import mountmast.storage.FORMAT_VERSION
+import mountmast.storage.JobRecord
 import mountmast.storage.PrerequisiteLists
-import mountmast.storage.StateStore
-import mountmast.storage.StoreException
-import mountmast.transport.Cloud
 import mountmast.transport.HeartbeatOutcome
 import mountmast.transport.HeartbeatService
 import mountmast.transport.MetricNames
 import mountmast.transport.Metrics
-import mountmast.transport.PeerClient
 import mountmast.transport.PeerService
 import mountmast.transport.UserService
-import mountmast.transport.WorkerClient
-import org.slf4j.LoggerFactory
-import java.util.concurrent.atomic.AtomicReference
-
-private val log = LoggerFactory.getLogger("mountmast.controller")
 
 /**
  * All that one controller node does, as steps that somebody else calls: [Node] from threads, tests in virtual time.
- * Each step returns after at most one exchange with each of the systems around it.
+ * This class only composes the parts. Each step returns after at most one exchange with each of the systems around the node.
  */
 class Controller(
-    private val settings: Settings,
-    private val policy: SchedulingPolicy,
-    private val autoscalingPolicy: AutoscalingPolicy,
-    private val store: StateStore,
-    private val cloud: Cloud,
-    private val workers: WorkerClient,
-    private val peers: PeerClient,
-    private val clock: Clock,
+    settings: Settings,
+    operators: OperatorSettings,
+    systems: ExternalSystems,
+    clock: Clock,
     /** Drawn at each start, so that no two processes are ever taken for one another. */
-    private val run: String,
+    run: String,
     metrics: Metrics = Metrics(),
 ) : HeartbeatService,
     PeerService {
+    private val store = systems.store
+    private val peers = systems.peers
     private val timing = LeaseTiming.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.heartbeatIntervalS)
     private val losses = TaskLosses(metrics)
     private val invariants = Invariants(metrics)
@@ -68,241 +51,78 @@
 
     /** Whether every node of the deployment reads the current forms. */
     val formats = FormatNegotiation(store, settings.members.map { it.node })
-    private val membership = PeerMembership(settings.members, peers, cancellations, clock, OwnState())
+    private val leader = CurrentLeaderComponents()
+    private val localState = LocalPeerState(settings.node, election, cancellations, formats, leader, ::canServe)
+    private val membership = PeerMembership(settings.members, peers, cancellations, clock, localState)
+    private val readiness = ReadinessMonitor(election, membership, settings.members.size, wakeLag, clock, ::canServe)
+    private val announcer = CancellationAnnouncer(cancellations, leader, election, membership)
     private val prerequisiteLists = PrerequisiteLists(store, settings.stateLimits)
-    private val jobService =
-        JobService(store, settings.teams, clock, membership::forward, ::ready, ::tellCancelled, settings.stateLimits, { formats.isCurrent })
+    private val jobService = JobService(
+        store,
+        settings.teams,
+        clock,
+        membership::forward,
+        readiness::isReady,
+        announcer::announce,
+        settings.stateLimits,
+        { formats.isCurrent },
+    )
 
     /** What users may ask of this node. */
     val users: UserService get() = jobService
 
     private val jobPrefetcher = JobRecordPrefetcher(store, jobService::noteRecord)
-
-    private class LeaderComponents(val leaderTerm: LeaderTerm, val writer: JournalCommitter, val autoscaler: Autoscaler)
-
-    private val leaderComponents = AtomicReference<LeaderComponents?>()
+    private val heartbeatRouter = HeartbeatRouter(election, leader, leaseRenewalDelegate, clock)
+    private val refresh = PeriodicRefresh(jobService, formats)
+    private val environment = LeaderTermEnvironment(
+        store,
+        systems.workers,
+        timing,
+        clock,
+        prerequisiteLists,
+        JobKnowledge(),
+        LeaderTermEnvironment.Diagnostics(losses, invariants),
+    )
+    private val components = LeaderComponentsFactory(settings, operators, run, systems.cloud, environment, election, formats)
+    private val electionLoop =
+        ElectionLoop(election, membership, leader, components, ResignationCheck(election, timing, clock), readiness, store)
+
+    /** The steps that only a leader does. */
+    val leaderWork = LeaderWork(leader, election, clock)
 
     /** What this node measures of its own load. */
-    val loadReport = LoadReport(metrics, losses, election, ::leaderTerm, clock)
-    private var stepsSinceTypes = 0
-    private var uninformedSteps = 0
-
-    /** How late this process wakes from short sleeps, as a mean that forgets within seconds. */
-    @Volatile
-    private var lagMs = 0.0
-
-    @Volatile
-    private var declinesUsers = false
-
-    /** The term to work in, or null while this node does not lead. */
-    fun leaderTerm(): LeaderTerm? = leaderComponents.get()?.leaderTerm?.takeIf { it.ready }
-
-    /**
-     * Renews, follows or tries to lead; about once a second. Nothing else is asked of the state service here: on a cold node, with
-     * all workers and users upon it, each call took a second, and the hold ran out between two renewals.
-     */
-    fun electionStep() {
-        election.step()
-        val leaderTerm = leaderComponents.get()?.leaderTerm
-        // Cut off from the workers alone, in either direction, this node would renew for ever while their leases run out.
-        val why = leaderTerm?.heartbeats?.resignationReason() ?: leaderTerm?.let(::whyUninformed)
-        if (leaderTerm != null && why != null && membership.serving() > 0) election.resign(leaderTerm.leaderLease, why)
-        syncLeaderComponents()
-        weighUsers()
-    }
-
-    /** Reads now and then what seldom changes; about once a second. */
-    fun refresh() {
-        try {
-            if (!jobService.knowsTypes || stepsSinceTypes++ >= TYPES_STEPS) {
-                jobService.refreshTypes()
-                stepsSinceTypes = 0
-            }
-        } catch (e: StoreException) {
-            log.debug("machine types: {}", e.message)
-        }
-        formats.step()
-    }
+    internal val loadMonitor = LoadMonitor(metrics, losses, election, leaderWork::leaderTerm, clock)
 
-    /** A leader that renews but learns of no cancellation may soon answer no worker any more; an outage is no such case. */
-    private fun whyUninformed(leaderTerm: LeaderTerm): String? {
-        val renews = election.confirmedUntil(leaderTerm.leaderLease)?.let { clock.now() - it < CONFIRMED_MS } == true
-        uninformedSteps = if (renews && (leaderTerm.uninformedMs() ?: 0) > timing.ttlMs) uninformedSteps + 1 else 0
-        return if (uninformedSteps > MAX_UNINFORMED_STEPS) "the jobs cannot be followed" else null
-    }
+    /** The term to work in, or null while this node does not lead or has not loaded its state. */
+    fun leaderTerm(): LeaderTerm? = leaderWork.leaderTerm()
 
-    /** Notes that a sleep was [ms] too long: this process falls behind its share of the processor. */
-    fun noteLag(ms: Long) {
-        wakeLag.note(ms)
-        lagMs += (ms - lagMs) * LAG_WEIGHT
-    }
+    /** Renews the lease, observes the leader or tries to be elected; about once a second. */
+    fun electionStep() = electionLoop.step()
 
-    /**
-     * A leader that falls behind leaves users to the others, as long as all of those serve. It stays so until it leads
-     * no more or one of the others is missing: the load balancer takes a node back ever more slowly.
-     */
-    private fun weighUsers() {
-        val leaderLease = election.leaderLease()
-        val others = membership.serving()
-        declinesUsers = when {
-            leaderLease == null || others < maxOf(MIN_OTHERS, settings.members.size) -> false
-            else -> declinesUsers || (lagMs > BUSY_LAG_MS && clock.now() - leaderLease.electedAt > SETTLING_MS)
-        }
-    }
+    /** Waits up to [waitMs] for the leader's key to fall vacant, while another node leads; idle if there is nothing to wait for. */
+    fun awaitVacancy(waitMs: Long): StepResult = StepResult.of(election.awaitVacancy(waitMs))
 
-    /** Waits while another node leads; false where there is nothing to wait for. */
-    fun awaitVacancy(waitMs: Long): Boolean = election.awaitVacancy(waitMs)
+    /** Reads from the store what seldom changes; about once a second. */
+    fun refreshSharedData() = refresh.step()
 
-    private fun syncLeaderComponents() {
-        val leaderLease = election.leaderLease()
-        val current = leaderComponents.get()
-        if (leaderLease == null) {
-            if (current != null) {
-                leaderComponents.set(null)
-                store.setRole(leader = false)
-            }
-            return
-        }
-        if (current?.leaderTerm?.leaderLease === leaderLease) return
-        store.setRole(leader = true)
-        val leaderTerm =
-            LeaderTerm(
-                leaderLease, store, workers, settings.teams, policy, timing, clock, { it in cancellations }, prerequisiteLists, jobService::noteRecord,
-                losses, invariants,
-            )
-        val writer = JournalCommitter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { election.stepDown() }
-        val autoscaler = Autoscaler(leaderTerm, cloud, clock, "${settings.node}-$run-${leaderLease.token}", autoscalingPolicy, timing, settings.cloudRps)
-        leaderComponents.set(LeaderComponents(leaderTerm, writer, autoscaler))
-    }
-
-    /**
-     * Reads what earlier leaders wrote, if this node has just begun to lead; false where there is nothing to read.
-     * Not part of [electionStep]: reading takes seconds after a start, and the hold must be renewed meanwhile.
-     */
-    fun load(): Boolean {
-        val leaderTerm = leaderComponents.get()?.leaderTerm ?: return false
-        return try {
-            leaderTerm.load()
-        } catch (e: StoreException) {
-            log.debug("loading: {}", e.message)
-            false
-        }
-    }
-
-    /** One pass of the scheduler. */
-    fun runSchedulingCycle() {
-        val leaderTerm = leaderTerm() ?: return
-        leaderTerm.runSchedulingCycle()
-        election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.heartbeats.expireSilent(it) }
-    }
+    /** Records that a sleep took [ms] longer than asked for: the process gets less of the processor than it needs. */
+    fun recordWakeLag(ms: Long) = readiness.recordWakeLag(ms)
 
-    /** Writes what the ledger changed; false where there was nothing to write. */
-    fun write(): Boolean = leaderComponents.get()?.takeIf { it.leaderTerm.ready }?.writer?.step() ?: false
+    /** Prefetches the records of jobs that other nodes accept, while this node does not lead; waits up to [waitMs] for the next. */
+    fun prefetchJobs(waitMs: Long): StepResult = StepResult.of(leader.get() == null && jobPrefetcher.step(waitMs))
 
-    /** Learns of new and cancelled jobs; false where the state service did not tell. */
-    fun watch(waitMs: Long): Boolean {
-        val leaderTerm = leaderTerm() ?: return false
-        return try {
-            leaderTerm.jobs.watch(waitMs)
-            true
-        } catch (e: StoreException) {
-            log.debug("following jobs: {}", e.message)
-            false
-        }
-    }
-
-    /** Hears of the jobs that other nodes accept, while this node does not lead; false where there is nothing to wait for. */
-    fun watchJobs(waitMs: Long): Boolean = leaderComponents.get() == null && jobPrefetcher.step(waitMs)
-
-    /** Learns what became of jobs that others wait for; false where there was nothing to learn. */
-    fun resolvePrerequisites(): Boolean {
-        val leaderTerm = leaderTerm() ?: return false
-        return try {
-            leaderTerm.jobs.resolvePrerequisites()
-        } catch (e: StoreException) {
-            log.debug("looking up prerequisites: {}", e.message)
-            false
-        }
-    }
-
-    /** Renting and returning cannot be taken back, so only a leader that was confirmed just now does either. */
-    fun autoscale() {
-        val current = leaderComponents.get()?.takeIf { it.leaderTerm.ready } ?: return
-        val confirmed = election.confirmedUntil(current.leaderTerm.leaderLease) ?: return
-        if (clock.now() - confirmed < CONFIRMED_MS) current.autoscaler.step()
-    }
-
-    /** Sends commands to one worker; false where there were none to send. */
-    fun deliverCommands(waitMs: Long): Boolean = leaderTerm()?.dispatch?.deliverNext(waitMs) ?: false
-
-    /** Calls one worker that may still be with a former leader; false where there was none to call. */
-    fun announceLeader(): Boolean = leaderTerm()?.dispatch?.announceNext() ?: false
-
-    override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome {
-        election.observeToken(heartbeat.token)
-        val leaderLease = election.leaderLease() ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat) ?: HeartbeatOutcome.Elsewhere(election.leader())
-        val leaderTerm = leaderComponents.get()?.leaderTerm
-        if (!election.mayRenewWorkerLeases() || heartbeat.token.term > leaderLease.token.term) return HeartbeatOutcome.Elsewhere(null)
-        if (leaderTerm == null || leaderTerm.leaderLease !== leaderLease || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Elsewhere(null)
-        val receivedAt = clock.now()
-        val answer = if (leaderTerm.ready) {
-            leaderTerm.heartbeats.onHeartbeat(heartbeat)
-        } else {
-            HeartbeatResponse(maxOf(leaderLease.token, heartbeat.token), leaseRenewalDelegate.stopCommandsFor(heartbeat))
-        }
-        if (answer.token.number > 0u) leaderTerm.heartbeats.renewals.note(heartbeat.machine, receivedAt)
-        return HeartbeatOutcome.Accepted(answer)
-    }
-
-    /** Before a user is told of a cancellation the leader is, if it can be reached, so that nothing of the job starts after it. */
-    private fun tellCancelled(id: JobId) {
-        cancellations.committed(id)
-        val leaderTerm = leaderComponents.get()?.leaderTerm
-        if (leaderTerm != null) return leaderTerm.jobs.cancellationsHeard(listOf(id))
-        val leader = election.leader() ?: return
-        membership.exchangeHeartbeatIfAlive(leader)
-    }
-
-    /** Greets the other nodes. */
+    /** Exchanges heartbeats with each of the other nodes. */
     fun exchangePeerHeartbeats() = membership.exchangeHeartbeats()
 
-    override fun onPeerHeartbeat(from: PeerHeartbeat): PeerHeartbeat = membership.onHeartbeat(from)
-
-    private inner class OwnState : PeerMembership.Own {
-        override fun ownHeartbeat() = PeerHeartbeat(
-            settings.node.text,
-            election.highestToken().number.toLong(),
-            canServe(),
-            election.leaderLease() != null,
-            formatVersion = FORMAT_VERSION,
-        )
+    override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome = heartbeatRouter.onHeartbeat(heartbeat)
 
-        override fun onPeerHeartbeat(peerHeartbeat: PeerHeartbeat) {
-            formats.heard(NodeId(peerHeartbeat.node), peerHeartbeat.formatVersion)
-            election.observeToken(FencingToken(peerHeartbeat.token.toULong()))
-            val cancelled = peerHeartbeat.cancelled.mapNotNull(JobId::parse)
-            if (cancelled.isEmpty()) return
-            cancellations.heard(cancelled)
-            leaderComponents.get()?.leaderTerm?.jobs?.cancellationsHeard(cancelled)
-        }
-    }
+    override fun onPeerHeartbeat(from: PeerHeartbeat): PeerHeartbeat = membership.onHeartbeat(from)
 
-    private fun canServe() = jobService.knowsTypes && store.isReachable
+    private fun canServe(): Boolean = jobService.knowsTypes && store.isReachable
 
-    /**
-     * Users are sent elsewhere only if some other node can serve what this one cannot. Where all are blocked alike,
-     * a node that called itself unready would only be passed over for longer once the trouble is past; and one that
-     * has not asked the others yet cannot tell.
-     */
-    private fun ready(): Boolean = if (canServe()) !declinesUsers else membership.hasExchangedHeartbeats && membership.serving() == 0
+    private inner class JobKnowledge : NodeJobKnowledge {
+        override fun isCancelled(id: JobId) = id in cancellations
 
-    private companion object {
-        const val CONFIRMED_MS = 2500L
-        const val TYPES_STEPS = 30
-        const val MAX_UNINFORMED_STEPS = 8
-        const val LAG_WEIGHT = 0.03
-        const val BUSY_LAG_MS = 25.0
-        const val SETTLING_MS = 10_000L
-        const val MIN_OTHERS = 2
+        override fun onJobRecord(record: JobRecord, modRevision: ModRevision) = jobService.noteRecord(record, modRevision)
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/controller/ExternalSystems.kt
@@ -0,0 +1,9 @@
+package mountmast.coordination.controller
+
+import mountmast.storage.StateStore
+import mountmast.transport.Cloud
+import mountmast.transport.PeerClient
+import mountmast.transport.WorkerClient
+
+/** Clients of all systems that a controller node calls. Each must be thread-safe. */
+class ExternalSystems(val store: StateStore, val cloud: Cloud, val workers: WorkerClient, val peers: PeerClient)
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -2,7 +2,6 @@
 
 import mountmast.coordination.autoscaling.AutoscalingContext
 import mountmast.coordination.election.LeaderLease
-import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.persistence.JournalState
 import mountmast.coordination.persistence.PersistenceContext
 import mountmast.coordination.persistence.StateLoader
@@ -10,16 +9,13 @@
 import mountmast.coordination.scheduling.Waiting
 import mountmast.coordination.state.Assignment
 import mountmast.coordination.state.ClusterState
-import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.JobDependencies
 import mountmast.coordination.state.JobInformer
 import mountmast.coordination.state.JobInformerListener
-import mountmast.coordination.state.TaskLosses
 import mountmast.coordination.state.TermSignals
 import mountmast.coordination.workers.CommandDispatcher
 import mountmast.coordination.workers.HeartbeatHandler
 import mountmast.coordination.workers.ReachabilityMonitor
-import mountmast.protocol.Clock
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
 import mountmast.protocol.MachineTypes
@@ -27,50 +23,53 @@
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 import mountmast.storage.JobRecord
-import mountmast.storage.PrerequisiteLists
-import mountmast.storage.StateStore
-import mountmast.transport.WorkerClient
+import mountmast.storage.StoreException
 import org.slf4j.LoggerFactory
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
-/** What one node does while it leads. All of its state is rebuilt by the next leader. */
+/**
+ * The state and the parts of one leader's term. All of it is rebuilt by the next leader from the store and from the
+ * workers' heartbeats.
+ */
 class LeaderTerm(
     val leaderLease: LeaderLease,
-    store: StateStore,
-    workers: WorkerClient,
+    environment: LeaderTermEnvironment,
     teams: Map<TeamId, TeamQuota>,
     policy: SchedulingPolicy,
-    private val timing: LeaseTiming,
-    private val clock: Clock,
-    /** Whether another node told of a job's cancellation. */
-    private val isCancelled: (JobId) -> Boolean = { false },
-    prerequisiteLists: PrerequisiteLists,
-    /** Told of each record of a live job that is read. */
-    private val onJobRecord: (JobRecord, ModRevision) -> Unit = { _, _ -> },
-    losses: TaskLosses = TaskLosses(),
-    invariants: Invariants = Invariants(),
 ) : PersistenceContext,
     AutoscalingContext {
-    /** Guards the ledger and all parts of the term. Held for moments; never during I/O. */
+    private val store = environment.store
+    private val workers = environment.workers
+    private val timing = environment.timing
+    private val clock = environment.clock
+    private val prerequisiteLists = environment.prerequisiteLists
+    private val jobKnowledge = environment.jobKnowledge
+    private val losses = environment.diagnostics.losses
+    private val invariants = environment.diagnostics.invariants
+
+    /** Guards [cluster] and all parts of the term. Held for moments; never during I/O. */
     override val lock = ReentrantLock()
     override val cluster = ClusterState(policy.runDecay, losses).apply { beginTerm(leaderLease.token) }
 
     /** Where the journal stands in the store. */
     override val journal = JournalState()
     override val signals = TermSignals(lock)
-    val reachability = ReachabilityMonitor(cluster, leaderLease, timing)
+    private val reachability = ReachabilityMonitor(cluster, leaderLease, timing)
 
     /** Machine types that the store does not hold yet. */
     override var pendingTypes: MachineTypes? = null
 
     private val dependencies = JobDependencies(cluster)
+
+    /** What the workers' heartbeats change, and the responses to them. */
     val heartbeats = HeartbeatHandler(lock, cluster, leaderLease, reachability, signals, timing, clock, invariants)
-    override val jobs = JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, leaderLease.watermark, JobsListener())
+    override val jobs =
+        JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, leaderLease.watermark, JobsListener())
 
-    /** Commands to the workers. */
+    /** Delivers commands to the workers. */
     val dispatch = CommandDispatcher(lock, cluster, leaderLease, workers, timing, clock, { now ->
         jobs.unknownForMs(now) < timing.ttlMs
     }, invariants) { heartbeat, now -> heartbeats.take(heartbeat, now, isHeartbeat = false) }
@@ -83,23 +82,28 @@
         heartbeats.dispatch = dispatch
     }
 
-    /** Whether what the leaders before wrote is read. */
-    val ready: Boolean get() = heartbeats.takenFrom != null
+    /** Whether the state that earlier leaders wrote is read, so that this one may act on it. */
+    val isLoaded: Boolean get() = heartbeats.takenFrom != null
 
-    /** Open tasks that found no machine in the last pass; the caller holds the lock. */
+    /** Open tasks that found no machine in the last scheduling cycle; the caller holds [lock]. */
     override val waiting: List<Waiting> get() = schedulingCycle.waiting
 
-    /** How long a machine may hear nothing before it is returned. */
+    /** How long a machine may go unreached before it is scaled in, in milliseconds. */
     override val unreachedPatienceMs: Long get() = 2 * timing.leaseExpiryMs
 
-    /** Reads everything from the store, in two steps: first what is needed to go on, then hints. False once all is read. */
+    /**
+     * Reads what earlier leaders wrote, in two steps: first the state that is needed to go on, then hints. Returns false once
+     * everything is read.
+     *
+     * @throws StoreException if the store fails; the step is then to be repeated.
+     */
     fun load(): Boolean {
-        if (ready) return loader.loadHints()
+        if (isLoaded) return loader.loadHints()
         loader.loadState()
         lock.withLock {
             heartbeats.takenFrom = clock.now()
             log.info(
-                "term {}: {} jobs, {} assignments on {} machines",
+                "term={} loaded: {} jobs, {} assignments on {} machines",
                 leaderLease.token,
                 cluster.jobs.size,
                 cluster.machines.values.sumOf { it.live.size },
@@ -110,18 +114,18 @@
     }
 
     /**
-     * Whether workers may be answered, as far as cancellations go. A renewal shows who leads, not what users were told: a
-     * node that the state service refuses, or whose reading hangs, does not hear of cancellations. Each lease that an answer
-     * renews must run out before the first that may be unknown has to be carried out.
+     * Whether workers' leases may be renewed, as far as cancellations go. A renewal of the leader's lease shows who leads, not
+     * what users were told: a node that the store refuses, or whose watch hangs, learns of no cancellation. Each lease that a
+     * response renews must expire before the first cancellation that may be unknown has to be carried out.
      */
     fun mayRenewWorkerLeases(): Boolean = lock.withLock {
-        if (ready) jobs.unknownForMs(clock.now()) < timing.informedMs else clock.wall() < timing.uninformedUntil(leaderLease.watermark)
+        if (isLoaded) jobs.unknownForMs(clock.now()) < timing.informedMs else clock.wall() < timing.uninformedUntil(leaderLease.watermark)
     }
 
-    /** How long ago the jobs were last known, or null before they are. */
-    fun uninformedMs(): Long? = lock.withLock { if (ready) jobs.unknownForMs(clock.now()) else null }
+    /** For how long cancellations may have gone unnoticed, in milliseconds, or null before the state is loaded. */
+    fun uninformedMs(): Long? = lock.withLock { if (isLoaded) jobs.unknownForMs(clock.now()) else null }
 
-    /** One pass of the scheduler. */
+    /** Runs one scheduling cycle, unless the state is not loaded yet. */
     fun runSchedulingCycle() = lock.withLock {
         heartbeats.takenFrom?.let(schedulingCycle::run)
     }
@@ -133,9 +137,9 @@
     override fun areMostUnreached(): Boolean = reachability.areMostUnreached()
 
     private inner class JobsListener : JobInformerListener {
-        override fun isCancelledElsewhere(id: JobId) = isCancelled(id)
+        override fun isCancelledElsewhere(id: JobId) = jobKnowledge.isCancelled(id)
 
-        override fun onRecord(record: JobRecord, modRevision: ModRevision) = onJobRecord(record, modRevision)
+        override fun onRecord(record: JobRecord, modRevision: ModRevision) = jobKnowledge.onJobRecord(record, modRevision)
 
         override fun onCommandsDue(assignment: Assignment) = dispatch.queue(assignment.machine)
     }
--- a/src/main/kotlin/mountmast/coordination/controller/LoadReport.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
@@ -14,57 +14,58 @@
 private val log = LoggerFactory.getLogger("mountmast.load")
 
 /**
- * What a node measures of its own load: as gauges on the operators' page, and every few seconds in one line of the log while it
- * leads. Called by one thread.
+ * Measures a node's own load: as gauges on the operators' page, and every few seconds in one line of the log while it
+ * leads. [logLoad] is called by one thread; the gauges are read by any.
  */
-class LoadReport(
+internal class LoadMonitor(
     private val metrics: Metrics,
     private val losses: TaskLosses,
     private val election: LeaderElection,
     private val leaderTerm: () -> LeaderTerm?,
     private val clock: Clock,
 ) {
-    private val answered = metrics.counter(MetricNames.HEARTBEATS_ANSWERED)
-    private val refused = metrics.counter(MetricNames.HEARTBEATS_REFUSED)
+    private val answeredHeartbeats = metrics.counter(MetricNames.HEARTBEATS_ANSWERED)
+    private val refusedHeartbeats = metrics.counter(MetricNames.HEARTBEATS_REFUSED)
     private val heartbeatWait = metrics.timing(MetricNames.HEARTBEAT_WAIT)
     private val requestWait = metrics.timing(MetricNames.REQUEST_WAIT)
     private val storeCalls = metrics.timing(MetricNames.STORE_CALLS)
     private val storeFailures = metrics.counter(MetricNames.STORE_FAILURES)
     private val wakeLag = metrics.timing(MetricNames.WAKE_LAG)
-    private var toldAt = clock.now()
-    private var told = Totals(0, 0, 0, 0)
+    private var loggedAt = clock.now()
+    private var logged = Totals(0, 0, 0, 0)
 
-    /** What was counted up to some moment. */
+    /** Counters as they stood at some moment. */
     private class Totals(val answered: Long, val refused: Long, val storeCalls: Long, val storeFailures: Long)
 
     init {
         metrics.gauge(MetricNames.RENEWAL_AGE) { election.renewalAgeMs() ?: NOT_LEADING }
-        metrics.gauge(MetricNames.PENDING_CHANGES) { ofTerm { it.cluster.pendingChanges.size } }
-        metrics.gauge(MetricNames.LAST_WRITE_AGE) { ofTerm { term -> term.journal.writtenAt?.let { clock.now() - it } ?: NOT_LEADING } }
-        metrics.gauge(MetricNames.MACHINES_UP) { ofTerm { term -> term.cluster.machines.values.count { it.state == MachineState.UP } } }
-        metrics.gauge(MetricNames.ASSIGNMENTS) { ofTerm { term -> term.cluster.machines.values.sumOf { it.live.size } } }
-        metrics.gauge(MetricNames.JOBS) { ofTerm { it.cluster.jobs.size } }
+        metrics.gauge(MetricNames.PENDING_CHANGES) { readTerm { it.cluster.pendingChanges.size } }
+        metrics.gauge(MetricNames.LAST_WRITE_AGE) { readTerm { term -> term.journal.writtenAt?.let { clock.now() - it } ?: NOT_LEADING } }
+        metrics.gauge(MetricNames.MACHINES_UP) { readTerm { term -> term.cluster.machines.values.count { it.state == MachineState.UP } } }
+        metrics.gauge(MetricNames.ASSIGNMENTS) { readTerm { term -> term.cluster.machines.values.sumOf { it.live.size } } }
+        metrics.gauge(MetricNames.JOBS) { readTerm { it.cluster.jobs.size } }
         metrics.gauge(MetricNames.HEAP_USED) { heapUsedMb() }
-        // Asked for by the page alone: loading the beans costs a cold node processor time.
+        // Read for the page alone: loading the beans costs a cold node processor time.
         metrics.gauge(MetricNames.COLLECTIONS) { ManagementFactory.getGarbageCollectorMXBeans().sumOf { it.collectionCount } }
         metrics.gauge(MetricNames.COLLECTION_TIME) { ManagementFactory.getGarbageCollectorMXBeans().sumOf { it.collectionTime } }
     }
 
-    private fun ofTerm(read: (LeaderTerm) -> Number): Number {
+    private fun readTerm(read: (LeaderTerm) -> Number): Number {
         val term = leaderTerm() ?: return NOT_LEADING
         return term.lock.withLock { read(term) }
     }
 
     private fun heapUsedMb(): Long = Runtime.getRuntime().let { (it.totalMemory() - it.freeMemory()) / BYTES_PER_MB }
 
-    /** Tells how the time since the last call went; at `debug` where this node does not lead. */
-    fun tell() {
+    /** Logs the load since the last call, at `info` while this node leads and at `debug` otherwise. */
+    fun logLoad() {
         val now = clock.now()
-        val totals = Totals(answered.value, refused.value, storeCalls.count, storeFailures.value)
-        val seconds = maxOf(1L, (now - toldAt) / MS_PER_S)
-        val load = "load: " + listOf(workLine(), heartbeatsLine(totals, seconds), storeLine(totals, seconds), processLine()).joinToString("; ")
-        toldAt = now
-        told = totals
+        val totals = Totals(answeredHeartbeats.value, refusedHeartbeats.value, storeCalls.count, storeFailures.value)
+        val seconds = maxOf(1L, (now - loggedAt) / MS_PER_S)
+        val parts = listOf(workLine(), heartbeatsLine(totals, seconds), storeLine(totals, seconds), processLine())
+        val load = "load: " + parts.joinToString("; ")
+        loggedAt = now
+        logged = totals
         if (leaderTerm() != null) log.info(load) else log.debug(load)
     }
 
@@ -75,15 +76,16 @@
     }
 
     private fun heartbeatsLine(totals: Totals, seconds: Long): String {
-        val rate = (totals.answered - told.answered) / seconds
+        val rate = (totals.answered - logged.answered) / seconds
         val waiting = metrics.gaugeValue(MetricNames.HEARTBEATS_WAITING)
-        return "$rate reports/s waited up to ${heartbeatWait.takeLongestMs()} ms, ${totals.refused - told.refused} refused, $waiting wait; " +
+        val refused = totals.refused - logged.refused
+        return "$rate reports/s waited up to ${heartbeatWait.takeLongestMs()} ms, $refused refused, $waiting wait; " +
             "requests waited up to ${requestWait.takeLongestMs()} ms, ${metrics.gaugeValue(MetricNames.REQUESTS_WAITING)} wait"
     }
 
     private fun storeLine(totals: Totals, seconds: Long): String {
-        val rate = (totals.storeCalls - told.storeCalls) / seconds
-        val failed = totals.storeFailures - told.storeFailures
+        val rate = (totals.storeCalls - logged.storeCalls) / seconds
+        val failed = totals.storeFailures - logged.storeFailures
         return "state service $rate calls/s up to ${storeCalls.takeLongestMs()} ms, $failed failed; " +
             "renewed ${metrics.gaugeValue(MetricNames.RENEWAL_AGE)} ms ago, " +
             "${metrics.gaugeValue(MetricNames.PENDING_CHANGES)} changes unwritten, " +
@@ -96,7 +98,7 @@
     }
 
     private companion object {
-        /** Of a gauge that only a leader has. */
+        /** Value of a gauge that only a leader has, on any other node. */
         const val NOT_LEADING = -1L
         const val MS_PER_S = 1000L
         const val BYTES_PER_MB = 1024L * 1024
--- /dev/null
+++ b/src/main/kotlin/mountmast/coordination/controller/LocalPeerState.kt
@@ -0,0 +1,39 @@
+package mountmast.coordination.controller
+
+import mountmast.coordination.election.LeaderElection
+import mountmast.coordination.membership.CancellationBroadcast
+import mountmast.coordination.membership.FormatNegotiation
+import mountmast.coordination.membership.PeerMembership
+import mountmast.protocol.FencingToken
+import mountmast.protocol.JobId
+import mountmast.protocol.NodeId
+import mountmast.protocol.PeerHeartbeat
+import mountmast.storage.FORMAT_VERSION
+
+/** What this node tells its peers of itself, and what it does with their heartbeats. Thread-safe. */
+internal class LocalPeerState(
+    private val node: NodeId,
+    private val election: LeaderElection,
+    private val cancellations: CancellationBroadcast,
+    private val formats: FormatNegotiation,
+    private val leader: CurrentLeaderComponents,
+    /** Whether this node can answer users by itself. */
+    private val canServe: () -> Boolean,
+) : PeerMembership.Own {
+    override fun ownHeartbeat() = PeerHeartbeat(
+        node.text,
+        election.highestToken().number.toLong(),
+        canServe(),
+        election.leaderLease() != null,
+        formatVersion = FORMAT_VERSION,
+    )
+
+    override fun onPeerHeartbeat(heartbeat: PeerHeartbeat) {
+        formats.heard(NodeId(heartbeat.node), heartbeat.formatVersion)
+        election.observeToken(FencingToken(heartbeat.token.toULong()))
+        val cancelled = heartbeat.cancelled.mapNotNull(JobId::parse)
+        if (cancelled.isEmpty()) return
+        cancellations.heard(cancelled)
+        leader.get()?.leaderTerm?.jobs?.cancellationsHeard(cancelled)
+    }
+}
--- a/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
@@ -8,165 +8,119 @@
 import mountmast.transport.AdmissionLimit
 import java.io.IOException
 import java.io.InputStream
-import javax.xml.stream.XMLInputFactory
-import javax.xml.stream.XMLStreamConstants
-import javax.xml.stream.XMLStreamException
-import javax.xml.stream.XMLStreamReader
 
-/** How many submissions, and how many polls, may be in progress at once, at the least and at the most. */
-data class Admission(val least: Int = 8, val most: Int = 24) {
-    fun limit() = AdmissionLimit(least, most)
+/** The range within which the number of submissions in progress adapts to the load, and that of polls likewise. */
+data class AdmissionRange(val minRequests: Int = 8, val maxRequests: Int = 24) {
+    /** Creates a limit that adapts within this range; each kind of request needs one of its own. */
+    fun limit() = AdmissionLimit(minRequests, maxRequests)
 }
 
 /**
- * What operators may set beyond the platform's file. Every value has a default; whatever the file holds beyond the
- * elements known here, or outside their ranges, is refused with its line.
+ * What operators may set beyond the platform's file. Every value has a default; an element that is unknown, repeated or outside
+ * its range is rejected with its line.
  */
 data class OperatorSettings(
-    val policy: SchedulingPolicy = SchedulingPolicy(),
-    val fleet: AutoscalingPolicy = AutoscalingPolicy(),
-    val admission: Admission = Admission(),
+    val scheduling: SchedulingPolicy = SchedulingPolicy(),
+    val autoscaling: AutoscalingPolicy = AutoscalingPolicy(),
+    val admission: AdmissionRange = AdmissionRange(),
 ) {
     companion object {
+        /**
+         * Reads the XML that [open] returns; [name] stands for it in messages.
+         *
+         * @throws InvalidSettingsException if the input cannot be read, is not well-formed or holds an invalid element.
+         */
         fun read(name: String, open: () -> InputStream): OperatorSettings = try {
-            open().use { Reader(name, it).read() }
+            open().use { OperatorSettingsReader(name, it).read() }
         } catch (e: IOException) {
             throw InvalidSettingsException("cannot read $name: ${e.message}")
         }
     }
+}
 
-    private class Reader(private val name: String, input: InputStream) {
-        private val xml: XMLStreamReader = XMLInputFactory.newFactory().apply {
-            // A settings file has no business fetching anything.
-            setProperty(XMLInputFactory.SUPPORT_DTD, false)
-            setProperty(XMLInputFactory.IS_SUPPORTING_EXTERNAL_ENTITIES, false)
-        }.createXMLStreamReader(input)
-        private var settings = OperatorSettings()
-        private val seen = HashSet<String>()
-
-        fun read(): OperatorSettings = try {
-            xml.nextTag()
-            if (xml.localName != "mountmast") refuse("the root is not <mountmast>")
-            sections()
-            if (settings.admission.least > settings.admission.most) {
-                throw InvalidSettingsException("$name: <least-requests> is above <most-requests>")
-            }
-            settings
-        } catch (e: XMLStreamException) {
-            throw InvalidSettingsException("$name, line ${e.location?.lineNumber ?: 0}: not well-formed XML")
-        }
+/** Reads one file of operators' settings. */
+private class OperatorSettingsReader(private val name: String, input: InputStream) {
+    private val xml = SettingsXml(name, input)
+    private var settings = OperatorSettings()
 
-        private fun sections() = children { section ->
-            once(section)
+    fun read(): OperatorSettings {
+        xml.readRoot("mountmast") { section ->
+            xml.requireFirst(section)
             when (section) {
-                "scheduler" -> children { scheduler(it) }
-                "fleet" -> children { fleet(it) }
-                "overload" -> children { overload(it) }
-                else -> refuse("unknown element <$section>")
+                "scheduler" -> xml.readChildren(::readScheduling)
+                "fleet" -> xml.readChildren(::readAutoscaling)
+                "overload" -> xml.readChildren(::readAdmission)
+                else -> xml.rejectUnknown(section)
             }
         }
-
-        private fun scheduler(element: String) {
-            if (element == "guaranteed-from") return guaranteedFrom()
-            once("scheduler/$element")
-            val policy = settings.policy
-            settings = settings.copy(
-                policy = when (element) {
-                    "smoothing" -> policy.copy(smoothing = number(element, 0.01, 1.0))
-                    "borrowing" -> policy.copy(borrowing = number(element, 1.0, 100.0))
-                    "overhead-weight" -> policy.copy(overheadWeight = number(element, 0.0, 100.0))
-                    "fragment-weight" -> policy.copy(fragmentWeight = number(element, 0.0, 100.0))
-                    "pass-ms" -> policy.copy(cycleMs = whole(element, 50, 60_000).toLong())
-                    "run-decay" -> policy.copy(runDecay = number(element, 0.0, 0.99))
-                    "evictions-per-pass" -> policy.copy(preemptionsPerCycle = whole(element, 0, 1000))
-                    "starts-per-pass" -> policy.copy(startsPerCycle = whole(element, 1, 10_000))
-                    else -> refuse("unknown element <$element>")
-                },
-            )
-        }
-
-        private fun guaranteedFrom() {
-            val team = xml.getAttributeValue(null, "team")
-            once("guaranteed-from of ${team ?: "all teams"}")
-            val urgency = when (val word = text("guaranteed-from")) {
-                "prod" -> Urgency.PRODUCTION
-                "high" -> Urgency.HIGH
-                "normal" -> Urgency.NORMAL
-                "best_effort" -> Urgency.BEST_EFFORT
-                else -> refuse("<guaranteed-from>: unknown urgency '$word'")
-            }
-            val policy = settings.policy
-            settings = settings.copy(
-                policy = if (team == null) {
-                    policy.copy(guaranteedFrom = urgency)
-                } else {
-                    policy.copy(guaranteedFromOf = policy.guaranteedFromOf + (TeamId(team) to urgency))
-                },
-            )
-        }
-
-        private fun fleet(element: String) {
-            once("fleet/$element")
-            val fleet = settings.fleet
-            settings = settings.copy(
-                fleet = when (element) {
-                    "idle-return-s" -> fleet.copy(idleReturnMs = millis(element, 5.0, 86_400.0))
-                    "no-capacity-pause-s" -> fleet.copy(noCapacityPauseMs = millis(element, 1.0, 3600.0))
-                    "list-every-s" -> fleet.copy(listEveryMs = millis(element, 1.0, 600.0))
-                    "types-every-s" -> fleet.copy(typesEveryMs = millis(element, 5.0, 86_400.0))
-                    else -> refuse("unknown element <$element>")
-                },
-            )
-        }
-
-        private fun overload(element: String) {
-            once("overload/$element")
-            val admission = settings.admission
-            settings = settings.copy(
-                admission = when (element) {
-                    "least-requests" -> admission.copy(least = whole(element, 1, 1000))
-                    "most-requests" -> admission.copy(most = whole(element, 1, 1000))
-                    else -> refuse("unknown element <$element>")
-                },
-            )
-        }
-
-        private inline fun children(act: (String) -> Unit) {
-            while (true) {
-                when (xml.next()) {
-                    XMLStreamConstants.START_ELEMENT -> act(xml.localName)
-                    XMLStreamConstants.END_ELEMENT -> return
-                    XMLStreamConstants.CHARACTERS -> if (!xml.isWhiteSpace) refuse("text where only elements may be")
-                }
-            }
-        }
-
-        private fun once(element: String) {
-            if (!seen.add(element)) refuse("<$element> is there twice")
-        }
-
-        private fun text(element: String): String = try {
-            xml.elementText.trim()
-        } catch (e: XMLStreamException) {
-            refuse("<$element> must hold a value only")
+        if (settings.admission.minRequests > settings.admission.maxRequests) {
+            throw InvalidSettingsException("$name: <least-requests> is above <most-requests>")
         }
+        return settings
+    }
 
-        private fun number(element: String, least: Double, most: Double): Double {
-            val number = text(element).toDoubleOrNull()
-            if (number == null || !number.isFinite() || number < least || number > most) {
-                refuse("<$element> must be a number from $least to $most")
-            }
-            return number
-        }
+    private fun readScheduling(element: String) {
+        if (element == "guaranteed-from") return readGuaranteedFrom()
+        xml.requireFirst("scheduler/$element")
+        val policy = settings.scheduling
+        settings = settings.copy(
+            scheduling = when (element) {
+                "smoothing" -> policy.copy(smoothing = xml.number(element, 0.01, 1.0))
+                "borrowing" -> policy.copy(borrowing = xml.number(element, 1.0, 100.0))
+                "overhead-weight" -> policy.copy(overheadWeight = xml.number(element, 0.0, 100.0))
+                "fragment-weight" -> policy.copy(fragmentWeight = xml.number(element, 0.0, 100.0))
+                "pass-ms" -> policy.copy(cycleMs = xml.wholeNumber(element, 50, 60_000).toLong())
+                "run-decay" -> policy.copy(runDecay = xml.number(element, 0.0, 0.99))
+                "evictions-per-pass" -> policy.copy(preemptionsPerCycle = xml.wholeNumber(element, 0, 1000))
+                "starts-per-pass" -> policy.copy(startsPerCycle = xml.wholeNumber(element, 1, 10_000))
+                else -> xml.rejectUnknown(element)
+            },
+        )
+    }
 
-        private fun whole(element: String, least: Int, most: Int): Int {
-            val number = text(element).toIntOrNull()
-            if (number == null || number < least || number > most) refuse("<$element> must be a whole number from $least to $most")
-            return number
+    private fun readGuaranteedFrom() {
+        val team = xml.attribute("team")
+        xml.requireFirst("guaranteed-from of ${team ?: "all teams"}")
+        val urgency = when (val word = xml.text("guaranteed-from")) {
+            "prod" -> Urgency.PRODUCTION
+            "high" -> Urgency.HIGH
+            "normal" -> Urgency.NORMAL
+            "best_effort" -> Urgency.BEST_EFFORT
+            else -> xml.reject("<guaranteed-from>: unknown urgency '$word'")
         }
+        val policy = settings.scheduling
+        settings = settings.copy(
+            scheduling = if (team == null) {
+                policy.copy(guaranteedFrom = urgency)
+            } else {
+                policy.copy(guaranteedFromOf = policy.guaranteedFromOf + (TeamId(team) to urgency))
+            },
+        )
+    }
 
-        private fun millis(element: String, least: Double, most: Double) = (number(element, least, most) * 1000).toLong()
+    private fun readAutoscaling(element: String) {
+        xml.requireFirst("fleet/$element")
+        val policy = settings.autoscaling
+        settings = settings.copy(
+            autoscaling = when (element) {
+                "idle-return-s" -> policy.copy(idleReturnMs = xml.milliseconds(element, 5.0, 86_400.0))
+                "no-capacity-pause-s" -> policy.copy(noCapacityPauseMs = xml.milliseconds(element, 1.0, 3600.0))
+                "list-every-s" -> policy.copy(listEveryMs = xml.milliseconds(element, 1.0, 600.0))
+                "types-every-s" -> policy.copy(typesEveryMs = xml.milliseconds(element, 5.0, 86_400.0))
+                else -> xml.rejectUnknown(element)
+            },
+        )
+    }
 
-        private fun refuse(why: String): Nothing = throw InvalidSettingsException("$name, line ${xml.location.lineNumber}: $why")
+    private fun readAdmission(element: String) {
+        xml.requireFirst("overload/$element")
+        val admission = settings.admission
+        settings = settings.copy(
+            admission = when (element) {
+                "least-requests" -> admission.copy(minRequests = xml.wholeNumber(element, 1, 1000))
+                "most-requests" -> admission.copy(maxRequests = xml.wholeNumber(element, 1, 1000))
+                else -> xml.rejectUnknown(element)
+            },
+        )
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -24,7 +24,10 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
-/** Brings what the [Scheduler] plans into the ledger, and stops what has to leave its machine. Guarded as its [ClusterState] is. */
+/**
+ * Applies what the [Scheduler] plans to the cluster state, and drains machines that their tasks have to leave. Guarded by the
+ * lock of its [ClusterState].
+ */
 class SchedulingCycle(
     private val cluster: ClusterState,
     private val snapshots: SnapshotCache,
@@ -36,19 +39,19 @@
     private val scheduler = Scheduler(policy)
     private val stalledJobReporter = StalledJobReporter(cluster)
     private var assurance: Map<TeamId, Double> = emptyMap()
-    private var tidiedAt = MonotonicTime(Long.MIN_VALUE / 2)
+    private var maintainedAt = MonotonicTime(Long.MIN_VALUE / 2)
 
-    /** Open tasks that found no machine in the last pass. */
+    /** Open tasks that found no machine in the last cycle. */
     var waiting: List<Waiting> = emptyList()
         private set
 
-    /** One pass, of a leader that has read its state at [readyAt]. */
+    /** Runs one cycle of a leader that has loaded its state at [readyAt]. */
     fun run(readyAt: MonotonicTime) {
         signals.placementBegins()
         val now = clock.now()
         releaseReservations(now)
-        if (now - tidiedAt >= TIDY_MS) tidy(readyAt, now)
-        val plan = scheduler.plan(snapshots.take(now, assurance))
+        if (now - maintainedAt >= MAINTENANCE_MS) maintain(readyAt, now)
+        val plan = scheduler.plan(snapshots.snapshot(now, assurance))
         assurance = plan.assurance
         waiting = plan.waiting
         for (start in plan.starts) place(start, plan, now)
@@ -60,12 +63,12 @@
     private fun place(start: Start, plan: Plan, now: MonotonicTime) {
         val job = cluster.jobs[start.job]?.takeIf { it.isReleased } ?: return
         val machine = cluster.machines[start.machine] ?: return
-        if (log.isDebugEnabled) tellStart(start, job, machine, plan)
+        if (log.isDebugEnabled) logStart(start, job, machine, plan)
         cluster.assign(job, start.index, machine, now)
     }
 
-    private fun tellStart(start: Start, job: Job, machine: Machine, plan: Plan) = log.debug(
-        "{}/{} to {}, which {} its image; team {} has degree {}",
+    private fun logStart(start: Start, job: Job, machine: Machine, plan: Plan) = log.debug(
+        "task={}/{} starts on machine={}, which {} its image; team={} has assurance {}",
         start.job,
         start.index,
         start.machine,
@@ -74,27 +77,27 @@
         plan.assurance[job.spec.team],
     )
 
-    /** What need not be looked at in each pass. */
-    private fun tidy(readyAt: MonotonicTime, now: MonotonicTime) {
-        tidiedAt = now
+    /** Does what need not be done in each cycle. */
+    private fun maintain(readyAt: MonotonicTime, now: MonotonicTime) {
+        maintainedAt = now
         drainReclaimed(now)
         cluster.health.detectStragglers(now)
         drainQuarantined()
         dispatch.announceToWorkers(readyAt, now)
-        stalledJobReporter.tellStalls(waiting, now)
-        stalledJobReporter.tellLate { job -> snapshots.untilS(job.ownDue) }
+        stalledJobReporter.logStalledJobs(waiting, now)
+        stalledJobReporter.logLateJobs { job -> snapshots.untilS(job.ownDue) }
     }
 
-    private fun reserve(id: MachineId, job: JobId, now: MonotonicTime) {
+    private fun reserve(id: MachineId, forJob: JobId, now: MonotonicTime) {
         val machine = cluster.machines[id] ?: return
-        machine.reservedFor = job
+        machine.reservedFor = forJob
         machine.reservedUntil = now + RESERVATION_MS
     }
 
     private fun preempt(preemption: Preemption, now: MonotonicTime) {
         val machine = cluster.machines[preemption.machine] ?: return
         reserve(machine.id, preemption.forJob, now)
-        log.info("machine {} emptied for {}: {} tasks stopped", machine.id, preemption.forJob, preemption.victims.size)
+        log.info("machine={} drained for job={}: {} tasks preempted", machine.id, preemption.forJob, preemption.victims.size)
         val victims = ArrayList<String>()
         for (assignment in machine.live.values) {
             if (assignment.terminationGraceS != null) continue
@@ -102,27 +105,27 @@
             assignment.preempted = true
             victims += assignment.taskName
         }
-        // The pass's evictions go out in one state write, together with its starts.
+        // The cycle's preemptions are committed in one transaction, together with its starts.
         victims.chunked(VICTIMS_PER_ENTRY).forEach { cluster.pendingChanges += PendingChange.Reserved(machine.id, preemption.forJob, it) }
         dispatch.queue(machine.id)
     }
 
-    /** Stops what would not complete before the cloud takes its machine, so that it saves and goes on elsewhere. */
+    /** Stops tasks that would not complete before the cloud reclaims their machine, so that they save and go on elsewhere. */
     private fun drainReclaimed(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
             if (machine.reclaimNoticed) drain(machine) { snapshots.remainingS(it, now) >= machine.reclaimNoticeS }
         }
     }
 
-    /** A sick or slow machine's tasks are better begun again elsewhere; it is returned once it is empty. */
+    /** The tasks of a failing or slow machine are better begun again elsewhere; it is scaled in once it is empty. */
     private fun drainQuarantined() {
         for (machine in cluster.machines.values) if (machine.quarantined) drain(machine) { true }
     }
 
-    private inline fun drain(machine: Machine, which: (Assignment) -> Boolean) {
+    private inline fun drain(machine: Machine, mustLeave: (Assignment) -> Boolean) {
         if (machine.state != MachineState.UP) return
         for (assignment in machine.live.values) {
-            if (assignment.terminationGraceS != null || assignment.phase != Phase.COMMITTED || !which(assignment)) continue
+            if (assignment.terminationGraceS != null || assignment.phase != Phase.COMMITTED || !mustLeave(assignment)) continue
             assignment.terminationGraceS = assignment.job.spec.checkpointSaveS
             dispatch.queue(machine.id)
         }
@@ -138,7 +141,7 @@
 
     private companion object {
         const val RESERVATION_MS = 30_000L
-        const val TIDY_MS = 1000L
+        const val MAINTENANCE_MS = 1000L
         const val VICTIMS_PER_ENTRY = 16
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -23,8 +23,8 @@
 import mountmast.protocol.Zone
 
 /**
- * Turns the ledger into what the scheduler decides on. A job that waits for others is left out: it is no demand yet.
- * Guarded as the [ClusterState] is.
+ * Makes a snapshot of the cluster state for each scheduling cycle, and keeps the views of machines that do not change between
+ * two. A job with unmet dependencies is left out: it is no demand yet. Guarded by the lock of its [ClusterState].
  */
 class SnapshotCache(
     private val cluster: ClusterState,
@@ -35,8 +35,8 @@
 ) {
     /** A machine's view, and what it was made from. */
     private class CachedView(val machine: Machine, val changes: Int, val view: MachineView) {
-        /** The pass that used it last. */
-        var usedInPass = 0L
+        /** The cycle that used it last. */
+        var usedInCycle = 0L
 
         fun isCurrent(machine: Machine, type: MachineType) =
             this.machine === machine && changes == machine.changes && view.type === type && !view.isPlanned
@@ -44,10 +44,10 @@
 
     private val cachedViews = LinkedHashMap<MachineId, CachedView>()
     private val index = MachineIndex()
-    private var passes = 0L
+    private var cycles = 0L
 
-    /** What a pass decides on; [assurance] holds the smoothed degrees of the pass before. */
-    fun take(now: MonotonicTime, assurance: Map<TeamId, Double>): ClusterSnapshot {
+    /** Returns what the cycle at [now] decides on; [assurance] holds the smoothed degrees of the cycle before. */
+    fun snapshot(now: MonotonicTime, assurance: Map<TeamId, Double>): ClusterSnapshot {
         val machines = usableMachines(now)
         val jobs = ArrayList<JobView>(cluster.jobs.size)
         // What waits for other jobs is no demand yet, whatever it has been promised.
@@ -56,9 +56,9 @@
         return ClusterSnapshot(machines, jobs, teams.keys.associateWith { cluster.use(it) }, teams, assurance, index)
     }
 
-    /** Looks at each machine once; only those that changed since the pass before are grouped anew. */
+    /** Looks at each machine once; only those that changed since the cycle before are grouped anew. */
     private fun usableMachines(now: MonotonicTime): List<MachineView> {
-        passes++
+        cycles++
         val machines = ArrayList<MachineView>(cluster.machines.size)
         for (machine in cluster.machines.values) {
             // Whoever reaches no controller loses its tasks with its lease, although direct commands may still reach it.
@@ -72,17 +72,17 @@
     private fun currentView(machine: Machine): MachineView? {
         val type = cluster.types[machine.type] ?: return null
         val zone = machine.zone ?: return null
-        var kept = cachedViews[machine.id]
-        if (kept == null || !kept.isCurrent(machine, type)) {
-            kept?.let { index.remove(it.view) }
-            kept = CachedView(machine, machine.changes, view(machine, type, zone))
-            cachedViews[machine.id] = kept
-            index.add(kept.view)
+        var cached = cachedViews[machine.id]
+        if (cached == null || !cached.isCurrent(machine, type)) {
+            cached?.let { index.remove(it.view) }
+            cached = CachedView(machine, machine.changes, view(machine, type, zone))
+            cachedViews[machine.id] = cached
+            index.add(cached.view)
         } else {
-            kept.view.forgetResidents()
+            cached.view.forgetResidents()
         }
-        kept.usedInPass = passes
-        return kept.view
+        cached.usedInCycle = cycles
+        return cached.view
     }
 
     private fun view(machine: Machine, type: MachineType, zone: Zone): MachineView {
@@ -96,14 +96,14 @@
     private fun dropUnused() {
         val views = cachedViews.values.iterator()
         while (views.hasNext()) {
-            val kept = views.next()
-            if (kept.usedInPass == passes) continue
-            index.remove(kept.view)
+            val cached = views.next()
+            if (cached.usedInCycle == cycles) continue
+            index.remove(cached.view)
             views.remove()
         }
     }
 
-    /** How long a task will still run, as far as its estimate tells, in seconds. */
+    /** How long a task will still run according to its estimate, in seconds. */
     fun remainingS(assignment: Assignment, now: MonotonicTime): Double {
         val estimate = cluster.runEstimateS(assignment.job)
         val elapsed = assignment.runningSince?.let { (now - it) / 1000.0 } ?: 0.0
--- a/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
@@ -8,38 +8,38 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
-/** Tells operators which jobs stall or are late. Guarded as its [ClusterState] is. */
+/** Logs which jobs are stalled or late, for operators. Guarded by the lock of its [ClusterState]. */
 class StalledJobReporter(private val cluster: ClusterState) {
-    /** Tells operators once of each job whose deadline has passed. */
-    fun tellLate(untilDueS: (Job) -> Double) {
+    /** Logs each job whose deadline has passed, once; [untilDueS] tells the seconds left. */
+    fun logLateJobs(untilDueS: (Job) -> Double) {
         for (job in cluster.jobs.values) {
             if (job.calledLate || job.cancelled || untilDueS(job) >= 0) continue
             job.calledLate = true
-            if (job.isReleased) tellLate(job) else tellWaiting(job)
+            if (job.isReleased) logLate(job) else logLateDependent(job)
         }
     }
 
-    private fun tellLate(job: Job) =
-        log.info("job {} is late: {} of {} tasks are done, {} placed", job.id, job.doneCount, job.spec.tasks, job.live.size)
+    private fun logLate(job: Job) =
+        log.info("job={} is late: {} of {} tasks are done, {} placed", job.id, job.doneCount, job.spec.tasks, job.live.size)
 
-    private fun tellWaiting(job: Job) {
+    private fun logLateDependent(job: Job) {
         val open = job.unmetDependencies.open
-        log.info("job {} is late: it waits for {} jobs, among them {}", job.id, open.size, open.take(MAX_NAMED))
+        log.info("job={} is late: it waits for {} jobs, among them {}", job.id, open.size, open.take(MAX_NAMED))
     }
 
-    /** Tells operators which jobs stall, for how long and what they wait for. */
-    fun tellStalls(waiting: List<Waiting>, now: MonotonicTime) {
-        for (waits in waiting) {
-            val job = cluster.jobs[waits.job] ?: continue
-            val since = now - job.lastProgress
-            val told = job.lastStallReport
-            if (since < STALL_MS || (told != null && now - told < STALL_REPEAT_MS)) continue
+    /** Logs which of the jobs that wait for capacity are stalled, for how long and what they need; once a minute for each. */
+    fun logStalledJobs(waiting: List<Waiting>, now: MonotonicTime) {
+        for (demand in waiting) {
+            val job = cluster.jobs[demand.job] ?: continue
+            val stalledMs = now - job.lastProgress
+            val loggedAt = job.lastStallReport
+            if (stalledMs < STALL_MS || (loggedAt != null && now - loggedAt < STALL_REPEAT_MS)) continue
             job.lastStallReport = now
             log.info(
-                "job {} stalls for {} s: {} tasks of {} CPUs and {} GB wait for a machine with room",
+                "job={} is stalled for {} s: {} tasks of {} CPUs and {} GB wait for a machine with free capacity",
                 job.id,
-                since / 1000,
-                waits.tasks,
+                stalledMs / 1000,
+                demand.tasks,
                 job.spec.cpus,
                 job.spec.memoryGb,
             )
--- a/src/test/kotlin/mountmast/coordination/controller/OperatorSettingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/OperatorSettingsTest.kt
@@ -22,10 +22,10 @@
             """<mountmast><scheduler><borrowing>3</borrowing><guaranteed-from team="t">high</guaranteed-from></scheduler>
                <fleet><idle-return-s>90</idle-return-s></fleet></mountmast>""",
         )
-        assertEquals(3.0, settings.policy.borrowing)
-        assertEquals(Urgency.HIGH, settings.policy.threshold(TeamId("t")))
-        assertEquals(Urgency.NORMAL, settings.policy.threshold(TeamId("other")))
-        assertEquals(90_000L, settings.fleet.idleReturnMs)
+        assertEquals(3.0, settings.scheduling.borrowing)
+        assertEquals(Urgency.HIGH, settings.scheduling.threshold(TeamId("t")))
+        assertEquals(Urgency.NORMAL, settings.scheduling.threshold(TeamId("other")))
+        assertEquals(90_000L, settings.autoscaling.idleReturnMs)
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -141,8 +141,8 @@
         world.expectDone(listOf(world.accept(world.plainJob(1))), 30_000)
         val id = world.accept(world.plainJob(2))
         val leading = world.seats.first { it.controller?.leaderTerm() != null }.controller!!
-        leading.watch(0)
-        leading.runSchedulingCycle()
+        leading.leaderWork.watchJobs(0)
+        leading.leaderWork.runSchedulingCycle()
         assertTrue(world.leader().cluster.jobs.getValue(id).live.values.all { it.phase == Phase.INTENDED })
         assertEquals(200, world.cancel(id))
         world.run(5000, busy = false)
@@ -186,7 +186,7 @@
         val leading = world.seats.first { it.controller?.leaderTerm() != null }
         fun ready() = world.seats.map { it.controller?.users?.ready() ?: false }
         assertEquals(listOf(true, true, true), ready())
-        repeat(200) { leading.controller!!.noteLag(200) }
+        repeat(200) { leading.controller!!.recordWakeLag(200) }
         world.run(3000, busy = false)
         assertEquals(world.seats.map { it !== leading }, ready())
         world.seats.first { it !== leading }.crash(10_000)
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -11,6 +11,7 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import kotlinx.serialization.protobuf.ProtoBuf
 import mountmast.coordination.controller.LeaderTerm
+import mountmast.coordination.controller.LeaderTermEnvironment
 import mountmast.coordination.election.LeaderLease
 import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.scheduling.SchedulingPolicy
@@ -328,18 +329,8 @@
         val leaderLease = LeaderLease(FencingToken(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
         val timing = LeaseTiming.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, heartbeatIntervalS = 1.0)
         val lists = PrerequisiteLists(store, StateLimits(80.0, 30.0, 8.0, 16))
-        return LeaderTerm(
-            leaderLease,
-            store,
-            NoWorkerClient,
-            emptyMap(),
-            SchedulingPolicy(),
-            timing,
-            clock,
-            prerequisiteLists = lists,
-        ).apply {
-            load()
-        }
+        val environment = LeaderTermEnvironment(store, NoWorkerClient, timing, clock, lists)
+        return LeaderTerm(leaderLease, environment, emptyMap(), SchedulingPolicy()).apply { load() }
     }
 
     /** In the form in which production's code described its own. */
--- a/src/test/kotlin/mountmast/standin/ControllerSeat.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerSeat.kt
@@ -2,7 +2,9 @@
 
 import mountmast.coordination.autoscaling.AutoscalingPolicy
 import mountmast.coordination.controller.Controller
-import mountmast.coordination.scheduling.SchedulingPolicy
+import mountmast.coordination.controller.ExternalSystems
+import mountmast.coordination.controller.OperatorSettings
+import mountmast.coordination.controller.StepResult.DID_WORK
 import mountmast.protocol.Member
 import mountmast.protocol.NodeId
 import mountmast.protocol.Settings
@@ -37,10 +39,18 @@
         val drift = if (number == 0) DRIFT else 0.0
         val store = world.store.View(world.random, trouble, Random(world.seed))
         metrics = Metrics()
+        val systems = ExternalSystems(
+            version.store(store),
+            world.cloud.View(trouble),
+            world.network.workersOf(trouble),
+            world.network.peersOf(this, trouble),
+        )
         controller = Controller(
-            settings(), SchedulingPolicy(), AutoscalingPolicy(idleReturnMs = IDLE_RETURN_MS), version.store(store), world.cloud.View(trouble),
-            world.network.workersOf(trouble), world.network.peersOf(this, trouble),
-            world.time.clock(drift, world.random.nextLong(-CLOCK_OFF_MS, CLOCK_OFF_MS)), "${world.seed}-$number-${starts++}",
+            settings(),
+            OperatorSettings(autoscaling = AutoscalingPolicy(idleReturnMs = IDLE_RETURN_MS)),
+            systems,
+            world.time.clock(drift, world.random.nextLong(-CLOCK_OFF_MS, CLOCK_OFF_MS)),
+            "${world.seed}-$number-${starts++}",
             metrics,
         )
         due = LongArray(STEPS)
@@ -55,7 +65,7 @@
 
     private fun local(port: Int) = InetSocketAddress("127.0.0.1", port)
 
-    /** Does what is due by now. */
+    /** Runs the steps that are due by now. */
     fun step() {
         val running = controller
         if (running == null) {
@@ -75,15 +85,15 @@
 
     private fun steps(running: Controller): List<Step> = listOf(
         Step(1000L) { running.electionStep() },
-        Step(1000L) { running.refresh() },
-        Step(100L) { if (!loadsNothing) running.load() },
+        Step(1000L) { running.refreshSharedData() },
+        Step(100L) { if (!loadsNothing) running.leaderWork.load() },
         Step(2000L) { running.exchangePeerHeartbeats() },
-        Step(300L) { running.runSchedulingCycle() },
-        Step(100L) { running.write() },
-        Step(150L) { if (running.watch(0)) running.resolvePrerequisites() },
-        Step(1000L) { running.autoscale() },
-        Step(300L) { running.watchJobs(0) },
-        Step(100L) { while (running.deliverCommands(0) || running.announceLeader()) Unit },
+        Step(300L) { running.leaderWork.runSchedulingCycle() },
+        Step(100L) { running.leaderWork.commitPendingChanges() },
+        Step(150L) { if (running.leaderWork.watchJobs(0) == DID_WORK) running.leaderWork.resolvePrerequisites() },
+        Step(1000L) { running.leaderWork.autoscale() },
+        Step(300L) { running.prefetchJobs(0) },
+        Step(100L) { while (running.leaderWork.deliverCommands(0) == DID_WORK || running.leaderWork.announceLeader() == DID_WORK) Unit },
     )
 
     /** Runs part of this node; false where the process died in it. */
