--- a/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Two troubles at a time, each pair as users met it. The rules are checked after each step. */
+/** Two failures at a time, each pair as users met it. The rules are checked after each step. */
 class CombinedFailuresTest {
     private val seeds = 1L..6L
 
-    /** A world in which the tasks of [jobs] jobs run and will for long; a failing seed is named. */
-    private fun meeting(jobs: Int = 3, change: (JobSpec) -> JobSpec = { it }, act: Scene.() -> Unit) = seeds.forEach { seed ->
+    /** Runs [act] for each seed in a world where the tasks of [jobs] jobs run and will for long; a failing seed is named. */
+    private fun withRunningJobs(jobs: Int = 3, change: (JobSpec) -> JobSpec = { it }, act: Scene.() -> Unit) = seeds.forEach { seed ->
         val world = World(seed, quietNetwork = true)
         try {
             val ids = (1..jobs).map { number -> world.accept(world.longJob(number, change)) }
@@ -34,31 +34,31 @@
 
         fun runningOf(id: JobId) = world.rules.runningOf(id)
 
-        /** The user of [id] asks [seat], and is told that it is cancelled. */
-        fun confirm(id: JobId, seat: ControllerSeat = others.first()) = assertEquals(200, world.cancel(id, seat))
+        /** Cancels [id] through [seat], which confirms it. */
+        fun cancelAndConfirm(id: JobId, seat: ControllerSeat = others.first()) = assertEquals(200, world.cancel(id, seat))
     }
 
     private fun World.longJob(number: Int, change: (JobSpec) -> JobSpec) =
         plainJob(number) { change(it.copy(team = TeamId("free"), estimateS = 300.0)) }
 
     @Test
-    fun `a leader refused alone stops what others cancelled, through an outage longer than a cancellation may take`() = meeting {
-        // Its renewals fail and its reading of the jobs hangs, while the workers stay with it.
+    fun `a leader refused alone stops what others cancelled, through an outage longer than a cancellation may take`() = withRunningJobs {
+        // Its renewals fail and its watch of the jobs hangs, while the workers stay with it.
         leading.trouble.storeRefusedUntil = world.time.now + 14_000
         world.run(1500, busy = false)
-        jobs.forEach { confirm(it) }
+        jobs.forEach { cancelAndConfirm(it) }
         world.store.outage(40_000)
         world.run(60_000, busy = false)
         jobs.forEach { assertEquals(0, runningOf(it)) }
     }
 
     @Test
-    fun `cancellations a leader cannot be told of end within their time, though a renewal gets through`() = meeting {
-        // No notice arrives and no change is seen, but a lucky renewal makes the old grace begin anew.
+    fun `cancellations a leader cannot be told of end within their time, though a renewal gets through`() = withRunningJobs {
+        // No broadcast arrives and the watch shows no change, but a lucky renewal makes the old grace begin anew.
         leading.trouble.peersCutUntil = world.time.now + 90_000
         leading.trouble.watchesNothingUntil = world.time.now + 90_000
         world.run(500, busy = false)
-        jobs.forEach { confirm(it) }
+        jobs.forEach { cancelAndConfirm(it) }
         world.run(8000, busy = false)
         world.store.outage(40_000)
         world.run(70_000, busy = false)
@@ -66,12 +66,12 @@
     }
 
     @Test
-    fun `a leader elected just before an outage keeps no task alive that was cancelled in between`() = meeting {
+    fun `a leader elected just before an outage keeps no task alive that was cancelled in between`() = withRunningJobs {
         leading.trouble.storeCutUntil = world.time.now + 90_000
         leading.trouble.workersCutUntil = world.time.now + 90_000
         leading.trouble.peersCutUntil = world.time.now + 90_000
         world.run(200, busy = false)
-        jobs.forEach { confirm(it) }
+        jobs.forEach { cancelAndConfirm(it) }
         // The confirming node ends before it has told anybody, and the successor cannot read the jobs.
         others.forEach { it.crash(200) }
         others.forEach { it.loadsNothing = true }
@@ -82,43 +82,44 @@
     }
 
     @Test
-    fun `a start held up until after its job was cancelled starts nothing once its worker has shown a higher token`() = meeting(jobs = 1) {
-        // Direct commands are held up for nine seconds, while reports and their answers go on.
-        world.cloud.workers.filter { it.alive }.forEach { world.holdCommands(it, 9000) }
-        val late = world.accept(world.longJob(90) { it.copy(tasks = 2, cpus = 1.0, memoryGb = 1.0, imageGb = 0.0) })
-        repeat(100) { if (world.network.heldCommands == 0) world.run(50, busy = false) }
-        confirm(late)
-        // What answers to reports told before may be under way for a moment; nothing may begin after that.
-        world.run(100, busy = false)
-        val began = world.rules.startsOf(late)
-        world.run(World.CANCEL_MS, busy = false)
-        assertEquals(began, world.rules.startsOf(late), "it began although it was cancelled")
-        assertTrue(world.seats.mapNotNull { it.controller?.leaderTerm() }.none { late in it.cluster.jobs }, "the job is never over")
-    }
+    fun `a start held up until after its job was cancelled starts nothing once its worker has shown a higher token`() =
+        withRunningJobs(jobs = 1) {
+            // Direct commands are held up for nine seconds, while heartbeats and their responses go on.
+            world.cloud.workers.filter { it.alive }.forEach { world.holdCommands(it, 9000) }
+            val late = world.accept(world.longJob(90) { it.copy(tasks = 2, cpus = 1.0, memoryGb = 1.0, imageGb = 0.0) })
+            repeat(100) { if (world.network.heldCommands == 0) world.run(50, busy = false) }
+            cancelAndConfirm(late)
+            // Commands in responses to earlier heartbeats may be under way for a moment; nothing may begin after that.
+            world.run(100, busy = false)
+            val began = world.rules.startsOf(late)
+            world.run(World.CANCEL_MS, busy = false)
+            assertEquals(began, world.rules.startsOf(late), "it began although it was cancelled")
+            assertTrue(world.seats.mapNotNull { it.controller?.leaderTerm() }.none { late in it.cluster.jobs }, "the job never finishes")
+        }
 
     @Test
     fun `a team at its limit stays within it while its machines cannot be asked, jobs are cancelled and the leader changes`() =
-        meeting(jobs = 4, { it.copy(team = TeamId("blue"), cpus = 4.0, tasks = 2, estimateS = 40.0) }) {
+        withRunningJobs(jobs = 4, { it.copy(team = TeamId("blue"), cpus = 4.0, tasks = 2, estimateS = 40.0) }) {
             val waiting = (20..24).map {
                 world.accept(world.longJob(it) { spec -> spec.copy(team = TeamId("blue"), cpus = 4.0, tasks = 2, estimateS = 5.0) })
             }
             world.cloud.workers.filter { it.busy }.take(3).forEach { it.cutUntil = world.time.now + 15_000 }
             world.run(1000, busy = false)
             leading.crash(6000)
-            jobs.take(2).forEach { confirm(it) }
+            jobs.take(2).forEach { cancelAndConfirm(it) }
             world.run(40_000, busy = false)
             world.expectDone(waiting + jobs.drop(2), 200_000)
         }
 
     @Test
-    fun `all controllers away for longer than a lease`() = meeting(jobs = 3, { it.copy(estimateS = 15.0) }) {
+    fun `all controllers away for longer than a lease`() = withRunningJobs(jobs = 3, { it.copy(estimateS = 15.0) }) {
         world.seats.forEach { it.crash(3 * World.LEASE_MS) }
         world.run(3 * World.LEASE_MS, busy = false)
         world.expectDone(jobs, 120_000)
     }
 
     @Test
-    fun `a report held back until a new leader has acted ends and revives nothing`() = meeting {
+    fun `a heartbeat held back until a new leader has acted ends and revives nothing`() = withRunningJobs {
         val held = world.cloud.workers.filter { it.busy }.map { it.heartbeat() }
         leading.crash(20_000)
         world.cloud.workers.filter { it.busy }.take(1).forEach { it.reboot() }
@@ -133,7 +134,7 @@
 
     @Test
     fun `tasks that end far apart across changes of leader are each counted once`() =
-        meeting(jobs = 2, { it.copy(tasks = 3, estimateS = 5.0) }) {
+        withRunningJobs(jobs = 2, { it.copy(tasks = 3, estimateS = 5.0) }) {
             val apart = world.accept(world.longJob(30) { it.copy(tasks = 3, cpus = 4.0, estimateS = 12.0) })
             val ended = world.cloud.workers.filter { it.alive }.onEachIndexed { i, worker -> worker.slowTimes = 1L + i }
             assertTrue(ended.isNotEmpty())
@@ -145,7 +146,7 @@
         }
 
     @Test
-    fun `transactions carried out late, after newer ones, change nothing`() = meeting(jobs = 3, { it.copy(estimateS = 20.0) }) {
+    fun `transactions carried out late, after newer ones, change nothing`() = withRunningJobs(jobs = 3, { it.copy(estimateS = 20.0) }) {
         world.seats.forEach { it.trouble.lateWritesUntil = world.time.now + 60_000 }
         val more = (40..46).map { world.accept(world.longJob(it) { spec -> spec.copy(estimateS = 4.0) }) }
         more.take(2).forEach { id -> repeat(60) { if (world.cancel(id) != 200) world.run(1000, busy = false) } }
@@ -157,7 +158,7 @@
 
     @Test
     fun `a job bound to the zone of its first tasks gets machines there when it loses some`() =
-        meeting(jobs = 1, { it.copy(singleZone = true, tasks = 6, cpus = 4.0, estimateS = 40.0) }) {
+        withRunningJobs(jobs = 1, { it.copy(singleZone = true, tasks = 6, cpus = 4.0, estimateS = 40.0) }) {
             val home = world.rules.zonesOf(jobs.first()).keys.single()
             world.cloud.workers.filter { it.busy }.drop(1).forEach { world.cloud.take(it.id) }
             world.run(15_000, busy = false)
@@ -182,7 +183,7 @@
     }
 
     @Test
-    fun `a job that fails on every machine is not started whole again by each new leader`() = meeting(jobs = 1) {
+    fun `a job that fails on every machine is not started whole again by each new leader`() = withRunningJobs(jobs = 1) {
         val doomed = world.longJob(70) { it.copy(tasks = 12, cpus = 1.0, memoryGb = 1.0) }
         world.poisoned += doomed.id
         world.accept(doomed)
@@ -195,11 +196,11 @@
         }
         val again = world.rules.startsOf(doomed.id) - starts
         assertTrue(again <= 6, "$again starts within a minute and three leaders")
-        confirm(doomed.id, world.seats.first { it.controller != null })
+        cancelAndConfirm(doomed.id, world.seats.first { it.controller != null })
     }
 
     @Test
-    fun `ten leaders in two minutes, inside an outage too`() = meeting(jobs = 3, { it.copy(estimateS = 30.0) }) {
+    fun `ten leaders in two minutes, inside an outage too`() = withRunningJobs(jobs = 3, { it.copy(estimateS = 30.0) }) {
         repeat(10) { number ->
             if (number == 4) world.store.outage(25_000)
             (world.seats.firstOrNull { it.controller?.leaderTerm() != null } ?: world.seats.random(world.random)).crash(
@@ -218,43 +219,43 @@
 
     @Test
     fun `a leader ends while machines with long tasks cannot be reached, or do not hear the new one`() =
-        meeting(jobs = 3, { it.copy(estimateS = 60.0) }) {
+        withRunningJobs(jobs = 3, { it.copy(estimateS = 60.0) }) {
             val busy = world.cloud.workers.filter { it.busy }
             busy.forEachIndexed { i, worker ->
                 if (i % 2 == 0) worker.cutUntil = world.time.now + 20_000 else worker.deafUntil = world.time.now + 20_000
             }
             leading.crash(30_000)
             world.run(2000, busy = false)
-            confirm(jobs.first())
+            cancelAndConfirm(jobs.first())
             world.expectDone(jobs.drop(1), 250_000)
         }
 
     @Test
-    fun `jobs are cancelled through the new leader while the old one still reaches workers and users`() = meeting {
+    fun `jobs are cancelled through the new leader while the old one still reaches workers and users`() = withRunningJobs {
         leading.trouble.storeCutUntil = world.time.now + 60_000
         leading.trouble.peersCutUntil = world.time.now + 60_000
         repeat(2) { world.cloud.workers.filter { it.busy }.random(world.random).let { it.calledByNobodyUntil = world.time.now + 60_000 } }
         world.run(6000, busy = false)
-        jobs.forEach { confirm(it) }
+        jobs.forEach { cancelAndConfirm(it) }
         world.run(World.CANCEL_MS + 5000, busy = false)
         jobs.forEach { assertEquals(0, runningOf(it)) }
     }
 
     @Test
     fun `tasks that a cut-off leader keeps alive are not started again while it may still answer their workers`() =
-        meeting(change = { it.copy(tasks = 3, cpus = 1.0, memoryGb = 1.0, imageGb = 0.0, estimateS = 90.0) }) {
+        withRunningJobs(change = { it.copy(tasks = 3, cpus = 1.0, memoryGb = 1.0, imageGb = 0.0, estimateS = 90.0) }) {
             leading.trouble.storeCutUntil = world.time.now + 60_000
             leading.trouble.peersCutUntil = world.time.now + 60_000
-            // The successor cannot call one worker away, which stays with the old leader for all of its grace; it has room elsewhere.
+            // The successor cannot reach one worker, which stays with the old leader for all of its grace; other machines have capacity.
             world.cloud.workers.first { it.busy }.calledByNobodyUntil = world.time.now + 60_000
             world.run(60_000, busy = false)
             world.expectDone(jobs, 200_000)
         }
 
     @Test
-    fun `workers that reach no controller get no more work, though direct commands reach them`() = meeting(jobs = 2) {
+    fun `workers that reach no controller get no more work, though direct commands reach them`() = withRunningJobs(jobs = 2) {
         val mute = world.cloud.workers.filter { it.busy }.onEach { it.muteUntil = world.time.now + 60_000 }
-        confirm(jobs.first())
+        cancelAndConfirm(jobs.first())
         world.run(3 * World.LEASE_MS, busy = false)
         assertEquals(0, runningOf(jobs.first()))
         val before = mute.sumOf { it.heartbeat().tasks.size }
@@ -266,7 +267,7 @@
     }
 
     @Test
-    fun `a machine that has left out two reports gets no work while its lease still runs`() = meeting(jobs = 2) {
+    fun `a machine that has missed two heartbeats gets no work while its lease still runs`() = withRunningJobs(jobs = 2) {
         fun tiny(number: Int) =
             world.longJob(number) { it.copy(tasks = 1, cpus = 0.05, memoryGb = 0.05, image = ImageId("probe"), imageGb = 0.1) }
         fun StandInWorker.has(id: JobId) = heartbeat().tasks.any { it.task.startsWith(id.text) }
@@ -283,12 +284,12 @@
         world.run(1000, busy = false)
         val cluster = checkNotNull(leading.controller?.leaderTerm()).cluster
         val assigned = checkNotNull(cluster.machines[chosen.id]).live.values.map { it.job.id }
-        assertTrue(probe in assigned, "its lease is over already")
+        assertTrue(probe in assigned, "its lease has expired already")
         assertTrue(late !in assigned, "a machine that loses all with its lease gets work")
     }
 
     @Test
-    fun `machines that never come up are replaced, elsewhere where many are late, and rentals do not run away`() =
+    fun `machines that never come up are replaced, elsewhere where many are late, and scale-out does not run away`() =
         (1L..3L).forEach { seed ->
             val world = World(seed, quietNetwork = true, perOffer = 30)
             world.cloud.neverBoots = { it.zone == world.zones[0] }
@@ -304,7 +305,9 @@
         }
 
     @Test
-    fun `controllers hand over and back, all end, and one returns within a second`() = meeting(jobs = 3, { it.copy(estimateS = 25.0) }) {
+    fun `controllers hand over and back, all end, and one returns within a second`() = withRunningJobs(jobs = 3, {
+        it.copy(estimateS = 25.0)
+    }) {
         repeat(3) {
             world.seats.firstOrNull { it.controller?.leaderTerm() != null }?.crash(world.random.nextLong(50, 900))
             world.run(world.random.nextLong(500, 3000), busy = false)
--- a/src/test/kotlin/mountmast/coordination/controller/LargeFleetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Some 4,000 machines with 32,000 tasks: filled, reconnecting, taken over, cut, under falling limits. The rules are checked after
+ * Some 4,000 machines with 32,000 tasks: filled, reconnecting, failing over, cut, under falling limits. The rules are checked after
  * each step.
  */
-class LargeFleetTest {
+class LargeClusterTest {
     private val limits = FallingLimits(StateLimits(500.0, 80.0, 8.0, 16), StateLimits(500.0, 80.0, 2.0, 8), fallsAtMs = 95_000)
     private val world = World(91, quietNetwork = true, perOffer = 525, limits = limits)
 
@@ -43,7 +43,7 @@
     private fun assigned() = leader().cluster.machines.values.sumOf { it.live.size }
 
     @Test
-    fun `4000 machines are filled, reconnect at once, are taken over, cut in part and meet lower limits`() {
+    fun `4000 machines are filled, reconnect at once, fail over, are cut in part and meet lower limits`() {
         world.run(6000, busy = false)
         val jobs = (1..JOBS).map { submit(spec(it, TASKS, cpus = 1.25, runS = 500.0)) }
         world.run(70_000, busy = false)
@@ -63,7 +63,7 @@
         world.run(2500, busy = false)
         world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
         world.run(15_000, busy = false)
-        assertTrue(world.rules.started - started < ALL_TASKS / 10, "${world.rules.started - started} starts after a takeover")
+        assertTrue(world.rules.started - started < ALL_TASKS / 10, "${world.rules.started - started} starts after a failover")
         assertTrue(assigned() > ALL_TASKS * 0.9, "${assigned()} assignments taken over")
         assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.count { it.hasShownCurrentTerm } > 3500)
 
--- a/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Jobs that wait for others, in a whole deployment in virtual time. The rules are checked after each step. */
+/** Jobs that depend on others, in a whole deployment in virtual time. The rules are checked after each step. */
 class PipelinesTest {
     private val seeds = 1L..6L
 
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `whoever needs a cancelled job is cancelled with it, on every node`() = worlds {
+    fun `dependents of a cancelled job are cancelled with it, on every node`() = worlds {
         val first = stage(1) { it.copy(estimateS = 300.0) }
         val second = stage(2, listOf(first))
         val third = stage(3, listOf(second))
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** One kind of trouble at a time: the rules hold, and the work gets done. The rules are checked after each step. */
+/** One kind of failure at a time: the rules hold, and the work gets done. The rules are checked after each step. */
 class RecoveryTest {
     private fun World.expectDone(ids: Collection<JobId>, withinMs: Long) {
         run(withinMs, busy = false)
@@ -25,7 +25,7 @@
     private fun World.leader() = seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
     @Test
-    fun `a poisoned job is backed off and evicts nobody, while others get done`() {
+    fun `a poisoned job is backed off and preempts nobody, while others get done`() {
         val world = World(21, quietNetwork = true)
         val doomed = world.plainJob(1) { it.copy(tasks = 8, urgency = Urgency.PRODUCTION) }
         world.poisoned += doomed.id
@@ -45,17 +45,17 @@
     }
 
     @Test
-    fun `a sick machine is quarantined and returned`() {
+    fun `a failing machine is quarantined and scaled in`() {
         val world = World(22, quietNetwork = true)
         val first = (1..2).map { world.accept(world.plainJob(it)) }
         world.expectDone(first, 30_000)
         val sick = world.cloud.workers.first { it.alive }.apply { sick = true }
         world.expectDone((3..12).map { world.accept(world.plainJob(it)) }, 90_000)
-        assertTrue(!sick.alive, "the sick machine is still rented")
+        assertTrue(!sick.alive, "the failing machine is still rented")
     }
 
     @Test
-    fun `a slow machine is quarantined and returned, and its tasks get done elsewhere`() {
+    fun `a slow machine is quarantined and scaled in, and its tasks get done elsewhere`() {
         val world = World(32, quietNetwork = true)
         world.expectDone((1..3).map { world.accept(world.plainJob(it)) }, 30_000)
         val slow = world.cloud.workers.first { it.alive }.apply { slowTimes = 20 }
@@ -107,8 +107,8 @@
     }
 
     @Test
-    fun `a cut-off leader returns no machine when it comes back`() {
-        // Its ledger saw every worker fall silent, and it once deleted all of them before it learned that it led no more.
+    fun `a cut-off leader scales nothing in when it comes back`() {
+        // Its cluster state showed every worker silent, and it once deleted all of them before it learned that it led no more.
         val world = World(27, quietNetwork = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(20_000, busy = false)
@@ -135,7 +135,7 @@
     }
 
     @Test
-    fun `a job cancelled before its placement is in the store goes over`() {
+    fun `a job cancelled before its placement is in the store is finished`() {
         // What was only intended of a cancelled job is not written, and once stayed for ever and held the limit.
         val world = World(29, quietNetwork = true)
         world.expectDone(listOf(world.accept(world.plainJob(1))), 30_000)
@@ -169,7 +169,7 @@
         world.seats[0].trouble.storeRefusedUntil = world.time.now + 8000
         world.run(5000, busy = false)
         assertEquals(listOf(false, true, true), users.map { it.ready() })
-        assertEquals(200, world.seats[0].controller!!.users.status("j-000001", isForwarded = false).status, "passed on to a peer")
+        assertEquals(200, world.seats[0].controller!!.users.status("j-000001", isForwarded = false).status, "forwarded to a peer")
         world.run(10_000, busy = false)
         world.store.outage(10_000)
         world.run(7000, busy = false)
@@ -195,7 +195,7 @@
     }
 
     @Test
-    fun `a job passed over for long gets a task, with urgent work all around it`() {
+    fun `a starved job gets a task, with urgent work all around it`() {
         val world = World(34, quietNetwork = true)
         val free = TeamId("free")
         val big = world.plainJob(1) {
@@ -221,7 +221,7 @@
     }
 
     @Test
-    fun `a machine that hears nothing gets no more work and is returned, and its tasks run elsewhere`() {
+    fun `an unreached machine gets no more work and is scaled in, and its tasks run elsewhere`() {
         val world = World(35, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(15_000, busy = false)
@@ -235,7 +235,7 @@
     }
 
     @Test
-    fun `a machine that hears nothing for a moment is not punished`() {
+    fun `a machine unreached for a moment keeps its tasks`() {
         val world = World(36, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(30_000, busy = false)
@@ -243,12 +243,12 @@
         assertEquals(4, started)
         val short = world.cloud.workers.first { it.busy }.apply { deafUntil = world.time.now + 2500 }
         world.run(20_000, busy = false)
-        assertTrue(short.alive && short.busy, "returned or emptied after two seconds")
+        assertTrue(short.alive && short.busy, "scaled in or drained after two seconds")
         assertEquals(started, world.rules.started, "its tasks were started again")
     }
 
     @Test
-    fun `a node that cannot send to any worker resigns and returns no machine`() {
+    fun `a node that cannot send to any worker resigns and scales nothing in`() {
         val world = World(37, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
@@ -258,7 +258,7 @@
         leading.trouble.sendsNothingUntil = world.time.now + 40_000
         world.run(14_000, busy = false)
         assertEquals(null, leading.controller?.leaderTerm(), "still leads")
-        assertTrue(machines.all { it.alive }, "machines were returned for the node's fault")
+        assertTrue(machines.all { it.alive }, "machines were scaled in for the node's fault")
     }
 
     @Test
@@ -270,7 +270,7 @@
         val leading = world.seats.first { it.controller?.leaderTerm() != null }
         leading.trouble.storeCutUntil = world.time.now + 40_000
         leading.trouble.peersCutUntil = world.time.now + 40_000
-        // The hold runs out, the successor waits a moment and calls the workers: well before the grace of 13 s.
+        // The lease expires, the successor waits a moment and announces itself to the workers: well before the grace of 13 s.
         world.run(9000, busy = false)
         val successor = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
         assertTrue(successor !== leading.controller?.leaderTerm())
@@ -316,8 +316,8 @@
     }
 
     @Test
-    fun `a leader that has just begun does not take its own slow answers for deaf workers`() {
-        // After a crash of all nodes a cold leader answered later than workers wait, and resigned: all began once more.
+    fun `a leader just elected does not take its own slow responses for unreached workers`() {
+        // After a crash of all nodes a cold leader responded later than workers wait, and resigned: all began once more.
         val world = World(45, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
@@ -332,18 +332,18 @@
     }
 
     @Test
-    fun `a machine that hung beyond its lease is used again and not returned`() = (1L..20L).forEach { seed ->
-        // Returned at once, a hundred hanging machines were rented anew, which takes a boot, a fetch and a minute's pay.
+    fun `a machine that hung beyond its lease is used again and not scaled in`() = (1L..20L).forEach { seed ->
+        // Scaled in at once, a hundred hanging machines were replaced, which takes a boot, a fetch and a minute's pay.
         val world = World(seed, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 8, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
         val hung = world.cloud.workers.first { it.busy }.apply { hangUntil = world.time.now + World.LEASE_MS + 3000 }
         world.run(World.LEASE_MS + 2500, busy = false)
         assertEquals(MachineState.EXPIRED, world.leader().cluster.machines.getValue(hung.id).state, "seed $seed")
-        // What ran there may have found room elsewhere, so there has to be work for every machine.
+        // What ran there may have found capacity elsewhere, so there has to be work for every machine.
         world.accept(world.plainJob(2) { it.copy(tasks = 400, estimateS = 90.0, team = TeamId("free")) })
         world.run(6000, busy = false)
-        assertTrue(hung.alive && hung.busy, "seed $seed: returned, or left idle")
+        assertTrue(hung.alive && hung.busy, "seed $seed: scaled in, or left idle")
         hung.hangUntil = world.time.now + 60_000
         world.run(3 * World.LEASE_MS, busy = false)
         assertTrue(!hung.alive, "seed $seed: kept for good")
@@ -351,9 +351,9 @@
 
     @Test
     fun `commands are not sent to machines that are silent`() = (45L..50L).forEach { seed ->
-        // Each held a poster until its deadline, and with a part of the fleet cut all other commands waited behind them.
+        // Each occupied a delivery thread until its deadline, and with a part of the machines cut all other commands waited behind them.
         val world = World(seed, quietNetwork = true, perOffer = 30)
-        // A report from before the cut that arrives only now is news, so the machine would not count as silent.
+        // A heartbeat from before the cut that arrives only now is news, so the machine would not count as silent.
         world.network.delaysHeartbeats = false
         world.accept(world.plainJob(1) { it.copy(tasks = 120, estimateS = 30.0, team = TeamId("free"), spotAllowed = false) })
         world.run(30_000, busy = false)
@@ -413,7 +413,7 @@
     }
 
     @Test
-    fun `small machines are rented where they cost no more`() {
+    fun `scale-out chooses small machines where they cost no more`() {
         val world = World(49, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 1.0, memoryGb = 2.0) })
         world.run(15_000, busy = false)
--- a/src/test/kotlin/mountmast/coordination/controller/RulesUnderFailureTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RulesUnderFailureTest.kt
@@ -16,14 +16,14 @@
         try {
             world.run(20_000, busy = true)
             repeat(failures) {
-                // Most rules that were seen broken broke when two troubles met.
+                // Most rules that were seen broken broke when two failures met.
                 world.fail()
                 world.run(world.random.nextLong(50, 3000), busy = true)
                 world.fail()
                 world.run(world.random.nextLong(2000, 20_000), busy = true)
             }
-            // No trouble that was drawn lasts longer; after it every job has its answer soon.
-            world.rules.quietSince = world.time.now + LONGEST_TROUBLE_MS
+            // No failure that was drawn lasts longer; after it every job has its answer soon.
+            world.rules.quietSince = world.time.now + LONGEST_FAILURE_MS
             // Replicas never end, and may hold all that their team is allowed to borrow.
             world.cancelServices()
             world.run(200_000, busy = false)
@@ -45,6 +45,6 @@
     fun `failures of every kind, alone and together, break no rule`() = seeds(60).forEach { day(it, quiet = false, failures = 8) }
 
     private companion object {
-        const val LONGEST_TROUBLE_MS = 2 * World.CANCEL_MS + 5000
+        const val LONGEST_FAILURE_MS = 2 * World.CANCEL_MS + 5000
     }
 }
--- a/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
@@ -125,7 +125,7 @@
         }
 
     @Test
-    fun `requests passed on between versions arrive and are answered whole`() = worlds(31L..33L) {
+    fun `requests forwarded between versions arrive and are answered whole`() = worlds(31L..33L) {
         val job = longJobs(1..1, runS = 60.0).single()
         seats[0].upgrade()
         run(8000, busy = false)
