--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -90,8 +90,7 @@
 
     private fun reserve(id: MachineId, forJob: JobId, now: MonotonicTime) {
         val machine = cluster.machines[id] ?: return
-        machine.reservedFor = forJob
-        machine.reservedUntil = now + RESERVATION_MS
+        machine.reserveFor(forJob, until = now + RESERVATION_MS)
     }
 
     private fun preempt(preemption: Preemption, now: MonotonicTime) {
@@ -101,8 +100,7 @@
         val victims = ArrayList<String>()
         for (assignment in machine.live.values) {
             if (assignment.terminationGraceS != null) continue
-            assignment.terminationGraceS = assignment.job.spec.checkpointSaveS
-            assignment.preempted = true
+            assignment.preempt()
             victims += assignment.taskName
         }
         // The cycle's preemptions are committed in one transaction, together with its starts.
@@ -126,7 +124,7 @@
         if (machine.state != MachineState.UP) return
         for (assignment in machine.live.values) {
             if (assignment.terminationGraceS != null || assignment.phase != Phase.COMMITTED || !mustLeave(assignment)) continue
-            assignment.terminationGraceS = assignment.job.spec.checkpointSaveS
+            assignment.drain()
             dispatch.queue(machine.id)
         }
     }
@@ -135,7 +133,7 @@
         for (machine in cluster.machines.values) {
             val job = machine.reservedFor ?: continue
             val state = cluster.jobs[job]
-            if (state == null || state.cancelled || state.openCount == 0 || now > machine.reservedUntil) machine.reservedFor = null
+            if (state == null || state.cancelled || state.openCount == 0 || now > machine.reservedUntil) machine.releaseReservation()
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
@@ -14,7 +14,7 @@
     fun logLateJobs(untilDueS: (Job) -> Double) {
         for (job in cluster.jobs.values) {
             if (job.calledLate || job.cancelled || untilDueS(job) >= 0) continue
-            job.calledLate = true
+            job.recordLateReport()
             if (job.isReleased) logLate(job) else logLateDependent(job)
         }
     }
@@ -34,7 +34,7 @@
             val stalledMs = now - job.lastProgress
             val loggedAt = job.lastStallReport
             if (stalledMs < STALL_MS || (loggedAt != null && now - loggedAt < STALL_REPEAT_MS)) continue
-            job.lastStallReport = now
+            job.recordStallReport(now)
             log.info(
                 "job={} is stalled for {} s: {} tasks of {} CPUs and {} GB wait for a machine with free capacity",
                 job.id,
