--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -96,29 +96,31 @@
         [endpoints]
         cloud = "127.0.0.1:$peer"
         state = "127.0.0.1:$peer"
-        [deployment]
-        size = 1
-        [[deployment.teams]]
-        name = "t"
-        cpus = 1.0
-        cpus_max = 1.0
-        gpus = 0.0
-        gpus_max = 0.0
-        [deployment.workers]
-        report_s = 1.0
-        lease_s = 10.0
-        cancel_s = 40.0
-        [deployment.state]
-        rps = 80.0
-        write_rps = 30.0
-        value_kb = 8.0
-        txn_ops = 16
-        [deployment.cloud]
-        rps = 5.0
-        list_lag_s = 3.0
-        [deployment.resources]
-        max_connections = 100
-    """.trimIndent()
+    """.trimIndent() + "\n" + DEPLOYMENT
+
+    private const val DEPLOYMENT = """[deployment]
+size = 1
+[[deployment.teams]]
+name = "t"
+cpus = 1.0
+cpus_max = 1.0
+gpus = 0.0
+gpus_max = 0.0
+[deployment.workers]
+report_s = 1.0
+lease_s = 10.0
+cancel_s = 40.0
+[deployment.state]
+rps = 80.0
+write_rps = 30.0
+value_kb = 8.0
+txn_ops = 16
+[deployment.cloud]
+rps = 5.0
+list_lag_s = 3.0
+[deployment.resources]
+max_connections = 100
+"""
 
     private const val JOB = """{"nameId":"j-000001","jobclass":"c","owner":"t","shape":"array","urgency":"high","pieces":1,
         "vcpus":1.0,"cards":0.0,"memGb":1.0,"bundle":"i","sizeGb":1.0,"hulls":null,"yard":null,"together":false,
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -28,7 +28,7 @@
  * Applies what the [Scheduler] plans to the cluster state, and drains machines that their tasks have to leave. Guarded by the
  * lock of its [ClusterState].
  */
-class SchedulingCycle(
+internal class SchedulingCycle(
     private val cluster: ClusterState,
     private val snapshots: SnapshotCache,
     private val dispatch: CommandDispatcher,
@@ -123,7 +123,8 @@
     private inline fun drain(machine: Machine, mustLeave: (Assignment) -> Boolean) {
         if (machine.state != MachineState.UP) return
         for (assignment in machine.live.values) {
-            if (assignment.terminationGraceS != null || assignment.phase != Phase.COMMITTED || !mustLeave(assignment)) continue
+            val isStopping = assignment.terminationGraceS != null
+            if (isStopping || assignment.phase != Phase.COMMITTED || !mustLeave(assignment)) continue
             assignment.drain()
             dispatch.queue(machine.id)
         }
@@ -131,9 +132,9 @@
 
     private fun releaseReservations(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
-            val job = machine.reservedFor ?: continue
-            val state = cluster.jobs[job]
-            if (state == null || state.cancelled || state.openCount == 0 || now > machine.reservedUntil) machine.releaseReservation()
+            val state = cluster.jobs[machine.reservedFor ?: continue]
+            val needsMachine = state != null && !state.cancelled && state.openCount > 0
+            if (!needsMachine || now > machine.reservedUntil) machine.releaseReservation()
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -26,7 +26,7 @@
  * Makes a snapshot of the cluster state for each scheduling cycle, and keeps the views of machines that do not change between
  * two. A job with unmet dependencies is left out: it is no demand yet. Guarded by the lock of its [ClusterState].
  */
-class SnapshotCache(
+internal class SnapshotCache(
     private val cluster: ClusterState,
     private val dependencies: JobDependencies,
     private val teams: Map<TeamId, TeamQuota>,
--- a/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
@@ -9,7 +9,7 @@
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
 /** Logs which jobs are stalled or late, for operators. Guarded by the lock of its [ClusterState]. */
-class StalledJobReporter(private val cluster: ClusterState) {
+internal class StalledJobReporter(private val cluster: ClusterState) {
     /** Logs each job whose deadline has passed, once; [untilDueS] tells the seconds left. */
     fun logLateJobs(untilDueS: (Job) -> Double) {
         for (job in cluster.jobs.values) {
--- a/src/main/kotlin/mountmast/coordination/controller/StepLoop.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StepLoop.kt
@@ -23,8 +23,8 @@
 }
 
 /**
- * Repeats [step] on a daemon thread called [name], pausing as many milliseconds as it returns. An interrupt of the thread ends
- * the loop; otherwise it runs as long as the process.
+ * Repeats [step] on a daemon thread called [name] as long as the process runs, pausing as many milliseconds as it returns.
+ * An exception is logged, and the step repeated a second later.
  */
 internal class StepLoop(private val name: String, private val step: () -> Long) : Agent {
     override fun roleName() = name
--- a/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
@@ -40,6 +40,15 @@
 
     private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
+    /** Every worker reconnects at once, to nodes that have all ended, and end again before they have recovered. */
+    private fun reconnectAllWorkersWhileAllNodesEndTwice() {
+        world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
+        world.cloud.workers.forEach { it.target = world.random.nextInt(World.NODES) }
+        world.run(2500, busy = false)
+        world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
+        world.run(15_000, busy = false)
+    }
+
     private fun assigned() = leader().cluster.machines.values.sumOf { it.live.size }
 
     @Test
@@ -57,12 +66,7 @@
         val second = submit(spec(502, 4, cpus = 0.1, runS = 20.0, needs = listOf(first)))
         val last = submit(spec(503, 4, cpus = 0.1, runS = 5.0, needs = listOf(second)))
 
-        // Every worker reconnects at once, to nodes that have all ended, and end again before they have recovered.
-        world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
-        world.cloud.workers.forEach { it.target = world.random.nextInt(World.NODES) }
-        world.run(2500, busy = false)
-        world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
-        world.run(15_000, busy = false)
+        reconnectAllWorkersWhileAllNodesEndTwice()
         assertTrue(world.rules.started - started < ALL_TASKS / 10, "${world.rules.started - started} starts after a failover")
         assertTrue(assigned() > ALL_TASKS * 0.9, "${assigned()} assignments taken over")
         assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.count { it.hasShownCurrentTerm } > 3500)
