--- a/src/main/kotlin/mountmast/coordination/jobs/JobCancellation.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobCancellation.kt
@@ -23,19 +23,19 @@
         repeat(MAX_ATTEMPTS) {
             val entry = store.get(Keys.job(id)) ?: return statuses.find(id).orReject(RequestRejection.JobNotFound)
             val record = WireJson.decodeFromJsonElement<JobRecord>(entry.value)
-            if (record.cancelled || isCancellationCommitted(entry, record)) return confirm(record)
+            if (record.cancelled || commitCancellation(entry, record) is TransactionResult.Committed) return confirm(record)
         }
         return RequestOutcome.Rejected(RequestRejection.ConcurrentChange)
     }
 
-    /** Writes that the job in [record] is cancelled; false if [entry] has changed since it was read. */
-    private fun isCancellationCommitted(entry: Entry, record: JobRecord): Boolean {
+    /** Writes that the job in [record] is cancelled, unless [entry] has changed since it was read. */
+    private fun commitCancellation(entry: Entry, record: JobRecord): TransactionResult {
         // Done and cancelled race on this key: only one of them finds the revision it expects.
         val transaction = Transaction(
             listOf(Compare(entry.key, entry.modRevision)),
             listOf(Write.Put(entry.key, WireJson.encodeToJsonElement(record.copy(cancelled = true)))),
         )
-        return store.commit(transaction) is TransactionResult.Committed
+        return store.commit(transaction)
     }
 
     private fun confirm(record: JobRecord): RequestOutcome {
--- a/src/main/kotlin/mountmast/coordination/jobs/JobSubmission.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobSubmission.kt
@@ -35,10 +35,10 @@
      */
     fun submit(id: JobId, submission: JsonObject): RequestOutcome = when (val check = validator.check(submission)) {
         is SubmissionCheck.Invalid -> statuses.find(id).orReject(check.reason)
-        is SubmissionCheck.Valid -> store(JobRecord(check.spec, clock.wall()))
+        is SubmissionCheck.Valid -> accept(JobRecord(check.spec, clock.wall()))
     }
 
-    private fun store(record: JobRecord): RequestOutcome {
+    private fun accept(record: JobRecord): RequestOutcome {
         val id = record.spec.id
         if (!prerequisiteLists.fitsWithoutPrerequisites(record)) return statuses.find(id).orReject(RequestRejection.RecordTooLarge)
         val stored = prerequisiteLists.store(record)
