--- a/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
@@ -11,6 +11,8 @@
     /** Guards everything named here. Held for moments; never during I/O. */
     val lock: ReentrantLock
     val cluster: ClusterState
+
+    /** Wakes the thread that writes the journal after a change. */
     val signals: TermSignals
 
     /** Machine types that the store does not hold yet, or null. */
--- a/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
@@ -25,7 +25,7 @@
         for ((team, jobs) in snapshot.jobs.groupBy { it.spec.team }) {
             val quota = snapshot.quotas[team] ?: continue
             val coverage = GuaranteeCoverage(quota)
-            for (job in jobs.sortedWith(compareBy({ it.timing.submitted }, { it.spec.id }))) {
+            for (job in jobs.sortedWith(compareBy({ it.timing.queuedAt }, { it.spec.id }))) {
                 if (isGuaranteed(job, quota)) guaranteedTasks[job.spec.id] = coverage.cover(job)
             }
             degrees[team] = coverage.degree()
--- a/src/main/kotlin/mountmast/coordination/scheduling/ClusterSnapshot.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/ClusterSnapshot.kt
@@ -16,6 +16,7 @@
     val jobs: List<JobView>,
     /** The resources that each team's assigned tasks occupy. */
     val usage: Map<TeamId, Resources>,
+    /** The guarantee and the limit of each team. */
     val quotas: Map<TeamId, TeamQuota>,
     /** Smoothed degrees of assurance of the cycle before; empty in a leader's first cycle. */
     val previousAssurance: Map<TeamId, Double>,
--- a/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
@@ -7,7 +7,7 @@
 internal class JobPriorities(private val snapshot: ClusterSnapshot, private val policy: SchedulingPolicy, assurance: Assurance) {
     /** The design's order: rising degree of assurance, then shorter remaining run. */
     val byAssurance: Comparator<JobView> =
-        compareBy({ assurance.degree(it.spec.team) }, { it.timing.remainingS }, { it.timing.submitted }, { it.spec.id })
+        compareBy({ assurance.degree(it.spec.team) }, { it.timing.remainingS }, { it.timing.queuedAt }, { it.spec.id })
 
     /** Exception: teams without a guarantee all have degree 1, so among equals the more urgent goes first. */
     val byUrgency: Comparator<JobView> =
--- a/src/main/kotlin/mountmast/coordination/scheduling/JobView.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/JobView.kt
@@ -7,6 +7,7 @@
 
 /** A job that has tasks to place or on machines, as the scheduler sees it. */
 class JobView(
+    /** The job as submitted, with the urgency that it has or inherits. */
     val spec: JobSpec,
     val tasks: JobTasks,
     val timing: JobTiming,
@@ -34,11 +35,12 @@
 
 /** What the order of jobs depends on. */
 class JobTiming(
-    val submitted: WallTime,
+    /** When it was submitted, or when the last of the jobs that it depends on was done. */
+    val queuedAt: WallTime,
     /** How long one of its tasks runs, by estimate, in seconds. */
     val remainingS: Double,
     /** How much later than now its tasks could start and still meet the deadline, in seconds; negative if they no longer can. */
     val slackS: Double,
-    /** The time since a task of the job was last placed, or since its submission, in seconds. */
+    /** The time since a task of the job was last placed, or since this leader learned of it or its dependencies were met, in seconds. */
     val waitedS: Double,
 )
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineIndex.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineIndex.kt
@@ -27,6 +27,7 @@
     /** Returns the machines that are reserved for [job]. */
     internal fun reservedFor(job: JobId): Collection<MachineView> = reserved[job].orEmpty()
 
+    /** Adds [machine], which must not be in an index yet, to the group of its kind and free capacity. */
     fun add(machine: MachineView) {
         addToGroup(machine)
         machine.reservedFor?.let { addReserved(machine, it) }
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineView.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineView.kt
@@ -14,6 +14,7 @@
 /** A task that is assigned to a machine, as the scheduler sees it. */
 class AssignedTask(
     val task: TaskId,
+    /** The specification of its job. */
     val spec: JobSpec,
     /** How long it still runs, by estimate, in seconds; above 0. */
     val remainingS: Double,
@@ -34,6 +35,7 @@
     val id: MachineId,
     val kind: MachineKind,
     freeCapacity: Resources,
+    /** Images that its cache is thought to hold. */
     val images: Set<ImageId>,
     reservedFor: JobId?,
     private val findAssignedTasks: () -> List<AssignedTask>,
--- a/src/main/kotlin/mountmast/coordination/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Scheduler.kt
@@ -26,12 +26,12 @@
 
         fun plan(): SchedulingPlan {
             val open = snapshot.jobs.filter { it.tasks.openCount > 0 }
-            for (job in open.filter { priorities.isStarved(it) }.sortedBy { it.timing.submitted }) placeStarved(job)
+            for (job in open.filter { priorities.isStarved(it) }.sortedBy { it.timing.queuedAt }) placeStarved(job)
             for (job in open.sortedWith(priorities.byAssurance)) placeGuaranteed(job)
             for (job in open.sortedWith(priorities.byUrgency)) placeBorrowed(job)
             // For jobs without a restriction to lift, the search for free capacity would give the same as before.
             val longWaiting = open.filter { priorities.hasWaitedTooLong(it) && priorities.hasLiftableRestrictions(it) }
-            for (job in longWaiting.sortedBy { it.timing.submitted }) placeLongWaiting(job)
+            for (job in longWaiting.sortedBy { it.timing.queuedAt }) placeLongWaiting(job)
             return SchedulingPlan(placement.starts(), preemptions.preemptions, reservations.reservations, unplaced, assurance.degrees)
         }
 
