--- a/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
@@ -25,12 +25,12 @@
         for ((team, jobs) in snapshot.jobs.groupBy { it.spec.team }) {
             val quota = snapshot.quotas[team] ?: continue
             val coverage = GuaranteeCoverage(quota)
-            for (job in jobs.sortedWith(compareBy({ it.timing.submitted }, { it.spec.id }))) {
+            for (job in jobs.sortedWith(compareBy({ it.timing.queuedAt }, { it.spec.id }))) {
                 if (isGuaranteed(job, quota)) guaranteedTasks[job.spec.id] = coverage.cover(job)
             }
             degrees[team] = coverage.degree()
         }
-        val smoothed = snapshot.quotas.keys.associateWith { smooth(degrees[it] ?: 1.0, snapshot.assurance[it]) }
+        val smoothed = snapshot.quotas.keys.associateWith { smooth(degrees[it] ?: 1.0, snapshot.previousAssurance[it]) }
         return Assurance(smoothed, guaranteedTasks)
     }
 
--- a/src/main/kotlin/mountmast/coordination/scheduling/ClusterSnapshot.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/ClusterSnapshot.kt
@@ -16,9 +16,10 @@
     val jobs: List<JobView>,
     /** The resources that each team's assigned tasks occupy. */
     val usage: Map<TeamId, Resources>,
+    /** The guarantee and the limit of each team. */
     val quotas: Map<TeamId, TeamQuota>,
     /** Smoothed degrees of assurance of the cycle before; empty in a leader's first cycle. */
-    val assurance: Map<TeamId, Double>,
+    val previousAssurance: Map<TeamId, Double>,
     /** The same machines, grouped. */
     val index: MachineIndex = MachineIndex.of(machines),
 ) {
