--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -27,7 +27,8 @@
 
 /**
  * All that one controller node does, as steps that somebody else calls: [Node] from threads, tests in virtual time.
- * This class only composes the parts. Each step returns after at most one exchange with each of the systems around the node.
+ * This class only composes the parts. Thread-safe where each step is called by one thread at a time; those of [leaderWork] that
+ * announce and deliver may run on several. Each step returns after at most one exchange with each of the systems around the node.
  */
 class Controller(
     settings: Settings,
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -35,6 +35,7 @@
  * workers' heartbeats.
  */
 class LeaderTerm(
+    /** The lease that stands for the term. */
     val leaderLease: LeaderLease,
     environment: LeaderTermEnvironment,
     teams: Map<TeamId, TeamQuota>,
@@ -52,10 +53,12 @@
 
     /** Guards [cluster] and all parts of the term. Held for moments; never during I/O. */
     override val lock = ReentrantLock()
+    /** The cluster as this leader knows it; guarded by [lock]. */
     override val cluster = ClusterState(policy.runDecay, losses).apply { beginTerm(leaderLease.token) }
 
     /** Where the journal stands in the store. */
     override val journal = JournalState()
+    /** Wakes the threads that place tasks and commit changes; guarded by [lock]. */
     override val signals = TermSignals(lock)
     private val reachability = ReachabilityMonitor(cluster, leaderLease, timing)
 
@@ -66,6 +69,7 @@
 
     /** What the workers' heartbeats change, and the responses to them. */
     val heartbeats = HeartbeatHandler(lock, cluster, leaderLease, reachability, signals, timing, clock, invariants)
+    /** Watches the jobs in the store. */
     override val jobs =
         JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, leaderLease.watermark, JobsListener())
 
--- a/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
@@ -20,8 +20,11 @@
  * its range is rejected with its line.
  */
 data class OperatorSettings(
+    /** Element `scheduler`: order, placement and preemption of tasks. */
     val scheduling: SchedulingPolicy = SchedulingPolicy(),
+    /** Element `fleet`: when machines are scaled in and the cloud is asked. */
     val autoscaling: AutoscalingPolicy = AutoscalingPolicy(),
+    /** Element `overload`: how many requests of users are in progress at once. */
     val admission: AdmissionRange = AdmissionRange(),
 ) {
     companion object {
--- a/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
@@ -71,7 +71,7 @@
         assertTrue(assigned() > ALL_TASKS * 0.9, "${assigned()} assignments taken over")
         assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.count { it.hasShownCurrentTerm } > 3500)
 
-        // The limits have fallen by now; a quarter of the fleet is cut off for over a lease, and another leader follows.
+        // The limits have fallen by now; a quarter of the machines is cut off for over a lease, and another leader follows.
         val cut = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 4 == 0 }
         cut.forEach { it.cutUntil = world.time.now + 9000 }
         world.run(3000, busy = false)
--- a/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
@@ -62,7 +62,7 @@
     private val smallValues = FallingLimits(StateLimits(80.0, 30.0, 1.0, 8))
 
     @Test
-    fun `nodes are exchanged one by one with the fleet full, and no task is lost or started again`() =
+    fun `nodes are exchanged one by one with the cluster full, and no task is lost or started again`() =
         worlds(1L..8L, limits = smallValues) {
             val jobs = longJobs(1..12, runS = 60.0)
             runUntil(60_000, "all tasks run") { jobs.sumOf { rules.runningOf(it) } == 48 }
