--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -4,6 +4,7 @@
 import mountmast.coordination.autoscaling.AutoscalingPolicy
 import mountmast.coordination.election.LeaderElection
 import mountmast.coordination.election.LeaseTiming
+import mountmast.coordination.election.VacancyWait
 import mountmast.coordination.jobs.JobRecordPrefetcher
 import mountmast.coordination.jobs.JobService
 import mountmast.coordination.membership.CancellationBroadcast
@@ -106,7 +107,7 @@
         val leaderTerm = leaderComponents.get()?.leaderTerm
         // Cut off from the workers alone, in either direction, this node would renew for ever while their leases run out.
         val why = leaderTerm?.heartbeats?.resignationReason() ?: leaderTerm?.let(::whyUninformed)
-        if (leaderTerm != null && why != null && membership.serving() > 0) election.resign(leaderTerm.leaderLease, why)
+        if (leaderTerm != null && why != null && membership.countServing() > 0) election.resign(leaderTerm.leaderLease, why)
         syncLeaderComponents()
         weighUsers()
     }
@@ -142,19 +143,19 @@
      * no more or one of the others is missing: the load balancer takes a node back ever more slowly.
      */
     private fun weighUsers() {
-        val leaderLease = election.leaderLease()
-        val others = membership.serving()
+        val leaderLease = election.leaderLease
+        val others = membership.countServing()
         declinesUsers = when {
             leaderLease == null || others < maxOf(MIN_OTHERS, settings.members.size) -> false
             else -> declinesUsers || (lagMs > BUSY_LAG_MS && clock.now() - leaderLease.electedAt > SETTLING_MS)
         }
     }
 
-    /** Waits while another node leads; false where there is nothing to wait for. */
-    fun awaitVacancy(waitMs: Long): Boolean = election.awaitVacancy(waitMs)
+    /** Waits up to [waitMs] while another node leads. */
+    fun awaitVacancy(waitMs: Long): VacancyWait = election.awaitVacancy(waitMs)
 
     private fun syncLeaderComponents() {
-        val leaderLease = election.leaderLease()
+        val leaderLease = election.leaderLease
         val current = leaderComponents.get()
         if (leaderLease == null) {
             if (current != null) {
@@ -240,7 +241,7 @@
 
     override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome {
         election.observeToken(heartbeat.token)
-        val leaderLease = election.leaderLease() ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat) ?: HeartbeatOutcome.Elsewhere(election.leader())
+        val leaderLease = election.leaderLease ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat) ?: HeartbeatOutcome.Elsewhere(election.leader)
         val leaderTerm = leaderComponents.get()?.leaderTerm
         if (!election.mayRenewWorkerLeases() || heartbeat.token.term > leaderLease.token.term) return HeartbeatOutcome.Elsewhere(null)
         if (leaderTerm == null || leaderTerm.leaderLease !== leaderLease || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Elsewhere(null)
@@ -256,10 +257,10 @@
 
     /** Before a user is told of a cancellation the leader is, if it can be reached, so that nothing of the job starts after it. */
     private fun tellCancelled(id: JobId) {
-        cancellations.committed(id)
+        cancellations.broadcast(id)
         val leaderTerm = leaderComponents.get()?.leaderTerm
         if (leaderTerm != null) return leaderTerm.jobs.cancellationsHeard(listOf(id))
-        val leader = election.leader() ?: return
+        val leader = election.leader ?: return
         membership.exchangeHeartbeatIfAlive(leader)
     }
 
@@ -268,21 +269,21 @@
 
     override fun onPeerHeartbeat(from: PeerHeartbeat): PeerHeartbeat = membership.onHeartbeat(from)
 
-    private inner class OwnState : PeerMembership.Own {
+    private inner class OwnState : PeerMembership.LocalNode {
         override fun ownHeartbeat() = PeerHeartbeat(
             settings.node.text,
-            election.highestToken().number.toLong(),
+            election.highestToken.number.toLong(),
             canServe(),
-            election.leaderLease() != null,
+            election.leaderLease != null,
             formatVersion = FORMAT_VERSION,
         )
 
         override fun onPeerHeartbeat(peerHeartbeat: PeerHeartbeat) {
-            formats.heard(NodeId(peerHeartbeat.node), peerHeartbeat.formatVersion)
+            formats.recordVersion(NodeId(peerHeartbeat.node), peerHeartbeat.formatVersion)
             election.observeToken(FencingToken(peerHeartbeat.token.toULong()))
             val cancelled = peerHeartbeat.cancelled.mapNotNull(JobId::parse)
             if (cancelled.isEmpty()) return
-            cancellations.heard(cancelled)
+            cancellations.receive(cancelled)
             leaderComponents.get()?.leaderTerm?.jobs?.cancellationsHeard(cancelled)
         }
     }
@@ -294,7 +295,7 @@
      * a node that called itself unready would only be passed over for longer once the trouble is past; and one that
      * has not asked the others yet cannot tell.
      */
-    private fun ready(): Boolean = if (canServe()) !declinesUsers else membership.hasExchangedHeartbeats && membership.serving() == 0
+    private fun ready(): Boolean = if (canServe()) !declinesUsers else membership.hasExchangedHeartbeats && membership.countServing() == 0
 
     private companion object {
         const val CONFIRMED_MS = 2500L
