--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -5,15 +5,19 @@
 import mountmast.coordination.election.LeaderElection
 import mountmast.coordination.election.LeaseTiming
 import mountmast.coordination.election.VacancyWait
+import mountmast.coordination.jobs.HostNode
 import mountmast.coordination.jobs.JobRecordPrefetcher
 import mountmast.coordination.jobs.JobService
+import mountmast.coordination.jobs.PrefetchResult
 import mountmast.coordination.membership.CancellationBroadcast
 import mountmast.coordination.membership.FormatNegotiation
 import mountmast.coordination.membership.PeerMembership
+import mountmast.coordination.persistence.CommitStep
 import mountmast.coordination.persistence.JournalCommitter
 import mountmast.coordination.scheduling.SchedulingPolicy
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.TaskLosses
+import mountmast.coordination.workers.DeliveryStep
 import mountmast.coordination.workers.LeaseRenewalDelegate
 import mountmast.protocol.Clock
 import mountmast.protocol.FencingToken
@@ -71,13 +75,13 @@
     val formats = FormatNegotiation(store, settings.members.map { it.node })
     private val membership = PeerMembership(settings.members, peers, cancellations, clock, OwnState())
     private val prerequisiteLists = PrerequisiteLists(store, settings.stateLimits)
-    private val jobService =
-        JobService(store, settings.teams, clock, membership::forward, ::ready, ::tellCancelled, settings.stateLimits, { formats.isCurrent })
+    private val hostNode = HostNode.of(membership::forward, ::ready, ::tellCancelled) { formats.isCurrent }
+    private val jobService = JobService(store, settings.teams, clock, settings.stateLimits, hostNode)
 
     /** What users may ask of this node. */
     val users: UserService get() = jobService
 
-    private val jobPrefetcher = JobRecordPrefetcher(store, jobService::noteRecord)
+    private val jobPrefetcher = JobRecordPrefetcher(store, jobService::cacheRecord)
 
     private class LeaderComponents(val leaderTerm: LeaderTerm, val writer: JournalCommitter, val autoscaler: Autoscaler)
 
@@ -106,7 +110,7 @@
         election.step()
         val leaderTerm = leaderComponents.get()?.leaderTerm
         // Cut off from the workers alone, in either direction, this node would renew for ever while their leases run out.
-        val why = leaderTerm?.heartbeats?.resignationReason() ?: leaderTerm?.let(::whyUninformed)
+        val why = leaderTerm?.liveness?.resignationReason() ?: leaderTerm?.let(::whyUninformed)
         if (leaderTerm != null && why != null && membership.countServing() > 0) election.resign(leaderTerm.leaderLease, why)
         syncLeaderComponents()
         weighUsers()
@@ -168,11 +172,12 @@
         store.setRole(leader = true)
         val leaderTerm =
             LeaderTerm(
-                leaderLease, store, workers, settings.teams, policy, timing, clock, { it in cancellations }, prerequisiteLists, jobService::noteRecord,
+                leaderLease, store, workers, settings.teams, policy, timing, clock, { it in cancellations }, prerequisiteLists, jobService::cacheRecord,
                 losses, invariants,
             )
         val writer = JournalCommitter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { election.stepDown() }
-        val autoscaler = Autoscaler(leaderTerm, cloud, clock, "${settings.node}-$run-${leaderLease.token}", autoscalingPolicy, timing, settings.cloudRps)
+        val autoscaler =
+            Autoscaler(leaderTerm, cloud, clock, "${settings.node}-$run-${leaderLease.token}", autoscalingPolicy, timing, settings.cloudRps)
         leaderComponents.set(LeaderComponents(leaderTerm, writer, autoscaler))
     }
 
@@ -194,11 +199,11 @@
     fun runSchedulingCycle() {
         val leaderTerm = leaderTerm() ?: return
         leaderTerm.runSchedulingCycle()
-        election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.heartbeats.expireSilent(it) }
+        election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.liveness.expireLeases(it) }
     }
 
     /** Writes what the ledger changed; false where there was nothing to write. */
-    fun write(): Boolean = leaderComponents.get()?.takeIf { it.leaderTerm.ready }?.writer?.step() ?: false
+    fun write(): Boolean = leaderComponents.get()?.takeIf { it.leaderTerm.ready }?.writer?.commitNext() == CommitStep.Written
 
     /** Learns of new and cancelled jobs; false where the state service did not tell. */
     fun watch(waitMs: Long): Boolean {
@@ -213,7 +218,7 @@
     }
 
     /** Hears of the jobs that other nodes accept, while this node does not lead; false where there is nothing to wait for. */
-    fun watchJobs(waitMs: Long): Boolean = leaderComponents.get() == null && jobPrefetcher.step(waitMs)
+    fun watchJobs(waitMs: Long): Boolean = leaderComponents.get() == null && jobPrefetcher.prefetch(waitMs) == PrefetchResult.WATCHED
 
     /** Learns what became of jobs that others wait for; false where there was nothing to learn. */
     fun resolvePrerequisites(): Boolean {
@@ -230,28 +235,32 @@
     fun autoscale() {
         val current = leaderComponents.get()?.takeIf { it.leaderTerm.ready } ?: return
         val confirmed = election.confirmedUntil(current.leaderTerm.leaderLease) ?: return
-        if (clock.now() - confirmed < CONFIRMED_MS) current.autoscaler.step()
+        if (clock.now() - confirmed < CONFIRMED_MS) current.autoscaler.runRound()
     }
 
     /** Sends commands to one worker; false where there were none to send. */
-    fun deliverCommands(waitMs: Long): Boolean = leaderTerm()?.dispatch?.deliverNext(waitMs) ?: false
+    fun deliverCommands(waitMs: Long): Boolean = leaderTerm()?.dispatch?.deliverNext(waitMs) == DeliveryStep.DONE
 
     /** Calls one worker that may still be with a former leader; false where there was none to call. */
-    fun announceLeader(): Boolean = leaderTerm()?.dispatch?.announceNext() ?: false
+    fun announceLeader(): Boolean = leaderTerm()?.dispatch?.announceNext() == DeliveryStep.DONE
 
     override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome {
         election.observeToken(heartbeat.token)
-        val leaderLease = election.leaderLease ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat) ?: HeartbeatOutcome.Elsewhere(election.leader)
+        val leaderLease = election.leaderLease ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat)
         val leaderTerm = leaderComponents.get()?.leaderTerm
         if (!election.mayRenewWorkerLeases() || heartbeat.token.term > leaderLease.token.term) return HeartbeatOutcome.Elsewhere(null)
-        if (leaderTerm == null || leaderTerm.leaderLease !== leaderLease || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Elsewhere(null)
+        if (leaderTerm == null || leaderTerm.leaderLease !== leaderLease ||
+            !leaderTerm.mayRenewWorkerLeases()
+        ) {
+            return HeartbeatOutcome.Elsewhere(null)
+        }
         val receivedAt = clock.now()
         val answer = if (leaderTerm.ready) {
             leaderTerm.heartbeats.onHeartbeat(heartbeat)
         } else {
             HeartbeatResponse(maxOf(leaderLease.token, heartbeat.token), leaseRenewalDelegate.stopCommandsFor(heartbeat))
         }
-        if (answer.token.number > 0u) leaderTerm.heartbeats.renewals.note(heartbeat.machine, receivedAt)
+        if (answer.token.number > 0u) leaderTerm.liveness.renewals.record(heartbeat.machine, receivedAt)
         return HeartbeatOutcome.Accepted(answer)
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
@@ -73,9 +73,9 @@
             settings = settings.copy(
                 policy = when (element) {
                     "smoothing" -> policy.copy(smoothing = number(element, 0.01, 1.0))
-                    "borrowing" -> policy.copy(borrowing = number(element, 1.0, 100.0))
+                    "borrowing" -> policy.copy(borrowingFactor = number(element, 1.0, 100.0))
                     "overhead-weight" -> policy.copy(overheadWeight = number(element, 0.0, 100.0))
-                    "fragment-weight" -> policy.copy(fragmentWeight = number(element, 0.0, 100.0))
+                    "fragment-weight" -> policy.copy(fragmentationWeight = number(element, 0.0, 100.0))
                     "pass-ms" -> policy.copy(cycleMs = whole(element, 50, 60_000).toLong())
                     "run-decay" -> policy.copy(runDecay = number(element, 0.0, 0.99))
                     "evictions-per-pass" -> policy.copy(preemptionsPerCycle = whole(element, 0, 1000))
@@ -110,10 +110,10 @@
             val fleet = settings.fleet
             settings = settings.copy(
                 fleet = when (element) {
-                    "idle-return-s" -> fleet.copy(idleReturnMs = millis(element, 5.0, 86_400.0))
-                    "no-capacity-pause-s" -> fleet.copy(noCapacityPauseMs = millis(element, 1.0, 3600.0))
-                    "list-every-s" -> fleet.copy(listEveryMs = millis(element, 1.0, 600.0))
-                    "types-every-s" -> fleet.copy(typesEveryMs = millis(element, 5.0, 86_400.0))
+                    "idle-return-s" -> fleet.copy(idleTimeoutMs = millis(element, 5.0, 86_400.0))
+                    "no-capacity-pause-s" -> fleet.copy(noCapacityBackoffMs = millis(element, 1.0, 3600.0))
+                    "list-every-s" -> fleet.copy(listIntervalMs = millis(element, 1.0, 600.0))
+                    "types-every-s" -> fleet.copy(typesIntervalMs = millis(element, 5.0, 86_400.0))
                     else -> refuse("unknown element <$element>")
                 },
             )
