--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -12,7 +12,6 @@
 import mountmast.coordination.membership.PeerMembership
 import mountmast.coordination.state.Invariants
 import mountmast.coordination.state.TaskLosses
-import mountmast.coordination.workers.DeliveryStep
 import mountmast.coordination.workers.LeaseRenewalDelegate
 import mountmast.protocol.Clock
 import mountmast.protocol.Heartbeat
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -13,6 +13,8 @@
 import mountmast.coordination.state.JobDependencies
 import mountmast.coordination.state.JobInformer
 import mountmast.coordination.state.JobInformerListener
+import mountmast.coordination.state.JobInformerSources
+import mountmast.coordination.state.JobInformerState
 import mountmast.coordination.state.TermSignals
 import mountmast.coordination.workers.CommandDispatcher
 import mountmast.coordination.workers.HeartbeatHandler
@@ -57,11 +59,13 @@
 
     /** Guards [cluster] and all parts of the term. Held for moments; never during I/O. */
     override val lock = ReentrantLock()
+
     /** The cluster as this leader knows it; guarded by [lock]. */
-    override val cluster = ClusterState(policy.runDecay, losses).apply { beginTerm(leaderLease.token) }
+    override val cluster = ClusterState(policy.runDecay, losses).apply { assignments.beginTerm(leaderLease.token) }
 
     /** Where the journal stands in the store. */
     override val journal = JournalState()
+
     /** Wakes the threads that place tasks and commit changes; guarded by [lock]. */
     override val signals = TermSignals(lock)
     private val reachability = ReachabilityMonitor(cluster, leaderLease, timing)
@@ -73,7 +77,13 @@
 
     /** Watches the jobs in the store. */
     override val jobs =
-        JobInformer(lock, cluster, dependencies, signals, store, prerequisiteLists, clock, leaderLease.watermark, JobsListener())
+        JobInformer(
+            JobInformerState(lock, cluster, dependencies, signals),
+            JobInformerSources(store, prerequisiteLists),
+            clock,
+            leaderLease.watermark,
+            JobsListener(),
+        )
 
     private val workerContext = WorkerContext(lock, cluster, leaderLease, signals, timing, clock, invariants)
     private val outstandingCommands = OutstandingCommands(workerContext) { now -> jobs.unknownForMs(now) < timing.ttlMs }
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
@@ -43,8 +43,7 @@
     }
 
     /** Commits one batch of pending changes. */
-    fun commitPendingChanges(): StepResult =
-        StepResult.of(leader.loaded()?.committer?.commitNext() == CommitStep.Written)
+    fun commitPendingChanges(): StepResult = StepResult.of(leader.loaded()?.committer?.commitNext() == CommitStep.Written)
 
     /** Reads new and cancelled jobs from the store, waiting up to [waitMs] for the next. */
     fun watchJobs(waitMs: Long): StepResult {
@@ -77,8 +76,7 @@
     }
 
     /** Delivers the commands due to one worker, waiting up to [waitMs] for some. */
-    fun deliverCommands(waitMs: Long): StepResult =
-        StepResult.of(leaderTerm()?.dispatch?.deliverNext(waitMs) == DeliveryStep.DONE)
+    fun deliverCommands(waitMs: Long): StepResult = StepResult.of(leaderTerm()?.dispatch?.deliverNext(waitMs) == DeliveryStep.DONE)
 
     /** Announces this leader to one worker that may still follow a former one. */
     fun announceLeader(): StepResult = StepResult.of(leaderTerm()?.dispatch?.announceNext() == DeliveryStep.DONE)
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -1,6 +1,5 @@
 package mountmast.coordination.controller
 
-import mountmast.coordination.election.VacancyWait
 import mountmast.protocol.Settings
 import mountmast.transport.AdmissionLimits
 import mountmast.transport.BoundedServer
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -64,7 +64,7 @@
         val job = cluster.jobs[start.job]?.takeIf { it.isReleased } ?: return
         val machine = cluster.machines[start.machine] ?: return
         if (log.isDebugEnabled) logStart(start, job, machine, plan)
-        cluster.assign(job, start.index, machine, now)
+        cluster.assignments.assign(job, start.index, machine, now)
     }
 
     private fun logStart(start: Start, job: Job, machine: Machine, plan: SchedulingPlan) = log.debug(
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -56,7 +56,7 @@
         // What waits for other jobs is no demand yet, whatever it has been promised.
         dependencies.refreshInheritedPriorities()
         for (job in cluster.jobs.values) if (!job.cancelled && job.isReleased) jobs += view(job, now)
-        return ClusterSnapshot(machines, jobs, teams.keys.associateWith { cluster.use(it) }, teams, assurance, index)
+        return ClusterSnapshot(machines, jobs, teams.keys.associateWith { cluster.assignments.usageOf(it) }, teams, assurance, index)
     }
 
     /** Looks at each machine once; only those that changed since the cycle before are grouped anew. */
@@ -108,7 +108,7 @@
 
     /** How long a task will still run according to its estimate, in seconds. */
     fun remainingS(assignment: Assignment, now: MonotonicTime): Double {
-        val estimate = cluster.runEstimateS(assignment.job)
+        val estimate = cluster.estimates.estimateS(assignment.job)
         val elapsed = assignment.runningSince?.let { (now - it) / 1000.0 } ?: 0.0
         return maxOf(estimate - elapsed, estimate * MIN_REMAINING)
     }
@@ -125,7 +125,7 @@
     }
 
     private fun view(job: Job, now: MonotonicTime): JobView {
-        val runS = cluster.runEstimateS(job)
+        val runS = cluster.estimates.estimateS(job)
         val perZone = if (!job.spec.singleZone && !job.spec.spreadAcrossZones) {
             emptyMap()
         } else {
--- a/src/main/kotlin/mountmast/coordination/state/Assignment.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Assignment.kt
@@ -1,7 +1,6 @@
 package mountmast.coordination.state
 
 import mountmast.protocol.Attempt
-import mountmast.protocol.HeartbeatSequence
 import mountmast.protocol.MachineId
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.TaskState
@@ -12,25 +11,10 @@
 data class Placement(val machine: MachineId, val incarnation: WorkerIncarnation, val zone: Zone)
 
 /** One attempt of a task on a machine, in one incarnation of its worker. Guarded as its [ClusterState] is. */
-class Assignment(
-    val job: Job,
-    val index: Int,
-    val placement: Placement,
-    val attempt: Attempt,
-    var phase: Phase,
-    val placedAt: MonotonicTime,
-) {
-    /** An assignment with its [Placement] in parts. */
-    constructor(
-        job: Job,
-        index: Int,
-        machine: MachineId,
-        incarnation: WorkerIncarnation,
-        attempt: Attempt,
-        zone: Zone,
-        phase: Phase,
-        placedAt: MonotonicTime,
-    ) : this(job, index, Placement(machine, incarnation, zone), attempt, phase, placedAt)
+class Assignment(val job: Job, val index: Int, val placement: Placement, val attempt: Attempt, phase: Phase) {
+    /** How far it has come. */
+    var phase = phase
+        private set
 
     val machine: MachineId get() = placement.machine
     val incarnation: WorkerIncarnation get() = placement.incarnation
@@ -39,37 +23,42 @@
     /** The task's name as the worker writes it. */
     val taskName = "${job.id}/$index"
 
-    /** What names the attempt to the worker. */
-    val key = taskName to attempt
-
     /** The state in the last heartbeat that listed the attempt, or null before the first one. */
     var reported: TaskState? = null
+        private set
 
     /** When the worker first reported it as running. */
     var runningSince: MonotonicTime? = null
+        private set
 
     /** Set once the task is to be stopped: how long it may save its progress, in seconds. */
     var terminationGraceS: Double? = null
+        private set
 
     /** Whether it ended by completing. */
     var completed = false
+        private set
 
     /** Whether it is stopped to free its machine for another job. */
     var preempted = false
+        private set
 
     /** Whether a transaction that lists it is on its way. */
     var beingWritten = false
+        private set
 
     /** Whether a transaction that lists it was committed. */
     var written = false
+        private set
 
     /** Whether it took far longer than others of its job elsewhere. */
     var isStraggler = false
+        private set
 
     /** Messages to the worker that carry its start. */
     val startDelivery = StartDelivery()
-    var deliveriesInFlight by startDelivery::inFlight
-    var startedInHeartbeat by startDelivery::inHeartbeat
+    val deliveriesInFlight by startDelivery::inFlight
+    val startedInHeartbeat by startDelivery::inHeartbeat
 
     /** Records that a heartbeat that arrived at [now] lists the attempt in [state]. */
     fun recordReported(state: TaskState, now: MonotonicTime) {
@@ -125,16 +114,4 @@
     internal fun markStraggler() {
         isStraggler = true
     }
-
-    /** Records that the answer to [heartbeat] carries the start. */
-    fun recordStartSent(heartbeat: HeartbeatSequence) = startDelivery.recordAnswer(heartbeat)
-
-    /** Records that a heartbeat shows the start to have been executed. */
-    fun confirmStart() = startDelivery.confirm()
-
-    /** Records that a direct request with the start is on its way. */
-    fun beginDelivery() = startDelivery.beginRequest()
-
-    /** Records that a direct request with the start was answered or given up. */
-    fun endDelivery() = startDelivery.endRequest()
 }
--- a/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
+++ b/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
@@ -35,7 +35,7 @@
      */
     fun assign(job: Job, index: Int, machine: Machine, now: MonotonicTime): Assignment {
         val placement = Placement(machine.id, checkNotNull(machine.incarnation), checkNotNull(machine.zone))
-        val assignment = Assignment(job, index, placement, Attempt(++lastAttempt), Phase.INTENDED, now)
+        val assignment = Assignment(job, index, placement, Attempt(++lastAttempt), Phase.INTENDED)
         place(assignment, machine)
         machine.touchImage(job.spec.image, job.spec.imageGb, cluster.types[machine.type]?.cacheGb ?: 0.0)
         job.recordPlacement(now)
@@ -51,14 +51,14 @@
         val machine = cluster.machines.getOrPut(placement.machine) {
             Machine(placement.machine, null, null, false, MachineState.SILENT).apply { worker.assumeHeartbeat(now) }
         }
-        val assignment = Assignment(job, index, placement, attempt, Phase.COMMITTED, now)
+        val assignment = Assignment(job, index, placement, attempt, Phase.COMMITTED)
         assignment.markJournaled()
         if (job.cancelled) assignment.stopAtOnce()
         place(assignment, machine)
     }
 
     /** Counts [assignment] as being on [machine]. */
-    internal fun place(assignment: Assignment, machine: Machine) {
+    private fun place(assignment: Assignment, machine: Machine) {
         val job = assignment.job
         job.live.put(assignment.index, assignment)
         job.setOpen(assignment.index, false)
--- a/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -1,7 +1,5 @@
 package mountmast.coordination.state
 
-import mountmast.protocol.Attempt
-import mountmast.protocol.FencingToken
 import mountmast.protocol.ImageId
 import mountmast.protocol.JobId
 import mountmast.protocol.MachineId
@@ -9,11 +7,8 @@
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.ModRevision
 import mountmast.protocol.MonotonicTime
-import mountmast.protocol.Resources
-import mountmast.protocol.TeamId
 import mountmast.protocol.TypeId
 import mountmast.protocol.WallTime
-import mountmast.protocol.WorkerIncarnation
 import mountmast.storage.JobRecord
 
 /**
@@ -124,36 +119,4 @@
         val forgotten = tombstones.entries.takeWhile { now - it.value > ageMs }.map { it.key }
         tombstones.keys.removeAll(forgotten.toSet())
     }
-
-    /** See [AssignmentLifecycle.beginTerm]. */
-    fun beginTerm(token: FencingToken) = assignments.beginTerm(token)
-
-    /** See [AssignmentLifecycle.usageOf]. */
-    fun use(team: TeamId): Resources = assignments.usageOf(team)
-
-    /** See [AssignmentLifecycle.assign]. */
-    fun assign(job: Job, index: Int, machine: Machine, now: MonotonicTime): Assignment = assignments.assign(job, index, machine, now)
-
-    /** See [AssignmentLifecycle.restore]. */
-    fun restoreAssignment(job: Job, index: Int, placement: Placement, attempt: Attempt, now: MonotonicTime) =
-        assignments.restore(job, index, placement, attempt, now)
-
-    /** See [AssignmentLifecycle.place]. */
-    internal fun place(assignment: Assignment, machine: Machine) = assignments.place(assignment, machine)
-
-    /** See [AssignmentLifecycle.end]. */
-    fun end(assignment: Assignment, completed: Boolean) = assignments.end(assignment, completed)
-
-    /** See [AssignmentLifecycle.release]. */
-    fun release(assignment: Assignment, now: MonotonicTime) = assignments.release(assignment, now)
-
-    /** See [AssignmentLifecycle.endIncarnation]. */
-    fun endIncarnation(machine: Machine, incarnation: WorkerIncarnation?, cause: LossCause) =
-        assignments.endIncarnation(machine, incarnation, cause)
-
-    /** See [RunTimeEstimates.recordRun]. */
-    fun learnRun(team: TeamId, runS: Double) = estimates.recordRun(team, runS)
-
-    /** See [RunTimeEstimates.estimateS]. */
-    fun runEstimateS(job: Job): Double = estimates.estimateS(job)
 }
--- a/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
@@ -7,22 +7,26 @@
 class CommandDeliveryState {
     /** Whether a request waits for its answer; there is at most one. */
     var isInFlight = false
+        private set
 
     /** No request is sent before this. */
     var notBefore = MonotonicTime(Long.MIN_VALUE)
+        private set
 
     /** When this leader last announced itself to the worker. */
     var announcedAt = MonotonicTime(0)
+        private set
 
     /** By how much the fencing token for this machine is above the term's first. */
     var tokenOffset = 0
+        private set
 
     /**
      * Attempts whose start was in a request that got no answer, with the token offset of that request. It may still be executed,
      * minutes later, and a start repeated after `forget` runs the task again; so these are not forgotten within this
      * incarnation, until the worker shows a higher token.
      */
-    val unansweredStarts = HashMap<Pair<String, Attempt>, Int>()
+    private val unansweredStarts = HashMap<TaskAttempt, Int>()
 
     /** Records that a request with commands is on its way. */
     fun begin() {
@@ -47,15 +51,15 @@
 
     /** Records that the start of an attempt got no answer, in a request with the token offset [sentWith]. */
     fun recordUnansweredStart(taskName: String, attempt: Attempt, sentWith: Int) {
-        unansweredStarts[taskName to attempt] = sentWith
+        unansweredStarts[TaskAttempt(taskName, attempt)] = sentWith
     }
 
     /** Whether a start of the attempt that got no answer may still be executed. */
-    fun hasUnansweredStart(taskName: String, attempt: Attempt) = taskName to attempt in unansweredStarts
+    fun hasUnansweredStart(taskName: String, attempt: Attempt) = TaskAttempt(taskName, attempt) in unansweredStarts
 
     /** Raises the fencing token above that of an unanswered start of the attempt, if there is one, so that the worker refuses it. */
     fun fenceOffStart(taskName: String, attempt: Attempt) {
-        val sentWith = unansweredStarts[taskName to attempt] ?: return
+        val sentWith = unansweredStarts[TaskAttempt(taskName, attempt)] ?: return
         tokenOffset = maxOf(tokenOffset, sentWith + 1)
     }
 
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -99,24 +99,27 @@
 
     /** How long its tasks ran. */
     val runStatistics = RunStatistics()
-    var runs by runStatistics::runs
-    var runSumS by runStatistics::runSumS
+    val runs by runStatistics::runs
+    val runSumS by runStatistics::runSumS
     val slowOn get() = runStatistics.slowOn
 
     /** How its tasks failed lately. */
     val recentFailures = JobFailures()
     val failedOn get() = recentFailures.machines
-    var failures by recentFailures::count
-    var notBefore by recentFailures::notBefore
+    val failures by recentFailures::count
+    val notBefore by recentFailures::notBefore
 
     /** When a task was last placed or the job became known or was released, for detecting that it stalls. */
     var lastProgress = MonotonicTime(0)
+        private set
 
     /** When operators were last informed that it stalls; null once it goes on. */
     var lastStallReport: MonotonicTime? = null
+        private set
 
     /** Whether operators were informed that it is late. */
     var calledLate = false
+        private set
 
     /**
      * Whether it fails wherever it runs: it is backed off, and has no claim on the guarantee. A job with a mistake never completes
--- a/src/main/kotlin/mountmast/coordination/state/JobFailures.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobFailures.kt
@@ -11,9 +11,11 @@
 
     /** Failures since one of the job's tasks last completed. */
     var count = 0
+        private set
 
     /** None of its tasks is placed before this. */
     var notBefore = MonotonicTime(Long.MIN_VALUE)
+        private set
 
     /** Records that a task failed on [machine]. */
     internal fun record(machine: MachineId) {
--- a/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
@@ -45,25 +45,6 @@
     /** All changes of jobs before this are known. */
     private var knownUpTo = Moment(MonotonicTime(0), knownBefore)
 
-    /** An informer whose state and sources are given one by one. */
-    constructor(
-        lock: ReentrantLock,
-        cluster: ClusterState,
-        dependencies: JobDependencies,
-        signals: TermSignals,
-        store: StateStore,
-        prerequisiteLists: PrerequisiteLists,
-        clock: Clock,
-        knownBefore: WallTime,
-        listener: JobInformerListener,
-    ) : this(
-        JobInformerState(lock, cluster, dependencies, signals),
-        JobInformerSources(store, prerequisiteLists),
-        clock,
-        knownBefore,
-        listener,
-    )
-
     /** For how long changes of jobs may have gone unknown at [now], in milliseconds; the caller holds the lock. */
     fun unknownForMs(now: MonotonicTime): Long = now - knownUpTo.monotonic
 
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -14,7 +14,11 @@
  *
  * What it consists of changes by the methods of its parts; the delegating properties read them.
  */
-class Machine(val id: MachineId, val type: TypeId?, val zone: Zone?, val spot: Boolean, var state: MachineState) {
+class Machine(val id: MachineId, val type: TypeId?, val zone: Zone?, val spot: Boolean, state: MachineState) {
+    /** Its condition. */
+    var state = state
+        private set
+
     /** What the worker's heartbeats say, and what was answered to them. */
     val worker = WorkerStatus()
 
@@ -31,46 +35,46 @@
     val health = MachineHealth()
     private val imageCache = ImageCache()
 
-    var address by worker::address
-    var incarnation by worker::incarnation
-    var incarnationSince by worker::incarnationSince
-    var sequence by worker::sequence
-    var heardAt by worker::heardAt
-    var lastHeartbeatAt by worker::lastHeartbeatAt
-    var answeredHeartbeatSequence by worker::answeredHeartbeatSequence
-    var answeredSequence by worker::answeredSequence
-    var leaseRenewedAt by worker::leaseRenewedAt
-    var hasShownCurrentTerm by worker::hasShownCurrentTerm
-    var unassignedTasks by worker::unassignedTasks
-
-    var deliveryInFlight by delivery::isInFlight
-    var deliverNotBefore by delivery::notBefore
-    var announcedAt by delivery::announcedAt
-    var tokenOffset by delivery::tokenOffset
-    val mayStillStart get() = delivery.unansweredStarts
-
-    var unacknowledgedHeartbeats by reachability::unacknowledgedHeartbeats
-    var unreachedSince by reachability::unreachedSince
-
-    var rentedAt by rental::rentedAt
-    var knownAt by rental::knownAt
-    var idleSince by rental::idleSince
-    var reclaimNoticed by rental::reclaimNoticed
-    var reclaimNoticeS by rental::reclaimNoticeS
-    var deleting by rental::deleting
-    var listedFailed by rental::listedFailed
-    var listedRunning by rental::listedRunning
+    val address by worker::address
+    val incarnation by worker::incarnation
+    val incarnationSince by worker::incarnationSince
+    val sequence by worker::sequence
+    val heardAt by worker::heardAt
+    val lastHeartbeatAt by worker::lastHeartbeatAt
+    val answeredHeartbeatSequence by worker::answeredHeartbeatSequence
+    val answeredSequence by worker::answeredSequence
+    val leaseRenewedAt by worker::leaseRenewedAt
+    val hasShownCurrentTerm by worker::hasShownCurrentTerm
+    val unassignedTasks by worker::unassignedTasks
+
+    val deliveryInFlight by delivery::isInFlight
+    val deliverNotBefore by delivery::notBefore
+    val announcedAt by delivery::announcedAt
+    val tokenOffset by delivery::tokenOffset
+
+    val unacknowledgedHeartbeats by reachability::unacknowledgedHeartbeats
+    val unreachedSince by reachability::unreachedSince
+
+    val rentedAt by rental::rentedAt
+    val knownAt by rental::knownAt
+    val idleSince by rental::idleSince
+    val reclaimNoticed by rental::reclaimNoticed
+    val reclaimNoticeS by rental::reclaimNoticeS
+    val deleting by rental::deleting
+    val listedFailed by rental::listedFailed
+    val listedRunning by rental::listedRunning
 
     val strikes get() = health.strikes
-    var slowStrikes by health::slowStrikes
-    var quarantined by health::quarantined
-    var notBefore by health::notBefore
+    val slowStrikes by health::slowStrikes
+    val quarantined by health::quarantined
+    val notBefore by health::notBefore
 
     /** Images that were used here with their sizes in GB, least recently used first. */
     val images get() = imageCache.images
 
     /** When its worker's lease was found to have expired. */
     var expiredAt = MonotonicTime(0)
+        private set
 
     /** Every assignment not yet released, by the task's name as the worker writes it. */
     val live = LinkedHashMap<String, Assignment>()
@@ -88,13 +92,14 @@
 
     /** The job that this machine is reserved for, and preempted where need be. */
     var reservedFor: JobId? = null
-        set(value) {
+        private set(value) {
             field = value
             changes++
         }
 
     /** When the reservation ends. */
     var reservedUntil = MonotonicTime(0)
+        private set
 
     /** Whether tasks may be placed here at [now]. */
     fun usable(now: MonotonicTime) = state == MachineState.UP &&
--- a/src/main/kotlin/mountmast/coordination/state/MachineHealth.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineHealth.kt
@@ -10,12 +10,15 @@
 
     /** Tasks in a row that took far longer here than others of their job elsewhere. */
     var slowStrikes = 0
+        private set
 
     /** Whether it gets no more work, and is returned once it is empty. */
     var quarantined = false
+        private set
 
     /** No task is placed here before this. */
     var notBefore = MonotonicTime(Long.MIN_VALUE)
+        private set
 
     /** Places no task here before [until]. */
     fun pausePlacementUntil(until: MonotonicTime) {
--- a/src/main/kotlin/mountmast/coordination/state/MachineReachability.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineReachability.kt
@@ -6,9 +6,11 @@
 class MachineReachability {
     /** Heartbeats in a row that show no effect of the answers before them. */
     var unacknowledgedHeartbeats = 0
+        private set
 
     /** Since when answers and commands seem not to reach the worker although its heartbeats arrive; null while they do. */
     var unreachedSince: MonotonicTime? = null
+        private set
 
     /** Counts [heartbeats] more that show no effect of the answers before them. */
     fun countUnacknowledged(heartbeats: Int = 1) {
--- a/src/main/kotlin/mountmast/coordination/state/MachineRental.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineRental.kt
@@ -6,27 +6,35 @@
 class MachineRental {
     /** When it was rented, as far as is known. */
     var rentedAt = MonotonicTime(0)
+        private set
 
     /** When this leader first knew of it. */
     var knownAt = MonotonicTime(0)
+        private set
 
     /** Since when no task has been on it, where none is. */
     var idleSince = MonotonicTime(0)
+        private set
 
     /** Whether the cloud has announced that it will reclaim the machine. */
     var reclaimNoticed = false
+        private set
 
     /** How long before the reclaim the cloud gave notice, in seconds. */
     var reclaimNoticeS = 0.0
+        private set
 
     /** Whether it was chosen for deletion; that is never taken back. */
     var deleting = false
+        private set
 
     /** Whether the cloud lists it as failed. */
     var listedFailed = false
+        private set
 
     /** Whether the cloud listed it as running when this leader first saw it; it counts only once it sends heartbeats. */
     var listedRunning = false
+        private set
 
     /** Records that it was rented at [rented] and is known to this leader since [known]. */
     fun recordRental(rented: MonotonicTime, known: MonotonicTime) {
--- a/src/main/kotlin/mountmast/coordination/state/RunStatistics.kt
+++ b/src/main/kotlin/mountmast/coordination/state/RunStatistics.kt
@@ -6,9 +6,11 @@
 class RunStatistics {
     /** Runs of its completed tasks, stragglers left out. */
     var runs = 0
+        private set
 
     /** Their duration together, in seconds. */
     var runSumS = 0.0
+        private set
 
     /** Machines that this job's tasks ran slowly on. */
     val slowOn = HashSet<MachineId>()
--- a/src/main/kotlin/mountmast/coordination/state/StartDelivery.kt
+++ b/src/main/kotlin/mountmast/coordination/state/StartDelivery.kt
@@ -6,9 +6,11 @@
 class StartDelivery {
     /** Direct requests with the start that wait for their answer. */
     var inFlight = 0
+        private set
 
     /** The latest heartbeat that was answered with the start; the next heartbeat shows whether that was executed. */
     var inHeartbeat: HeartbeatSequence? = null
+        private set
 
     /** Records that the answer to [heartbeat] carries the start. */
     fun recordAnswer(heartbeat: HeartbeatSequence) {
--- a/src/main/kotlin/mountmast/coordination/state/WorkerStatus.kt
+++ b/src/main/kotlin/mountmast/coordination/state/WorkerStatus.kt
@@ -8,39 +8,50 @@
 class WorkerStatus {
     /** Where commands are sent, or null before it is known. */
     var address: String? = null
+        private set
 
     /** The worker's incarnation, or null before the first heartbeat. */
     var incarnation: WorkerIncarnation? = null
+        private set
 
     /** When the incarnation became known. */
     var incarnationSince = MonotonicTime(0)
+        private set
 
     /** The latest heartbeat of the incarnation that was reconciled. */
     var sequence = HeartbeatSequence(0u)
+        private set
 
     /** When a heartbeat last arrived, by itself or as the answer to a command. */
     var heardAt = MonotonicTime(0)
+        private set
 
     /** When a heartbeat last arrived by itself: a worker that only answers commands receives no answers to its heartbeats. */
     var lastHeartbeatAt = MonotonicTime(0)
+        private set
 
     /** The highest heartbeat of this incarnation that was answered as such, and not as the answer to a command. */
     var answeredHeartbeatSequence = HeartbeatSequence(0u)
+        private set
 
     /** The heartbeat of this incarnation that this leader answered last, if any. */
     var answeredSequence: HeartbeatSequence? = null
+        private set
 
     /** When a heartbeat was last answered, or the incarnation became known: the worker's lease runs from then at the latest. */
     var leaseRenewedAt = MonotonicTime(0)
+        private set
 
     /**
      * Whether the worker has shown the current leader's term: from then on it refuses what earlier leaders say, and its heartbeats
      * are no copies from before this term, which might be of a machine long gone.
      */
     var hasShownCurrentTerm = false
+        private set
 
     /** Tasks in the last heartbeat that the cluster state has no assignment for. */
     var unassignedTasks = emptyList<UnassignedTask>()
+        private set
 
     /**
      * Begins [next] as of [now]. An incarnation that nobody has answered yet holds a full lease from its beginning, which may have
--- a/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
@@ -36,7 +36,7 @@
      * the lock of the leader's term.
      */
     fun begin(machine: Machine, incarnation: WorkerIncarnation, commands: List<WorkerCommand>): OutgoingRequest {
-        forEachStart(machine, commands) { it.beginDelivery() }
+        forEachStart(machine, commands) { it.startDelivery.beginRequest() }
         machine.delivery.begin()
         return OutgoingRequest(machine, incarnation, commands)
     }
@@ -53,7 +53,7 @@
         val now = context.clock.now()
         val machine = request.machine
         machine.delivery.end()
-        forEachStart(machine, request.commands) { it.endDelivery() }
+        forEachStart(machine, request.commands) { it.startDelivery.endRequest() }
         when (outcome) {
             is CommandOutcome.Executed -> heartbeats.onCommandResponse(outcome.heartbeat, now)
             is CommandOutcome.Rejected -> heartbeats.onCommandResponse(outcome.heartbeat, now)
--- a/src/main/kotlin/mountmast/coordination/workers/OutstandingCommands.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/OutstandingCommands.kt
@@ -52,7 +52,7 @@
      */
     fun forHeartbeat(machine: Machine, sequence: HeartbeatSequence): List<WorkerCommand> {
         val commands = ArrayList<WorkerCommand>()
-        addForAssignments(commands, machine) { it.recordStartSent(sequence) }
+        addForAssignments(commands, machine) { it.startDelivery.recordAnswer(sequence) }
         for (task in machine.unassignedTasks) {
             if (!task.exited) {
                 commands += WorkerCommand(CommandType.STOP, task.taskName, task.attempt, 0.0)
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -69,7 +69,7 @@
         val outlivesLease = now - machine.incarnationSince > timing.leaseExpiryMs && heartbeat.token.term == leaderLease.token.term
         val commandedStarts = machine.live.values.filter { wasCommandedBefore(it, heartbeat) }
         val (missing, shown) = commandedStarts.partition { it.reported == null }
-        for (assignment in shown) assignment.confirmStart()
+        for (assignment in shown) assignment.startDelivery.confirm()
         return Evidence(isTokenBehind || missing.isNotEmpty(), outlivesLease || shown.isNotEmpty())
     }
 
--- a/src/main/kotlin/mountmast/protocol/JobValidation.kt
+++ b/src/main/kotlin/mountmast/protocol/JobValidation.kt
@@ -20,8 +20,7 @@
     )
 
     /** Returns the id in a submission. It is read before all else, since a known job is answered whatever the rest says. */
-    fun idOf(body: JsonObject): JobId =
-        JobId.parse(JobFields(body).string("nameId")) ?: throw Malformed("nameId: not a job id")
+    fun idOf(body: JsonObject): JobId = JobId.parse(JobFields(body).string("nameId")) ?: throw Malformed("nameId: not a job id")
 
     /** Returns the JSON object in [text]. Throws [Malformed] if it holds none. */
     fun parseObject(text: String): JsonObject {
--- a/src/main/kotlin/mountmast/protocol/StateLimits.kt
+++ b/src/main/kotlin/mountmast/protocol/StateLimits.kt
@@ -7,12 +7,7 @@
  * @property valueKb the largest value in KiB
  * @property transactionOps the most puts and deletes in one transaction
  */
-data class StateLimits(
-    val requestsPerSecond: Double,
-    val writesPerSecond: Double,
-    val valueKb: Double,
-    val transactionOps: Int,
-) {
+data class StateLimits(val requestsPerSecond: Double, val writesPerSecond: Double, val valueKb: Double, val transactionOps: Int) {
     /** The most compares in one transaction. */
     val transactionCompares: Int get() = transactionOps * COMPARES_PER_OP
 
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -147,7 +147,7 @@
         assertEquals(200, world.cancel(id))
         world.run(5000, busy = false)
         assertEquals(null, world.leader().cluster.jobs[id])
-        assertEquals(0.0, world.leader().cluster.use(TeamId("red")).cpus, 1e-9)
+        assertEquals(0.0, world.leader().cluster.assignments.usageOf(TeamId("red")).cpus, 1e-9)
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/state/AssignmentTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/AssignmentTest.kt
@@ -18,7 +18,7 @@
 class AssignmentTest {
     private val job = Job(World(1).job(1) { it.copy(checkpointSaveS = 7.0) }, WallTime(0), ModRevision(1u))
     private val placement = Placement(MachineId("vm-1"), WorkerIncarnation(1u), Zone("a"))
-    private val assignment = Assignment(job, 0, placement, Attempt(1u), Phase.INTENDED, MonotonicTime(0))
+    private val assignment = Assignment(job, 0, placement, Attempt(1u), Phase.INTENDED)
 
     @Test
     fun `a preempted task may save its progress`() {
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -48,7 +48,7 @@
         ) is HeartbeatReconciliation.Applied
 
     private fun place(index: Int, machine: String, at: Long, of: Job = job): Assignment =
-        cluster.assign(of, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply { markJournaled() }
+        cluster.assignments.assign(of, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply { markJournaled() }
 
     private fun arrayJob(number: Int, tasks: Int): Job {
         val spec = World(1).job(number) { it.copy(shape = Shape.ARRAY, tasks = tasks) }
@@ -74,10 +74,10 @@
         val assignment = place(0, "vm-1", 0)
         heartbeat("vm-1", 100, assignment.shown(TaskState.EXITED, ExitCause.STOPPED))
         assertEquals(Phase.ENDED, assignment.phase)
-        assertEquals(spec.cpus, cluster.use(spec.team).cpus)
+        assertEquals(spec.cpus, cluster.assignments.usageOf(spec.team).cpus)
         assertFalse(job.open.get(0))
-        cluster.release(assignment, MonotonicTime(200))
-        assertEquals(0.0, cluster.use(spec.team).cpus)
+        cluster.assignments.release(assignment, MonotonicTime(200))
+        assertEquals(0.0, cluster.assignments.usageOf(spec.team).cpus)
         assertTrue(job.open.get(0))
         assertTrue(place(0, "vm-1", 300).attempt > assignment.attempt, "attempts are never reused")
     }
@@ -108,7 +108,7 @@
             val assignment = place(index, machine, from)
             heartbeat(machine, from, assignment.shown(TaskState.RUNNING))
             heartbeat(machine, from + ms, assignment.shown(TaskState.EXITED, ExitCause.DONE))
-            cluster.release(assignment, MonotonicTime(from + ms))
+            cluster.assignments.release(assignment, MonotonicTime(from + ms))
         }
         repeat(2) { runOn("vm-0", it, 1000) }
         for (number in 1..4) repeat(2) { runOn("vm-$number", number * 2 + it, 60_000) }
@@ -151,7 +151,7 @@
             heartbeat(machine, at)
             val assignment = place(index, machine, at, of)
             heartbeat(machine, at + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
-            cluster.release(assignment, MonotonicTime(at + 20))
+            cluster.assignments.release(assignment, MonotonicTime(at + 20))
         }
         for ((i, machine) in listOf("vm-1", "vm-2", "vm-3").withIndex()) failTask(job, i, machine, i * 5000L)
         assertTrue(job.poisoned)
--- a/src/test/kotlin/mountmast/standin/production/ProductionStore.kt
+++ b/src/test/kotlin/mountmast/standin/production/ProductionStore.kt
@@ -39,11 +39,10 @@
         return page.copy(entries = page.entries.map { it.copy(value = read(it.key, it.value)) })
     }
 
-    override fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult =
-        when (val outcome = inner.watch(prefix, from, waitMs)) {
-            is WatchResult.Changes -> outcome.copy(changes = outcome.changes.map(::read))
-            WatchResult.Compacted -> outcome
-        }
+    override fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult = when (val outcome = inner.watch(prefix, from, waitMs)) {
+        is WatchResult.Changes -> outcome.copy(changes = outcome.changes.map(::read))
+        WatchResult.Compacted -> outcome
+    }
 
     private fun read(change: WatchEvent): WatchEvent = change.copy(value = change.value?.let { read(change.key, it) })
 
