--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -7,7 +7,7 @@
 // during an upgrade: fields are only added, optional, and no number is ever used again for something else.
 
 /**
- * What controller nodes tell one another about once a second.
+ * What controller nodes tell one another every two seconds.
  *
  * @property token the highest fencing token that the sender has seen
  * @property serves whether the sender reaches the state service and knows the machine types, so that it can serve users
