--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
@@ -83,7 +83,7 @@
         machine.rental.recordFirstListing(isRunning = listed.state == ListedState.RUNNING)
         machine.worker.recordListedAddress(listed.address)
         machine.worker.assumeLeaseRenewal(known?.leaseRenewedAt ?: now)
-        known?.let(machine::takeOver)
+        known?.let(machine::inheritAssignments)
         return machine
     }
 
--- a/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
@@ -16,8 +16,12 @@
     /** Counts a machine that is about to be scaled in, if it was lost or did not boot. */
     fun recordScaleIn(machine: Machine) {
         val offering = machine.offering() ?: return
-        if (machine.state == MachineState.BOOTING && !machine.listedFailed) failedBoots.merge(offering, 1.0, Double::plus)
-        if (machine.spot && (machine.state == MachineState.EXPIRED || machine.reclaimNoticed)) spotLosses.merge(offering, 1.0, Double::plus)
+        if (machine.state == MachineState.BOOTING && !machine.isListedFailed) failedBoots.merge(offering, 1.0, Double::plus)
+        if (machine.spot &&
+            (machine.state == MachineState.EXPIRED || machine.isReclaimNoticed)
+        ) {
+            spotLosses.merge(offering, 1.0, Double::plus)
+        }
     }
 
     /** Lowers the weight of earlier events; called once in each round. */
@@ -49,7 +53,7 @@
             val offering = machine.offering() ?: continue
             if (machine.state != MachineState.BOOTING) {
                 if (now - machine.rentedAt < RECENT_MS) booted.merge(offering, 1, Int::plus)
-            } else if (!machine.deleting && !machine.listedRunning && isBootOverdue(machine, now)) {
+            } else if (!machine.isDeleting && !machine.isListedRunning && isBootOverdue(machine, now)) {
                 overdue.merge(offering, 1.0, Double::plus)
             }
         }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleIn.kt
@@ -44,9 +44,9 @@
     /** Returns the machines to delete, those chosen in earlier rounds and not yet deleted among them. */
     private fun chooseMachines(now: MonotonicTime): List<MachineId> {
         val chosen = cluster.machines.values.filter {
-            it.id !in cluster.tombstones && (it.deleting || rules.shouldScaleIn(it, now))
+            it.id !in cluster.tombstones && (it.isDeleting || rules.shouldScaleIn(it, now))
         }
-        for (machine in chosen) if (!machine.deleting) beginDeletion(machine)
+        for (machine in chosen) if (!machine.isDeleting) beginDeletion(machine)
         return chosen.map { it.id }
     }
 
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
@@ -28,19 +28,19 @@
 ) {
     /** Returns the reason to give for scaling in [machine]. */
     fun reason(machine: Machine): ScaleInReason = when {
-        machine.listedFailed -> ScaleInReason.LISTED_AS_FAILED
+        machine.isListedFailed -> ScaleInReason.LISTED_AS_FAILED
         machine.state == MachineState.EXPIRED -> ScaleInReason.LEASE_EXPIRED
-        machine.quarantined -> ScaleInReason.QUARANTINED
+        machine.isQuarantined -> ScaleInReason.QUARANTINED
         machine.unreachedSince != null -> ScaleInReason.UNREACHABLE
         machine.state == MachineState.BOOTING -> ScaleInReason.BOOT_TIMEOUT
-        machine.reclaimNoticed -> ScaleInReason.RECLAIMED
+        machine.isReclaimNoticed -> ScaleInReason.RECLAIMED
         else -> ScaleInReason.IDLE
     }
 
     /** Whether [machine] is to be scaled in at [now]; false as long as its type is not known. */
     fun shouldScaleIn(machine: Machine, now: MonotonicTime): Boolean {
         val type = context.cluster.types[machine.type] ?: return false
-        return machine.listedFailed ||
+        return machine.isListedFailed ||
             when (machine.state) {
                 // A machine that hung or was cut off comes back with its images, sooner than another one boots; one that is
                 // dead is listed as failed soon, and costs nothing.
@@ -64,7 +64,7 @@
     }
 
     private fun isUnneeded(machine: Machine, type: MachineType, now: MonotonicTime): Boolean {
-        if (machine.quarantined || machine.reclaimNoticed) return true
+        if (machine.isQuarantined || machine.isReclaimNoticed) return true
         return machine.reservedFor == null &&
             now - machine.idleSince > idleTimeoutMs(machine, type) &&
             now - machine.rentedAt > MIN_BILLED_MS
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
@@ -27,7 +27,7 @@
         val round = Round(now, history.overdueOfferings(now))
         for (unplaced in context.unplacedTasks) {
             val job = cluster.jobs[unplaced.job] ?: continue
-            if (!job.poisoned) round.coverTasks(job, unplaced.count)
+            if (!job.isPoisoned) round.coverTasks(job, unplaced.count)
         }
         return round.machinesToRequest
     }
@@ -64,9 +64,9 @@
         }
 
         private fun bestOffering(job: Job, wanted: Int, zones: ZoneBudget): PricedOffering? {
-            val usable = allOfferings().mapNotNull { price(it, job, wanted, zones) }.toList()
-            val punctual = usable.filter { it.offering !in overdueOfferings }
-            val choices = punctual.ifEmpty { usable }
+            val isUsable = allOfferings().mapNotNull { price(it, job, wanted, zones) }.toList()
+            val punctual = isUsable.filter { it.offering !in overdueOfferings }
+            val choices = punctual.ifEmpty { isUsable }
             val cheapest = choices.minOfOrNull { it.pricePerTask } ?: return null
             // Small machines become idle sooner and leave the large ones, of which there are few, to tasks that need them.
             return choices.filter { it.pricePerTask <= cheapest * NEARLY_CHEAPEST_FACTOR }
@@ -88,11 +88,11 @@
     }
 
     /** Whether the machine boots, or its worker has yet to show this leader's token: no cycle has given it tasks so far. */
-    private fun isExpectedSoon(machine: Machine, now: MonotonicTime): Boolean = !machine.deleting &&
-        !machine.reclaimNoticed &&
+    private fun isExpectedSoon(machine: Machine, now: MonotonicTime): Boolean = !machine.isDeleting &&
+        !machine.isReclaimNoticed &&
         when (machine.state) {
             MachineState.BOOTING ->
-                if (machine.listedRunning) now - machine.knownAt < firstHeartbeatMs else !history.isBootOverdue(machine, now)
+                if (machine.isListedRunning) now - machine.knownAt < firstHeartbeatMs else !history.isBootOverdue(machine, now)
             MachineState.UP -> !machine.hasShownCurrentTerm && machine.live.isEmpty() && now - machine.incarnationSince < firstHeartbeatMs
             else -> false
         }
--- a/src/main/kotlin/mountmast/coordination/controller/CancellationAnnouncer.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/CancellationAnnouncer.kt
@@ -19,7 +19,7 @@
     fun announce(id: JobId) {
         cancellations.broadcast(id)
         val leaderTerm = leader.get()?.leaderTerm
-        if (leaderTerm != null) return leaderTerm.jobs.cancellationsHeard(listOf(id))
+        if (leaderTerm != null) return leaderTerm.jobs.cancelByBroadcast(listOf(id))
         val leadingNode = election.leader ?: return
         membership.exchangeHeartbeatIfAlive(leadingNode)
     }
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -86,7 +86,7 @@
         )
 
     private val workerContext = WorkerContext(lock, cluster, leaderLease, signals, timing, clock, invariants)
-    private val outstandingCommands = OutstandingCommands(workerContext) { now -> jobs.unknownForMs(now) < timing.ttlMs }
+    private val outstandingCommands = OutstandingCommands(workerContext) { now -> jobs.stalenessMs(now) < timing.ttlMs }
 
     /** What the workers' heartbeats change, and the responses to them. */
     val heartbeats = HeartbeatHandler(workerContext, outstandingCommands, reachability)
@@ -138,11 +138,11 @@
      * response renews must expire before the first cancellation that may be unknown has to be carried out.
      */
     fun mayRenewWorkerLeases(): Boolean = lock.withLock {
-        if (isLoaded) jobs.unknownForMs(clock.now()) < timing.informedMs else clock.wall() < timing.uninformedUntil(leaderLease.watermark)
+        if (isLoaded) jobs.stalenessMs(clock.now()) < timing.informedMs else clock.wall() < timing.uninformedUntil(leaderLease.watermark)
     }
 
     /** For how long cancellations may have gone unnoticed, in milliseconds, or null before the state is loaded. */
-    fun uninformedMs(): Long? = lock.withLock { if (isLoaded) jobs.unknownForMs(clock.now()) else null }
+    fun uninformedMs(): Long? = lock.withLock { if (isLoaded) jobs.stalenessMs(clock.now()) else null }
 
     /** Runs one scheduling cycle, unless the state is not loaded yet. */
     fun runSchedulingCycle() = lock.withLock {
--- a/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
@@ -79,14 +79,14 @@
         val rate = (totals.answered - logged.answered) / seconds
         val waiting = metrics.gaugeValue(MetricNames.HEARTBEATS_WAITING)
         val refused = totals.refused - logged.refused
-        return "$rate reports/s waited up to ${heartbeatWait.takeLongestMs()} ms, $refused refused, $waiting wait; " +
-            "requests waited up to ${requestWait.takeLongestMs()} ms, ${metrics.gaugeValue(MetricNames.REQUESTS_WAITING)} wait"
+        return "$rate reports/s waited up to ${heartbeatWait.readAndResetLongestMs()} ms, $refused refused, $waiting wait; " +
+            "requests waited up to ${requestWait.readAndResetLongestMs()} ms, ${metrics.gaugeValue(MetricNames.REQUESTS_WAITING)} wait"
     }
 
     private fun storeLine(totals: Totals, seconds: Long): String {
         val rate = (totals.storeCalls - logged.storeCalls) / seconds
         val failed = totals.storeFailures - logged.storeFailures
-        return "state service $rate calls/s up to ${storeCalls.takeLongestMs()} ms, $failed failed; " +
+        return "state service $rate calls/s up to ${storeCalls.readAndResetLongestMs()} ms, $failed failed; " +
             "renewed ${metrics.gaugeValue(MetricNames.RENEWAL_AGE)} ms ago, " +
             "${metrics.gaugeValue(MetricNames.PENDING_CHANGES)} changes unwritten, " +
             "last write ${metrics.gaugeValue(MetricNames.LAST_WRITE_AGE)} ms ago"
@@ -94,7 +94,7 @@
 
     private fun processLine(): String {
         val lost = LossCause.entries.joinToString { "${losses.of(it)} ${it.label}" }
-        return "woke up to ${wakeLag.takeLongestMs()} ms late, heap ${heapUsedMb()} MB; tasks lost so far: $lost"
+        return "woke up to ${wakeLag.readAndResetLongestMs()} ms late, heap ${heapUsedMb()} MB; tasks lost so far: $lost"
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/controller/LocalPeerState.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LocalPeerState.kt
@@ -34,6 +34,6 @@
         val cancelled = peerHeartbeat.cancelled.mapNotNull(JobId::parse)
         if (cancelled.isEmpty()) return
         cancellations.receive(cancelled)
-        leader.get()?.leaderTerm?.jobs?.cancellationsHeard(cancelled)
+        leader.get()?.leaderTerm?.jobs?.cancelByBroadcast(cancelled)
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/NodeLoops.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/NodeLoops.kt
@@ -66,7 +66,7 @@
         val began = System.nanoTime()
         leaderWork.runSchedulingCycle()
         val tookMs = NANOSECONDS.toMillis(System.nanoTime() - began)
-        leaderTerm.signals.awaitPlacement(cycleMs)
+        leaderTerm.signals.awaitCycleRequest(cycleMs)
         // However large the cluster, cycles leave most of the processor to the workers' heartbeats.
         MILLISECONDS.sleep(maxOf(CYCLE_GAP_MS, tookMs * CYCLE_SHARE))
         return DID_WORK
--- a/src/main/kotlin/mountmast/coordination/controller/ReadinessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ReadinessMonitor.kt
@@ -28,7 +28,7 @@
 
     /** Records that a sleep took [ms] longer than asked for: the process gets less of the processor than it needs. */
     fun recordWakeLag(ms: Long) {
-        wakeLag.note(ms)
+        wakeLag.record(ms)
         meanLagMs += (ms - meanLagMs) * LAG_WEIGHT
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -47,7 +47,7 @@
 
     /** Runs one cycle of a leader that has loaded its state at [readyAt]. */
     fun run(readyAt: MonotonicTime) {
-        signals.placementBegins()
+        signals.beginCycle()
         val now = clock.now()
         releaseReservations(now)
         if (now - maintainedAt >= MAINTENANCE_MS) maintain(readyAt, now)
@@ -111,13 +111,13 @@
     /** Stops tasks that would not complete before the cloud reclaims their machine, so that they save and go on elsewhere. */
     private fun drainReclaimed(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
-            if (machine.reclaimNoticed) drain(machine) { snapshots.remainingS(it, now) >= machine.reclaimNoticeS }
+            if (machine.isReclaimNoticed) drain(machine) { snapshots.remainingS(it, now) >= machine.reclaimNoticeS }
         }
     }
 
     /** The tasks of a failing or slow machine are better begun again elsewhere; it is scaled in once it is empty. */
     private fun drainQuarantined() {
-        for (machine in cluster.machines.values) if (machine.quarantined) drain(machine) { true }
+        for (machine in cluster.machines.values) if (machine.isQuarantined) drain(machine) { true }
     }
 
     private inline fun drain(machine: Machine, mustLeave: (Assignment) -> Boolean) {
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -65,7 +65,7 @@
         val machines = ArrayList<MachineView>(cluster.machines.size)
         for (machine in cluster.machines.values) {
             // Whoever reaches no controller loses its tasks with its lease, although direct commands may still reach it.
-            if (!machine.usable(now) || now - machine.lastHeartbeatAt > timing.quietMs) continue
+            if (!machine.isUsable(now) || now - machine.lastHeartbeatAt > timing.quietMs) continue
             machines += currentView(machine) ?: continue
         }
         if (cachedViews.size > machines.size) dropUnused()
@@ -133,7 +133,7 @@
         }
         val tasks = JobTasks(job.openCount, job.spec.tasks - job.doneCount, job.live.size, perZone) { count -> job.firstOpen(count) }
         val jobTiming = JobTiming(job.waitingFrom, runS, untilDueS(job) - runS, (now - job.lastProgress) / 1000.0)
-        return JobView(job.schedulingSpec, tasks, jobTiming, job.failedOn, job.poisoned, now >= job.notBefore)
+        return JobView(job.schedulingSpec, tasks, jobTiming, job.failedOn, job.isPoisoned, now >= job.notBefore)
     }
 
     private fun untilDueS(job: Job): Double = untilS(job.effectiveDue)
--- a/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
@@ -54,7 +54,7 @@
     /** Caches the record of a live job that was watched or listed elsewhere, unless a newer one is cached. */
     fun cacheRecord(record: JobRecord, modRevision: ModRevision) = records.putIfNewer(record, modRevision)
 
-    override fun ready() = node.isReady()
+    override fun isReady() = node.isReady()
 
     override fun submit(body: String, isForwarded: Boolean): UserAnswer {
         val json: JsonObject
--- a/src/main/kotlin/mountmast/coordination/persistence/CommittedBatchApplier.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CommittedBatchApplier.kt
@@ -24,7 +24,7 @@
         context.journal.setWrittenAt(clock.now())
         context.journal.append(batch.journalRecords, modRevision)
         batch.journaledChanges.forEach(::applyChange)
-        if (batch.journaledChanges.any { it is PendingChange.Ended }) context.signals.wakePlacement()
+        if (batch.journaledChanges.any { it is PendingChange.Ended }) context.signals.requestSchedulingCycle()
         writers.onCommitted(batch, modRevision)
         for (finished in batch.finishedJobs) {
             log.debug("job={} finished", finished.job.id)
--- a/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
@@ -41,7 +41,7 @@
         context.lock.withLock {
             val job = context.cluster.jobs[id] ?: return
             when {
-                live != null -> context.jobs.takeIn(WireJson.decodeFromJsonElement<JobRecord>(live.value), live.modRevision)
+                live != null -> context.jobs.applyRecord(WireJson.decodeFromJsonElement<JobRecord>(live.value), live.modRevision)
                 finished != null -> context.jobs.finished(job, WireJson.decodeFromJsonElement<FinishedJobRecord>(finished.value))
                 else -> log.error("job={} is missing from the store", id)
             }
--- a/src/main/kotlin/mountmast/coordination/persistence/FinishedJobsWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/FinishedJobsWriter.kt
@@ -9,7 +9,7 @@
 /** Moves jobs that have finished from the live jobs to the finished ones. Guarded by the lock of [PersistenceContext]. */
 internal class FinishedJobsWriter(private val context: PersistenceContext, private val clock: Clock) {
     /** The completed and cancelled jobs of which nothing runs any more. */
-    fun finishedJobs(): List<Job> = context.cluster.finishing.filter { it.nothingLives() }
+    fun finishedJobs(): List<Job> = context.cluster.finishing.filter { it.hasNoLiveAssignments() }
 
     /** Adds as many of [jobs] to [batch] as it has operations left for. */
     fun contribute(batch: WriteBatch, jobs: List<Job>) {
@@ -17,7 +17,7 @@
     }
 
     private fun finalRecord(job: Job): FinishedJobRecord {
-        val status = if (job.cancelRecorded) JobStatus.CANCELLED else JobStatus.DONE
+        val status = if (job.isCancellationRecorded) JobStatus.CANCELLED else JobStatus.DONE
         return FinishedJobRecord(status, job.spec.tasks, clock.wall(), job.spec.shape == Shape.SERVICE)
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
@@ -77,7 +77,7 @@
 
     private fun restore(stored: StoredState, asked: MonotonicTime, askedWall: WallTime) {
         stored.types?.let(cluster::replaceTypes)
-        jobs.takeInAll(stored.liveJobs, stored.revision, asked, askedWall)
+        jobs.applyAll(stored.liveJobs, stored.revision, asked, askedWall)
         val replay = JournalReplay(cluster, clock.now())
         val unreadable = replaySnapshot(stored.snapshot, replay) + replayJournal(stored.journalSlots, replay)
         if (unreadable > 0) log.error("{} entries of the journal cannot be read", unreadable)
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementConstraints.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementConstraints.kt
@@ -57,10 +57,10 @@
         val excluded = excludedPerGroup(job, ignoresReservations)
         val fittingTasks = HashMap<Zone, Int>()
         for (group in snapshot.index.groups) {
-            val usable = group.size - (excluded[group] ?: 0)
-            if (usable == 0 || !allowsKind(job, group.kind) || !isBelowZoneLimit(job, group.kind.zone)) continue
+            val isUsable = group.size - (excluded[group] ?: 0)
+            if (isUsable == 0 || !allowsKind(job, group.kind) || !isBelowZoneLimit(job, group.kind.zone)) continue
             val perMachine = job.spec.perTask.instancesWithin(group.freeCapacity, job.tasks.openCount)
-            fittingTasks.merge(group.kind.zone, usable * perMachine, Int::plus)
+            fittingTasks.merge(group.kind.zone, isUsable * perMachine, Int::plus)
         }
         return fittingTasks.entries.maxWithOrNull(compareBy<Map.Entry<Zone, Int>> { it.value }.thenByDescending { it.key.text })?.key
     }
--- a/src/main/kotlin/mountmast/coordination/state/Assignment.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Assignment.kt
@@ -44,7 +44,7 @@
         private set
 
     /** Whether a transaction that lists it is on its way. */
-    var beingWritten = false
+    var isBeingJournaled = false
         private set
 
     /** Whether a transaction that lists it was committed. */
@@ -84,17 +84,17 @@
 
     /** Records that the transaction that lists the attempt is about to be sent. */
     fun beginJournaling() {
-        beingWritten = true
+        isBeingJournaled = true
     }
 
     /** Records that the transaction that lists the attempt came to nothing. */
     fun abandonJournaling() {
-        beingWritten = false
+        isBeingJournaled = false
     }
 
     /** Records that the transaction that lists the attempt was committed: unless it has ended meanwhile, its start may be sent. */
     fun markJournaled() {
-        beingWritten = false
+        isBeingJournaled = false
         written = true
         if (phase == Phase.INTENDED) phase = Phase.COMMITTED
     }
--- a/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
+++ b/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
@@ -77,7 +77,7 @@
             job.countPreemption(assignment.index)
         }
         // What was only intended is released when its turn to be written comes.
-        if (assignment.written || assignment.beingWritten) cluster.pendingChanges += PendingChange.Ended(assignment)
+        if (assignment.written || assignment.isBeingJournaled) cluster.pendingChanges += PendingChange.Ended(assignment)
     }
 
     /** Ends every assignment on [machine] of an incarnation before [incarnation], or all of them if that is null. */
@@ -99,7 +99,7 @@
         if (!job.done.get(assignment.index)) job.setOpen(assignment.index, true)
         cluster.machines[assignment.machine]?.let { machine ->
             machine.removeAssignment(assignment, now)
-            if (machine.live.isEmpty() && machine.deleting && machine.id in cluster.tombstones) cluster.machines.remove(machine.id)
+            if (machine.live.isEmpty() && machine.isDeleting && machine.id in cluster.tombstones) cluster.machines.remove(machine.id)
         }
         usage.subtract(job.spec.team, job.perTask)
     }
--- a/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -61,7 +61,7 @@
             Job(record.spec, record.submitted, modRevision).apply { recordProgress(now) }
         }
         job.modRevision = modRevision
-        if (record.cancelled && !job.cancelRecorded) {
+        if (record.cancelled && !job.isCancellationRecorded) {
             job.cancel(knownUpTo, recorded = true)
             finishing += job
         }
@@ -70,7 +70,7 @@
 
     /** The low watermark of cancellations, if all changes of jobs before [knownUpTo] are known. */
     fun watermark(knownUpTo: WallTime): WallTime =
-        jobs.values.filter { it.cancelled && !it.nothingLives() }.minOfOrNull { it.cancelledAfter }?.let { minOf(it, knownUpTo) }
+        jobs.values.filter { it.cancelled && !it.hasNoLiveAssignments() }.minOfOrNull { it.cancelledAfter }?.let { minOf(it, knownUpTo) }
             ?: knownUpTo
 
     /** What the store holds by now of tasks and machines, as a snapshot's text. */
--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -15,14 +15,14 @@
         // One failure may be chance; but a sick machine, always empty, would draw task after task.
         machine.health.pausePlacementUntil(now + FAILED_PAUSE_MS)
         job.recentFailures.record(machine.id)
-        if (job.poisoned) {
+        if (job.isPoisoned) {
             backOff(job, now)
             log.info("job={} failed on {} machines; next attempt in {} ms", job.id, job.failedOn.size, job.notBefore - now)
         } else if (job.doneCount > 0 || job.id !in machine.strikes) {
             // A machine is not blamed for a job that may fail everywhere: such a one counts once.
             machine.health.addStrike(job.id)
         }
-        if (machine.strikes.size >= SICK_STRIKES && !machine.quarantined) {
+        if (machine.strikes.size >= SICK_STRIKES && !machine.isQuarantined) {
             machine.health.quarantine()
             log.info("machine={} quarantined: {} tasks failed in a row", machine.id, machine.strikes.size)
             dropFailuresOn(machine)
@@ -42,7 +42,7 @@
         val failing = LinkedHashMap<JobId, FailingJob>()
         for (job in cluster.jobs.values) {
             if (failing.size >= most) break
-            if (!job.poisoned || job.cancelled) continue
+            if (!job.isPoisoned || job.cancelled) continue
             failing[job.id] = FailingJob(job.failedOn.take(MACHINES_RECORDED), minOf(job.failures, Job.POISON_MACHINES + MAX_DOUBLINGS))
         }
         return failing
@@ -53,14 +53,14 @@
         for ((id, recorded) in failing) {
             val job = cluster.jobs[id] ?: continue
             job.recentFailures.recall(recorded)
-            if (job.poisoned) backOff(job, now)
+            if (job.isPoisoned) backOff(job, now)
         }
     }
 
     /** What failed on a sick machine says nothing of its jobs: they are not held to fail everywhere. */
     private fun dropFailuresOn(machine: Machine) {
         for (job in cluster.jobs.values) {
-            if (!job.failedOn.remove(machine.id) || job.poisoned) continue
+            if (!job.failedOn.remove(machine.id) || job.isPoisoned) continue
             job.recentFailures.recount()
         }
     }
@@ -94,7 +94,7 @@
         assignment.markStraggler()
         assignment.job.runStatistics.recordSlow(machine.id)
         machine.health.addSlowStrike()
-        if (machine.slowStrikes < SICK_STRIKES || machine.quarantined) return
+        if (machine.slowStrikes < SICK_STRIKES || machine.isQuarantined) return
         machine.health.quarantine()
         log.info(
             "machine={} quarantined: {} tasks in a row ran {} times as long as elsewhere",
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -27,7 +27,7 @@
         private set
 
     /** Whether its record in the store says that it is cancelled; another node's broadcast may come before that is seen. */
-    var cancelRecorded = false
+    var isCancellationRecorded = false
         private set
 
     /** The cancellation was committed no earlier than this. */
@@ -45,7 +45,7 @@
             // Nobody gains from what a cancelled job's tasks do.
             for (assignment in live.values) assignment.stopAtOnce()
         }
-        cancelRecorded = cancelRecorded || recorded
+        isCancellationRecorded = isCancellationRecorded || recorded
     }
 
     /** Which of its prerequisites are not known to be done. */
@@ -118,20 +118,20 @@
         private set
 
     /** Whether operators were informed that it is late. */
-    var calledLate = false
+    var isReportedLate = false
         private set
 
     /**
      * Whether it fails wherever it runs: it is backed off, and has no claim on the guarantee. A job with a mistake never completes
      * a task, so one that has is only unlucky with its machines.
      */
-    val poisoned: Boolean get() = doneCount == 0 && failedOn.size >= POISON_MACHINES
+    val isPoisoned: Boolean get() = doneCount == 0 && failedOn.size >= POISON_MACHINES
 
     /** Whether it is an array job all of whose tasks are done; a service never completes. */
     val isComplete: Boolean get() = spec.shape == Shape.ARRAY && doneCount == spec.tasks
 
     /** Whether none of its assignments lives: each one is known to have ended. */
-    fun nothingLives() = live.values.all { it.phase == Phase.ENDED }
+    fun hasNoLiveAssignments() = live.values.all { it.phase == Phase.ENDED }
 
     /** The first [count] open tasks. */
     fun firstOpen(count: Int): IntArray = progress.firstOpen(count)
@@ -170,7 +170,7 @@
 
     /** Records that operators were informed that the job is late. */
     fun recordLateReport() {
-        calledLate = true
+        isReportedLate = true
     }
 
     companion object {
--- a/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
@@ -67,7 +67,7 @@
         inheritedPriorities.addDependent(job, cluster.jobs)
     }
 
-    private fun isCancelled(id: JobId) = finishedJobs[id]?.status == JobStatus.CANCELLED || cluster.jobs[id]?.cancelRecorded == true
+    private fun isCancelled(id: JobId) = finishedJobs[id]?.status == JobStatus.CANCELLED || cluster.jobs[id]?.isCancellationRecorded == true
 
     /** Cancels all jobs that depend on [job], whose cancellation is recorded in the state service. */
     internal fun cancelDependents(job: Job) {
@@ -81,7 +81,7 @@
         val pending = ArrayDeque(roots)
         while (pending.isNotEmpty()) {
             val job = pending.removeFirst()
-            if (job.cancelRecorded) continue
+            if (job.isCancellationRecorded) continue
             count++
             // Nothing of it ever ran, so its cancellation holds back no watermark.
             job.cancel(WallTime(0), recorded = true)
--- a/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
@@ -46,7 +46,7 @@
     private var knownUpTo = Moment(MonotonicTime(0), knownBefore)
 
     /** For how long changes of jobs may have gone unknown at [now], in milliseconds; the caller holds the lock. */
-    fun unknownForMs(now: MonotonicTime): Long = now - knownUpTo.monotonic
+    fun stalenessMs(now: MonotonicTime): Long = now - knownUpTo.monotonic
 
     /** The low watermark of cancellations; the caller holds the lock. */
     fun watermark(): WallTime = cluster.watermark(knownUpTo.wall)
@@ -63,7 +63,7 @@
             }
             WatchResult.Compacted -> {
                 val (entries, revision) = store.listAll(Keys.JOBS)
-                lock.withLock { takeInAll(entries, revision, requestedAt.monotonic, requestedAt.wall) }
+                lock.withLock { applyAll(entries, revision, requestedAt.monotonic, requestedAt.wall) }
             }
         }
     }
@@ -74,35 +74,35 @@
         val record = RecordDecoder.decode<JobRecord>(entry.key, entry.value) ?: return
         listener.onRecord(record, entry.modRevision)
         val known = cluster.jobs[id]
-        if (known == null || entry.modRevision.number > known.modRevision.number) takeIn(record, entry.modRevision)
+        if (known == null || entry.modRevision.number > known.modRevision.number) applyRecord(record, entry.modRevision)
     }
 
     /** Applies all live jobs as they were at [revision] or later, requested at [asked]; the caller holds the lock. */
-    fun takeInAll(entries: List<Entry>, revision: Revision, asked: MonotonicTime, askedWall: WallTime) {
-        for (entry in entries) RecordDecoder.decode<JobRecord>(entry.key, entry.value)?.let { takeIn(it, entry.modRevision) }
+    fun applyAll(entries: List<Entry>, revision: Revision, asked: MonotonicTime, askedWall: WallTime) {
+        for (entry in entries) RecordDecoder.decode<JobRecord>(entry.key, entry.value)?.let { applyRecord(it, entry.modRevision) }
         watchFrom = revision
         knownUpTo = Moment(asked, askedWall)
     }
 
     /** Applies the record of a live job at [modRevision]; the caller holds the lock. */
-    fun takeIn(record: JobRecord, modRevision: ModRevision) {
+    fun applyRecord(record: JobRecord, modRevision: ModRevision) {
         val id = record.spec.id
         if (dependencies.isRecentlyFinished(id)) return
         val isNew = id !in cluster.jobs
         val now = clock.now()
         val job = cluster.putJob(record, modRevision, now, knownUpTo.wall)
         if (isNew) dependencies.addJob(job, record, now)
-        if (job.cancelRecorded) dependencies.cancelDependents(job)
+        if (job.isCancellationRecorded) dependencies.cancelDependents(job)
         if (job.cancelled || listener.isCancelledElsewhere(job.id)) {
             cancel(job, record.cancelled)
             signals.wakeWriter()
         } else {
-            signals.wakePlacement()
+            signals.requestSchedulingCycle()
         }
     }
 
     /** Cancels the jobs [ids], whose cancellation another node broadcast; their records may be seen much later. */
-    fun cancellationsHeard(ids: List<JobId>) = lock.withLock {
+    fun cancelByBroadcast(ids: List<JobId>) = lock.withLock {
         for (id in ids) cluster.jobs[id]?.let { cancel(it, recorded = false) }
     }
 
@@ -116,11 +116,11 @@
         dependencies.removeJob(job)
         cluster.removeJob(job, clock.now())
         recordFinished(job.id, record)
-        signals.wakePlacement()
+        signals.requestSchedulingCycle()
     }
 
     private fun recordFinished(id: JobId, record: FinishedJobRecord) {
-        if (dependencies.recordFinished(id, record, clock.now()).isNotEmpty()) signals.wakePlacement()
+        if (dependencies.recordFinished(id, record, clock.now()).isNotEmpty()) signals.requestSchedulingCycle()
         if (cluster.finishing.isNotEmpty()) signals.wakeWriter()
     }
 
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -39,7 +39,7 @@
     val incarnation by worker::incarnation
     val incarnationSince by worker::incarnationSince
     val sequence by worker::sequence
-    val heardAt by worker::heardAt
+    val lastContactAt by worker::lastContactAt
     val lastHeartbeatAt by worker::lastHeartbeatAt
     val answeredHeartbeatSequence by worker::answeredHeartbeatSequence
     val answeredSequence by worker::answeredSequence
@@ -58,15 +58,15 @@
     val rentedAt by rental::rentedAt
     val knownAt by rental::knownAt
     val idleSince by rental::idleSince
-    val reclaimNoticed by rental::reclaimNoticed
+    val isReclaimNoticed by rental::isReclaimNoticed
     val reclaimNoticeS by rental::reclaimNoticeS
-    val deleting by rental::deleting
-    val listedFailed by rental::listedFailed
-    val listedRunning by rental::listedRunning
+    val isDeleting by rental::isDeleting
+    val isListedFailed by rental::isListedFailed
+    val isListedRunning by rental::isListedRunning
 
     val strikes get() = health.strikes
     val slowStrikes by health::slowStrikes
-    val quarantined by health::quarantined
+    val isQuarantined by health::isQuarantined
     val notBefore by health::notBefore
 
     /** Images that were used here with their sizes in GB, least recently used first. */
@@ -102,17 +102,17 @@
         private set
 
     /** Whether tasks may be placed here at [now]. */
-    fun usable(now: MonotonicTime) = state == MachineState.UP &&
+    fun isUsable(now: MonotonicTime) = state == MachineState.UP &&
         hasShownCurrentTerm &&
         unreachedSince == null &&
-        !reclaimNoticed &&
-        !deleting &&
-        !quarantined &&
+        !isReclaimNoticed &&
+        !isDeleting &&
+        !isQuarantined &&
         incarnation != null &&
         now >= notBefore
 
     /** Takes over the assignments of [before], which stood for this machine while it was known only by name. */
-    fun takeOver(before: Machine) {
+    fun inheritAssignments(before: Machine) {
         live.putAll(before.live)
         used = before.used
     }
--- a/src/main/kotlin/mountmast/coordination/state/MachineHealth.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineHealth.kt
@@ -13,7 +13,7 @@
         private set
 
     /** Whether it gets no more work, and is returned once it is empty. */
-    var quarantined = false
+    var isQuarantined = false
         private set
 
     /** No task is placed here before this. */
@@ -45,6 +45,6 @@
 
     /** Gives the machine no more work. */
     internal fun quarantine() {
-        quarantined = true
+        isQuarantined = true
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/MachineRental.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineRental.kt
@@ -17,7 +17,7 @@
         private set
 
     /** Whether the cloud has announced that it will reclaim the machine. */
-    var reclaimNoticed = false
+    var isReclaimNoticed = false
         private set
 
     /** How long before the reclaim the cloud gave notice, in seconds. */
@@ -25,15 +25,15 @@
         private set
 
     /** Whether it was chosen for deletion; that is never taken back. */
-    var deleting = false
+    var isDeleting = false
         private set
 
     /** Whether the cloud lists it as failed. */
-    var listedFailed = false
+    var isListedFailed = false
         private set
 
     /** Whether the cloud listed it as running when this leader first saw it; it counts only once it sends heartbeats. */
-    var listedRunning = false
+    var isListedRunning = false
         private set
 
     /** Records that it was rented at [rented] and is known to this leader since [known]. */
@@ -49,22 +49,22 @@
 
     /** Records that the cloud will reclaim the machine in [noticeS] seconds. */
     fun recordReclaimNotice(noticeS: Double) {
-        reclaimNoticed = true
+        isReclaimNoticed = true
         reclaimNoticeS = noticeS
     }
 
     /** Records that the cloud lists it as failed. */
     fun markListedFailed() {
-        listedFailed = true
+        isListedFailed = true
     }
 
     /** Records whether the cloud listed it as running when this leader first saw it. */
     fun recordFirstListing(isRunning: Boolean) {
-        listedRunning = isRunning
+        isListedRunning = isRunning
     }
 
     /** Chooses the machine for deletion: it gets no more work, and its deletion is repeated until the cloud answers. */
     fun beginDeletion() {
-        deleting = true
+        isDeleting = true
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
@@ -12,7 +12,7 @@
     private var isCycleRequested = false
 
     /** Requests a scheduling cycle soon; the caller holds the lock. */
-    fun wakePlacement() {
+    fun requestSchedulingCycle() {
         isCycleRequested = true
         placeable.signalAll()
     }
@@ -21,12 +21,12 @@
     fun wakeWriter() = writable.signalAll()
 
     /** A scheduling cycle begins, which answers all requests so far; the caller holds the lock. */
-    fun placementBegins() {
+    fun beginCycle() {
         isCycleRequested = false
     }
 
     /** Waits until a scheduling cycle is requested, at most [ms] milliseconds; takes the lock. */
-    fun awaitPlacement(ms: Long) {
+    fun awaitCycleRequest(ms: Long) {
         lock.withLock { if (!isCycleRequested) placeable.await(ms, TimeUnit.MILLISECONDS) }
     }
 
--- a/src/main/kotlin/mountmast/coordination/state/WorkerStatus.kt
+++ b/src/main/kotlin/mountmast/coordination/state/WorkerStatus.kt
@@ -23,7 +23,7 @@
         private set
 
     /** When a heartbeat last arrived, by itself or as the answer to a command. */
-    var heardAt = MonotonicTime(0)
+    var lastContactAt = MonotonicTime(0)
         private set
 
     /** When a heartbeat last arrived by itself: a worker that only answers commands receives no answers to its heartbeats. */
@@ -69,7 +69,7 @@
     fun recordHeartbeat(received: HeartbeatSequence, from: String, now: MonotonicTime) {
         sequence = received
         address = from
-        heardAt = now
+        lastContactAt = now
     }
 
     /** Records that the heartbeat that arrived at [now] was sent by itself, not as the answer to a command. */
@@ -92,7 +92,7 @@
     /** Records that a leader before this one may have received a heartbeat, and renewed the lease, as late as [at]. */
     fun assumeHeartbeat(at: MonotonicTime) {
         leaseRenewedAt = at
-        heardAt = at
+        lastContactAt = at
     }
 
     /** Records where the cloud says that the worker listens. */
--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -59,11 +59,11 @@
 
     private fun beginRequest(machine: Machine, now: MonotonicTime): OutgoingRequest? {
         val incarnation = machine.incarnation
-        if (machine.state != MachineState.UP || incarnation == null || machine.deleting) return null
+        if (machine.state != MachineState.UP || incarnation == null || machine.isDeleting) return null
         // A host behind a cut occupies a sending thread until the deadline of its request, and with a fifth of the fleet cut off the
         // commands to all others waited. A silent worker gets its commands in the response to its next heartbeat. Test: `RecoveryTest`,
         // "commands are not sent to machines that are silent".
-        if (now - machine.heardAt > context.timing.quietMs) return null
+        if (now - machine.lastContactAt > context.timing.quietMs) return null
         val commands = outstanding.forDelivery(machine)
         return if (commands.isEmpty()) null else sender.begin(machine, incarnation, commands)
     }
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -33,7 +33,7 @@
         when (reconciliation) {
             is HeartbeatReconciliation.Applied -> {
                 val change = reachability.update(machine, heartbeat, now, readyAt)
-                if (change == ReachabilityChange.RESTORED) context.signals.wakePlacement()
+                if (change == ReachabilityChange.RESTORED) context.signals.requestSchedulingCycle()
             }
             // A copy that arrives late: whoever sent it no longer waits for the response, and could not use this one.
             HeartbeatReconciliation.Stale -> if (!isOvertaken(machine, heartbeat)) return NOT_RENEWED
@@ -69,7 +69,7 @@
 
     private fun reconcile(heartbeat: Heartbeat, now: MonotonicTime, origin: Origin): HeartbeatReconciliation {
         val before = cluster.machines[heartbeat.machine]
-        val wasUsable = before?.usable(now) == true
+        val wasUsable = before?.isUsable(now) == true
         val lostResponses = before?.let { lostResponses(it, heartbeat, now) } ?: 0
         val reconciliation = reconciler.reconcile(heartbeat, now)
         if (reconciliation !is HeartbeatReconciliation.Applied) return reconciliation
@@ -83,7 +83,7 @@
         outstanding.observeToken(machine, heartbeat.token)
         if (origin == Origin.HEARTBEAT && showsCurrentTerm) withdrawStopped(machine, heartbeat)
         if (cluster.pendingChanges.isNotEmpty()) context.signals.wakeWriter()
-        if (!wasUsable && machine.usable(now)) context.signals.wakePlacement()
+        if (!wasUsable && machine.isUsable(now)) context.signals.requestSchedulingCycle()
         return reconciliation
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -53,7 +53,7 @@
         val machine = Machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, MachineState.UP)
         machine.rental.recordRental(rented = before?.rentedAt ?: now, known = before?.knownAt ?: now)
         machine.rental.markIdle(now)
-        before?.let(machine::takeOver)
+        before?.let(machine::inheritAssignments)
         cluster.putMachine(machine)
         return machine
     }
@@ -64,7 +64,7 @@
     }
 
     private fun recordReclaimNotice(machine: Machine, reclaimNoticeS: Double) {
-        if (machine.reclaimNoticed) return
+        if (machine.isReclaimNoticed) return
         machine.rental.recordReclaimNotice(reclaimNoticeS)
         log.info("machine={} will be reclaimed by the cloud in {} s", machine.id, reclaimNoticeS)
     }
--- a/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
@@ -56,7 +56,7 @@
         now - machine.delivery.announcedAt > ANNOUNCEMENT_INTERVAL_MS
 
     private fun isAddressable(machine: Machine) = machine.address != null &&
-        !machine.deleting &&
+        !machine.isDeleting &&
         machine.state != MachineState.EXPIRED &&
         machine.state != MachineState.BOOTING
 
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -84,8 +84,8 @@
      * term. Test: `RecoveryTest`, "a node that cannot send to any worker resigns and scales nothing in".
      */
     fun areMostUnreached(): Boolean {
-        val up = cluster.machines.values.count { it.state == MachineState.UP && !it.deleting }
-        val unreached = cluster.machines.values.count { it.unreachedSince != null && !it.deleting }
+        val up = cluster.machines.values.count { it.state == MachineState.UP && !it.isDeleting }
+        val unreached = cluster.machines.values.count { it.unreachedSince != null && !it.isDeleting }
         return unreached >= MIN_MACHINES_TO_JUDGE_NODE && unreached * 2 > up
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
@@ -62,10 +62,10 @@
     fun resignationReason(): String? = context.lock.withLock {
         val now = context.clock.now()
         val readyAt = context.readyAt ?: return null
-        val up = cluster.machines.values.filter { it.state == MachineState.UP && !it.deleting }
+        val up = cluster.machines.values.filter { it.state == MachineState.UP && !it.isDeleting }
         if (now - readyAt < timing.quietMs || up.size < ReachabilityMonitor.MIN_MACHINES_TO_JUDGE_NODE) return null
         when {
-            up.count { now - it.heardAt < timing.quietMs } * 2 < up.size -> "most workers' heartbeats do not reach this node"
+            up.count { now - it.lastContactAt < timing.quietMs } * 2 < up.size -> "most workers' heartbeats do not reach this node"
             reachability.areMostUnreached() -> "this node's responses and commands do not reach most workers"
             else -> null
         }
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -149,7 +149,7 @@
 
     private fun recordDuration(call: String, beganNanos: Long, admittedNanos: Long) {
         val tookMs = (System.nanoTime() - beganNanos) / NANOS_PER_MS
-        calls.note(tookMs)
+        calls.record(tookMs)
         if (tookMs >= SLOW_MS) {
             log.debug("{} took {} ms, {} of them for the share", call, tookMs, (admittedNanos - beganNanos) / NANOS_PER_MS)
         }
--- a/src/main/kotlin/mountmast/transport/Api.kt
+++ b/src/main/kotlin/mountmast/transport/Api.kt
@@ -26,7 +26,7 @@
     fun cancel(id: String, isForwarded: Boolean): UserAnswer
 
     /** Whether the load balancer should send users here. */
-    fun ready(): Boolean
+    fun isReady(): Boolean
 }
 
 /** How a node answers a worker's heartbeat. */
--- a/src/main/kotlin/mountmast/transport/BoundedServer.kt
+++ b/src/main/kotlin/mountmast/transport/BoundedServer.kt
@@ -113,7 +113,7 @@
         val queuedAt = System.nanoTime()
         return Runnable {
             val waitedMs = (System.nanoTime() - queuedAt) / NANOS_PER_MS
-            metrics.wait.note(waitedMs)
+            metrics.wait.record(waitedMs)
             if (waitedMs >= SLOW_MS) log.debug("a request waited {} ms for a thread", waitedMs)
             task.run()
         }
--- a/src/main/kotlin/mountmast/transport/Metrics.kt
+++ b/src/main/kotlin/mountmast/transport/Metrics.kt
@@ -28,14 +28,14 @@
     val sumMs: Long get() = sum.sum()
 
     /** Records a duration of [ms] milliseconds. */
-    fun note(ms: Long) {
+    fun record(ms: Long) {
         recorded.add(1)
         sum.add(ms)
         if (ms > longest.get()) longest.accumulateAndGet(ms, ::maxOf)
     }
 
     /** Returns the longest duration since the previous call, in milliseconds. */
-    fun takeLongestMs(): Long = longest.getAndSet(0)
+    fun readAndResetLongestMs(): Long = longest.getAndSet(0)
 }
 
 /** The metrics of one process by name, for `GET /metrics` and the summary in the log. Thread-safe. */
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -46,7 +46,7 @@
             onHeartbeat(request, heartbeats)
         }
         path == "/ready" -> request.only(Method.GET) {
-            if (users.ready()) json(200, "ready") else json(503, "not ready", retryAfterS = 1)
+            if (users.isReady()) json(200, "ready") else json(503, "not ready", retryAfterS = 1)
         }
         path == METRICS_PATH -> request.only(Method.GET) { text(metrics.render()) }
         path == JOBS_PATH -> request.only(Method.POST) {
--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -291,7 +291,7 @@
             override fun submit(body: String, isForwarded: Boolean) = answer()
             override fun status(id: String, isForwarded: Boolean) = answer()
             override fun cancel(id: String, isForwarded: Boolean) = answer()
-            override fun ready() = true
+            override fun isReady() = true
         }
         routes(answering { error("on purpose") }).submit("internal error", "{}")
         routes(answering { throw IOException("on purpose") }).submit("interrupted", "{}")
@@ -333,7 +333,7 @@
         names.forEach { metrics.gauge(it) { 1 } }
         val response = routes(service(), metrics)(Request(Method.GET, "/metrics"))
         observe("metrics", response, "(names below)")
-        metrics.timing("timing").note(1)
+        metrics.timing("timing").record(1)
         metrics.counter("counter").add()
         routes(service(), metrics)(Request(Method.GET, "/metrics")).bodyString().trim().lines().map { it.substringBefore(' ') }.sorted()
             .forEach { fixture.line("metrics name", it) }
--- a/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
@@ -138,7 +138,7 @@
         val first = stage(1)
         val service = accept(plainJob(2) { it.copy(shape = Shape.SERVICE, tasks = 1) })
         // A node that does not know the machine types, or who reads what, answers 503 until it does.
-        runUntil(20_000) { seats.all { seat -> seat.controller?.let { it.formats.isCurrent && it.users.ready() } == true } }
+        runUntil(20_000) { seats.all { seat -> seat.controller?.let { it.formats.isCurrent && it.users.isReady() } == true } }
         fun status(number: Int, needs: List<JobId>) = submit(plainJob(number) { it.copy(prerequisites = needs) })
         assertEquals(422, status(3, listOf(JobId("j-777777"))))
         assertEquals(422, status(4, listOf(first, JobId("j-000004"))))
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -165,15 +165,15 @@
         val world = World(31, quietNetwork = true)
         world.accept(world.plainJob(1))
         val users = world.seats.map { it.controller!!.users }
-        assertTrue(users.all { it.ready() })
+        assertTrue(users.all { it.isReady() })
         world.seats[0].trouble.storeRefusedUntil = world.time.now + 8000
         world.run(5000, busy = false)
-        assertEquals(listOf(false, true, true), users.map { it.ready() })
+        assertEquals(listOf(false, true, true), users.map { it.isReady() })
         assertEquals(200, world.seats[0].controller!!.users.status("j-000001", isForwarded = false).status, "forwarded to a peer")
         world.run(10_000, busy = false)
         world.store.outage(10_000)
         world.run(7000, busy = false)
-        assertTrue(users.all { it.ready() })
+        assertTrue(users.all { it.isReady() })
         val refused = users[0].submit("""{"nameId":"j-7"}""", isForwarded = false)
         assertEquals(503 to true, refused.status to (refused.retryAfterS > 0))
     }
@@ -184,14 +184,14 @@
         val world = World(33, quietNetwork = true)
         world.run(15_000, busy = false)
         val leading = world.seats.first { it.controller?.leaderTerm() != null }
-        fun ready() = world.seats.map { it.controller?.users?.ready() ?: false }
-        assertEquals(listOf(true, true, true), ready())
+        fun isReady() = world.seats.map { it.controller?.users?.isReady() ?: false }
+        assertEquals(listOf(true, true, true), isReady())
         repeat(200) { leading.controller!!.recordWakeLag(200) }
         world.run(3000, busy = false)
-        assertEquals(world.seats.map { it !== leading }, ready())
+        assertEquals(world.seats.map { it !== leading }, isReady())
         world.seats.first { it !== leading }.crash(10_000)
         world.run(8000, busy = false)
-        assertTrue(leading.controller!!.users.ready(), "one node alone is not enough for all users")
+        assertTrue(leading.controller!!.users.isReady(), "one node alone is not enough for all users")
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/state/AssignmentTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/AssignmentTest.kt
@@ -43,7 +43,7 @@
 
         assertEquals(Phase.COMMITTED, assignment.phase)
         assertTrue(assignment.written)
-        assertFalse(assignment.beingWritten)
+        assertFalse(assignment.isBeingJournaled)
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -112,7 +112,7 @@
         }
         repeat(2) { runOn("vm-0", it, 1000) }
         for (number in 1..4) repeat(2) { runOn("vm-$number", number * 2 + it, 60_000) }
-        assertEquals(listOf("vm-1", "vm-2"), cluster.machines.values.filter { it.quarantined }.map { it.id.text })
+        assertEquals(listOf("vm-1", "vm-2"), cluster.machines.values.filter { it.isQuarantined }.map { it.id.text })
     }
 
     @Test
@@ -122,9 +122,9 @@
             val assignment = place(number, "vm-$number", number * 1000L)
             heartbeat("vm-$number", number * 1000L + 10, assignment.shown(TaskState.EXITED, ExitCause.FAILED))
         }
-        assertTrue(job.poisoned)
+        assertTrue(job.isPoisoned)
         assertTrue(job.notBefore > MonotonicTime(4000))
-        assertTrue(cluster.machines.values.none { it.quarantined })
+        assertTrue(cluster.machines.values.none { it.isQuarantined })
         assertTrue(cluster.machines.getValue(MachineId("vm-4")).strikes.isEmpty())
     }
 
@@ -137,7 +137,7 @@
         val assignment = job.live.get(3)
         assertEquals(Phase.COMMITTED, assignment.phase, "a copy from an older incarnation ended a newer one's task")
         val machine = cluster.machines.getValue(MachineId("vm-7"))
-        assertFalse(machine.usable(MonotonicTime(200)), "a machine that may be long gone would get work")
+        assertFalse(machine.isUsable(MonotonicTime(200)), "a machine that may be long gone would get work")
         assertTrue(heartbeat("vm-7", 300, assignment.shown(TaskState.RUNNING), incarnation = 3u))
         assertEquals(Phase.COMMITTED, assignment.phase)
         assertFalse(heartbeat("vm-7", 400, incarnation = 2u), "a copy is no news once a heartbeat has arrived")
@@ -154,13 +154,13 @@
             cluster.assignments.release(assignment, MonotonicTime(at + 20))
         }
         for ((i, machine) in listOf("vm-1", "vm-2", "vm-3").withIndex()) failTask(job, i, machine, i * 5000L)
-        assertTrue(job.poisoned)
+        assertTrue(job.isPoisoned)
         for ((i, machine) in listOf("vm-1", "vm-2", "vm-3").withIndex()) {
             failTask(others[i], 0, machine, 20_000L + i * 10_000)
             failTask(others[(i + 1) % 3], 1, machine, 25_000L + i * 10_000)
         }
-        assertEquals(3, cluster.machines.values.count { it.quarantined })
-        assertFalse(job.poisoned)
+        assertEquals(3, cluster.machines.values.count { it.isQuarantined })
+        assertFalse(job.isPoisoned)
         assertTrue(job.notBefore <= MonotonicTime(0), "still backed off for the failures of a sick machine")
     }
 }
--- a/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
@@ -101,19 +101,19 @@
         val fan = (3001..5000).map { add(it, 1000) }
         cluster.jobs.getValue(id(0)).cancel(WallTime(0), recorded = true)
         dependencies.cancelDependents(cluster.jobs.getValue(id(0)))
-        assertTrue((chain + fan).all { it.cancelRecorded && it in cluster.finishing })
+        assertTrue((chain + fan).all { it.isCancellationRecorded && it in cluster.finishing })
     }
 
     @Test
     fun `a job that names a cancelled one is cancelled, whether that is live, just finished or long finished`() {
         add(1).cancel(WallTime(0), recorded = true)
-        assertTrue(add(2, 1).cancelRecorded)
+        assertTrue(add(2, 1).isCancellationRecorded)
         end(1, JobStatus.CANCELLED)
-        assertTrue(add(3, 1).cancelRecorded)
+        assertTrue(add(3, 1).isCancellationRecorded)
         val unknown = add(5, 4)
-        assertFalse(unknown.cancelRecorded)
+        assertFalse(unknown.isCancellationRecorded)
         dependencies.recordFinished(id(4), FinishedJobRecord(JobStatus.CANCELLED, 1), now)
-        assertTrue(unknown.cancelRecorded)
+        assertTrue(unknown.isCancellationRecorded)
     }
 
     @Test
--- a/src/test/kotlin/mountmast/transport/MetricsTest.kt
+++ b/src/test/kotlin/mountmast/transport/MetricsTest.kt
@@ -11,8 +11,8 @@
     fun `counters, durations and gauges are rendered one a line, by name`() {
         metrics.counter("b").add(3)
         metrics.counter("b").add()
-        metrics.timing("a").note(20)
-        metrics.timing("a").note(5)
+        metrics.timing("a").record(20)
+        metrics.timing("a").record(5)
         metrics.gauge("c") { 7 }
         assertEquals(
             "mountmast_b_total 4\nmountmast_a_count 2\nmountmast_a_sum_ms 25\nmountmast_c 7\n",
@@ -23,9 +23,9 @@
     @Test
     fun `the longest duration is taken once`() {
         val timing = metrics.timing("t")
-        listOf(4L, 9L, 2L).forEach(timing::note)
-        assertEquals(9, timing.takeLongestMs())
-        assertEquals(0, timing.takeLongestMs())
+        listOf(4L, 9L, 2L).forEach(timing::record)
+        assertEquals(9, timing.readAndResetLongestMs())
+        assertEquals(0, timing.readAndResetLongestMs())
     }
 
     @Test
--- a/src/test/kotlin/mountmast/transport/PeerClientTest.kt
+++ b/src/test/kotlin/mountmast/transport/PeerClientTest.kt
@@ -21,7 +21,7 @@
             override fun submit(body: String, isForwarded: Boolean) = UserAnswer(201, "{}")
             override fun status(id: String, isForwarded: Boolean) = UserAnswer(404, "{}")
             override fun cancel(id: String, isForwarded: Boolean) = UserAnswer(200, "{}")
-            override fun ready() = true
+            override fun isReady() = true
         }
         val real = org.http4k.server.HttpExchangeHandler(peerRoutes(users) { own })
         server.createContext("/") { exchange ->
--- a/src/test/kotlin/mountmast/transport/RoutesTest.kt
+++ b/src/test/kotlin/mountmast/transport/RoutesTest.kt
@@ -29,7 +29,7 @@
 
         override fun status(id: String, isForwarded: Boolean) = UserAnswer(404, errorBody("no such job"))
         override fun cancel(id: String, isForwarded: Boolean) = UserAnswer(200, id)
-        override fun ready() = true
+        override fun isReady() = true
     }
 
     private val beats = HeartbeatService { heartbeat: Heartbeat ->
