--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -28,8 +28,8 @@
 import mountmast.protocol.TypeId
 import mountmast.protocol.WireJson
 import mountmast.protocol.Zone
+import mountmast.standin.ProcessFaults
 import mountmast.standin.StandInStore
-import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.storage.Compare
 import mountmast.storage.FinishedJobRecord
@@ -69,8 +69,8 @@
 @OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
 class PublicAnswersTest {
     private val time = VirtualTime()
-    private val trouble = Trouble(time)
-    private val store = StandInStore(time).View(Random(1), trouble)
+    private val faults = ProcessFaults(time)
+    private val store = StandInStore(time).View(Random(1), faults)
     private val team = TeamQuota(TeamId("vision"), cpus = 8.0, cpusMax = 64.0, gpus = 0.0, gpusMax = 0.0)
     private val type = MachineType(TypeId("g8"), 96.0, 8.0, 768.0, 200.0, 1.0, 12.0, 4.5, 45.0, listOf(Zone("a")))
     private val fixture = TextFixture("answers.txt")
@@ -261,7 +261,7 @@
         routes(service(rejecting)).submit("record rejected", named("j-70"))
         val cutOff = service()
         val forwarding = service(forward = { UserAnswer(503, "${it.method} ${it.path} relayed", 9) })
-        trouble.storeRefusedUntil = time.now + 1000
+        faults.storeRefusedUntil = time.now + 1000
         with(routes(cutOff)) {
             submit("store unreachable", named("j-70"))
             status("store unreachable", "j-2")
--- a/src/test/kotlin/mountmast/coordination/autoscaling/LargeClusterTest.kt
+++ b/src/test/kotlin/mountmast/coordination/autoscaling/LargeClusterTest.kt
@@ -26,7 +26,7 @@
         spec.id
     }
 
-    private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
+    private fun leader() = world.hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
     @Test
     fun `1700 machines are filled, all nodes crash at once, and a third of the machines is lost and replaced`() {
@@ -68,9 +68,9 @@
 
     /** The second crash comes before the recovery from the first is complete. */
     private fun crashAllNodesTwice(started: Int) {
-        world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
+        world.hosts.forEach { it.crash(world.random.nextLong(50, 800)) }
         world.run(1500, busy = false)
-        world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
+        world.hosts.forEach { it.crash(world.random.nextLong(50, 800)) }
         world.run(15_000, busy = false)
         assertTrue(world.rules.started <= ALL_TASKS, "${world.rules.started - started} starts, ${ALL_TASKS - started} were left")
         assertTrue(leader().cluster.machines.values.sumOf { it.live.size } in started..ALL_TASKS)
--- a/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
@@ -5,7 +5,7 @@
 import mountmast.protocol.JobSpec
 import mountmast.protocol.JobStatus
 import mountmast.protocol.TeamId
-import mountmast.standin.ControllerSeat
+import mountmast.standin.ControllerHost
 import mountmast.standin.StandInWorker
 import mountmast.standin.World
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -29,13 +29,13 @@
     }
 
     private class Scene(val world: World, val jobs: List<JobId>) {
-        val leading = world.seats.first { it.controller?.leaderTerm() != null }
-        val others = world.seats.filter { it !== leading }
+        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
+        val others = world.hosts.filter { it !== leading }
 
         fun runningOf(id: JobId) = world.rules.runningOf(id)
 
-        /** Cancels [id] through [seat], which confirms it. */
-        fun cancelAndConfirm(id: JobId, seat: ControllerSeat = others.first()) = assertEquals(200, world.cancel(id, seat))
+        /** Cancels [id] through [host], which confirms it. */
+        fun cancelAndConfirm(id: JobId, host: ControllerHost = others.first()) = assertEquals(200, world.cancel(id, host))
     }
 
     private fun World.longJob(number: Int, change: (JobSpec) -> JobSpec) =
@@ -44,7 +44,7 @@
     @Test
     fun `a leader refused alone stops what others cancelled, through an outage longer than a cancellation may take`() = withRunningJobs {
         // Its renewals fail and its watch of the jobs hangs, while the workers stay with it.
-        leading.trouble.storeRefusedUntil = world.time.now + 14_000
+        leading.faults.storeRefusedUntil = world.time.now + 14_000
         world.run(1500, busy = false)
         jobs.forEach { cancelAndConfirm(it) }
         world.store.outage(40_000)
@@ -55,8 +55,8 @@
     @Test
     fun `cancellations a leader cannot be told of end within their time, though a renewal gets through`() = withRunningJobs {
         // No broadcast arrives and the watch shows no change, but a lucky renewal makes the old grace begin anew.
-        leading.trouble.peersCutUntil = world.time.now + 90_000
-        leading.trouble.watchesNothingUntil = world.time.now + 90_000
+        leading.faults.peersCutUntil = world.time.now + 90_000
+        leading.faults.watchesNothingUntil = world.time.now + 90_000
         world.run(500, busy = false)
         jobs.forEach { cancelAndConfirm(it) }
         world.run(8000, busy = false)
@@ -67,9 +67,9 @@
 
     @Test
     fun `a leader elected just before an outage keeps no task alive that was cancelled in between`() = withRunningJobs {
-        leading.trouble.storeCutUntil = world.time.now + 90_000
-        leading.trouble.workersCutUntil = world.time.now + 90_000
-        leading.trouble.peersCutUntil = world.time.now + 90_000
+        leading.faults.storeCutUntil = world.time.now + 90_000
+        leading.faults.workersCutUntil = world.time.now + 90_000
+        leading.faults.peersCutUntil = world.time.now + 90_000
         world.run(200, busy = false)
         jobs.forEach { cancelAndConfirm(it) }
         // The confirming node ends before it has told anybody, and the successor cannot read the jobs.
@@ -94,7 +94,7 @@
             val began = world.rules.startsOf(late)
             world.run(World.CANCEL_MS, busy = false)
             assertEquals(began, world.rules.startsOf(late), "it began although it was cancelled")
-            assertTrue(world.seats.mapNotNull { it.controller?.leaderTerm() }.none { late in it.cluster.jobs }, "the job never finishes")
+            assertTrue(world.hosts.mapNotNull { it.controller?.leaderTerm() }.none { late in it.cluster.jobs }, "the job never finishes")
         }
 
     @Test
@@ -113,7 +113,7 @@
 
     @Test
     fun `all controllers away for longer than a lease`() = withRunningJobs(jobs = 3, { it.copy(estimateS = 15.0) }) {
-        world.seats.forEach { it.crash(3 * World.LEASE_MS) }
+        world.hosts.forEach { it.crash(3 * World.LEASE_MS) }
         world.run(3 * World.LEASE_MS, busy = false)
         world.expectDone(jobs, 120_000)
     }
@@ -124,7 +124,7 @@
         leading.crash(20_000)
         world.cloud.workers.filter { it.busy }.take(1).forEach { it.reboot() }
         world.run(9000, busy = false)
-        val successor = world.seats.first { it.controller?.leaderTerm() != null }
+        val successor = world.hosts.first { it.controller?.leaderTerm() != null }
         val started = world.rules.started
         held.forEach { successor.controller!!.onHeartbeat(it) }
         world.run(10_000, busy = false)
@@ -139,7 +139,7 @@
             val ended = world.cloud.workers.filter { it.alive }.onEachIndexed { i, worker -> worker.slowTimes = 1L + i }
             assertTrue(ended.isNotEmpty())
             repeat(3) {
-                world.seats.firstOrNull { it.controller?.leaderTerm() != null }?.crash(3000)
+                world.hosts.firstOrNull { it.controller?.leaderTerm() != null }?.crash(3000)
                 world.run(9000, busy = false)
             }
             world.expectDone(jobs + apart, 240_000)
@@ -147,11 +147,11 @@
 
     @Test
     fun `transactions carried out late, after newer ones, change nothing`() = withRunningJobs(jobs = 3, { it.copy(estimateS = 20.0) }) {
-        world.seats.forEach { it.trouble.lateWritesUntil = world.time.now + 60_000 }
+        world.hosts.forEach { it.faults.lateWritesUntil = world.time.now + 60_000 }
         val more = (40..46).map { world.accept(world.longJob(it) { spec -> spec.copy(estimateS = 4.0) }) }
         more.take(2).forEach { id -> repeat(60) { if (world.cancel(id) != 200) world.run(1000, busy = false) } }
         world.run(30_000, busy = false)
-        world.seats.first { it.controller?.leaderTerm() != null }.crash(300)
+        world.hosts.first { it.controller?.leaderTerm() != null }.crash(300)
         world.run(30_000, busy = false)
         world.expectDone(jobs + more.drop(2), 120_000)
     }
@@ -176,7 +176,7 @@
             for (id in ids) {
                 val final = world.poll(id)
                 assertTrue(final?.isFinal == true, "seed $seed: $id is $final")
-                world.seats.forEach { assertEquals(200, world.cancel(id, it)) }
+                world.hosts.forEach { assertEquals(200, world.cancel(id, it)) }
                 assertEquals(final, world.poll(id), "seed $seed")
             }
         }
@@ -191,19 +191,19 @@
         assertTrue(world.rules.startsOf(doomed.id) >= 3, "it was not tried on three machines")
         val starts = world.rules.startsOf(doomed.id)
         repeat(3) {
-            world.seats.first { it.controller?.leaderTerm() != null }.crash(15_000)
+            world.hosts.first { it.controller?.leaderTerm() != null }.crash(15_000)
             world.run(20_000, busy = false)
         }
         val again = world.rules.startsOf(doomed.id) - starts
         assertTrue(again <= 6, "$again starts within a minute and three leaders")
-        cancelAndConfirm(doomed.id, world.seats.first { it.controller != null })
+        cancelAndConfirm(doomed.id, world.hosts.first { it.controller != null })
     }
 
     @Test
     fun `ten leaders in two minutes, inside an outage too`() = withRunningJobs(jobs = 3, { it.copy(estimateS = 30.0) }) {
         repeat(10) { number ->
             if (number == 4) world.store.outage(25_000)
-            (world.seats.firstOrNull { it.controller?.leaderTerm() != null } ?: world.seats.random(world.random)).crash(
+            (world.hosts.firstOrNull { it.controller?.leaderTerm() != null } ?: world.hosts.random(world.random)).crash(
                 if (number % 2 ==
                     0
                 ) {
@@ -232,8 +232,8 @@
 
     @Test
     fun `jobs are cancelled through the new leader while the old one still reaches workers and users`() = withRunningJobs {
-        leading.trouble.storeCutUntil = world.time.now + 60_000
-        leading.trouble.peersCutUntil = world.time.now + 60_000
+        leading.faults.storeCutUntil = world.time.now + 60_000
+        leading.faults.peersCutUntil = world.time.now + 60_000
         repeat(2) { world.cloud.workers.filter { it.busy }.random(world.random).let { it.calledByNobodyUntil = world.time.now + 60_000 } }
         world.run(6000, busy = false)
         jobs.forEach { cancelAndConfirm(it) }
@@ -244,8 +244,8 @@
     @Test
     fun `tasks that a cut-off leader keeps alive are not started again while it may still answer their workers`() =
         withRunningJobs(change = { it.copy(tasks = 3, cpus = 1.0, memoryGb = 1.0, imageGb = 0.0, estimateS = 90.0) }) {
-            leading.trouble.storeCutUntil = world.time.now + 60_000
-            leading.trouble.peersCutUntil = world.time.now + 60_000
+            leading.faults.storeCutUntil = world.time.now + 60_000
+            leading.faults.peersCutUntil = world.time.now + 60_000
             // The successor cannot reach one worker, which stays with the old leader for all of its grace; other machines have capacity.
             world.cloud.workers.first { it.busy }.calledByNobodyUntil = world.time.now + 60_000
             world.run(60_000, busy = false)
@@ -309,10 +309,10 @@
         it.copy(estimateS = 25.0)
     }) {
         repeat(3) {
-            world.seats.firstOrNull { it.controller?.leaderTerm() != null }?.crash(world.random.nextLong(50, 900))
+            world.hosts.firstOrNull { it.controller?.leaderTerm() != null }?.crash(world.random.nextLong(50, 900))
             world.run(world.random.nextLong(500, 3000), busy = false)
         }
-        world.seats.forEachIndexed { i, seat -> seat.crash(if (i == 0) 500 else 25_000) }
+        world.hosts.forEachIndexed { i, host -> host.crash(if (i == 0) 500 else 25_000) }
         world.run(10_000, busy = false)
         world.expectDone(jobs, 120_000)
     }
--- a/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
@@ -38,14 +38,14 @@
         return spec.id
     }
 
-    private fun leader() = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
+    private fun leader() = world.hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
     /** Every worker reconnects at once, to nodes that have all ended, and end again before they have recovered. */
     private fun reconnectAllWorkersWhileAllNodesEndTwice() {
-        world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
+        world.hosts.forEach { it.crash(world.random.nextLong(50, 800)) }
         world.cloud.workers.forEach { it.target = world.random.nextInt(World.NODES) }
         world.run(2500, busy = false)
-        world.seats.forEach { it.crash(world.random.nextLong(50, 800)) }
+        world.hosts.forEach { it.crash(world.random.nextLong(50, 800)) }
         world.run(15_000, busy = false)
     }
 
@@ -75,7 +75,7 @@
         val cut = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 4 == 0 }
         cut.forEach { it.cutUntil = world.time.now + 9000 }
         world.run(3000, busy = false)
-        world.seats.first { it.controller?.leaderTerm() != null }.crash(500)
+        world.hosts.first { it.controller?.leaderTerm() != null }.crash(500)
         world.run(30_000, busy = false)
         assertEquals(0, world.store.tooLarge, "transactions over the limits")
         assertTrue(assigned() > ALL_TASKS * 0.85, "${assigned()} assignments in the end")
--- a/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
@@ -26,7 +26,7 @@
     private fun World.stage(number: Int, needs: List<JobId> = emptyList(), change: (JobSpec) -> JobSpec = { it }): JobId =
         accept(plainJob(number) { change(it.copy(estimateS = 2.0, tasks = 2, prerequisites = needs)) })
 
-    private fun World.leader() = seats.first { it.controller?.leaderTerm() != null }
+    private fun World.leader() = hosts.first { it.controller?.leaderTerm() != null }
 
     private fun World.runUntil(mostMs: Long, reached: () -> Boolean) {
         val until = time.now + mostMs
@@ -56,9 +56,9 @@
         val third = stage(3, listOf(second))
         run(5000, busy = false)
         assertEquals(200, cancel(first))
-        for (seat in seats) for (id in listOf(second, third)) assertEquals(JobStatus.CANCELLED, poll(id, seat))
+        for (host in hosts) for (id in listOf(second, third)) assertEquals(JobStatus.CANCELLED, poll(id, host))
         val late = stage(4, listOf(second))
-        for (seat in seats) assertEquals(JobStatus.CANCELLED, poll(late, seat))
+        for (host in hosts) assertEquals(JobStatus.CANCELLED, poll(late, host))
         run(30_000, busy = false)
         for (id in listOf(second, third, late)) {
             assertEquals(JobStatus.CANCELLED, poll(id))
@@ -110,7 +110,7 @@
         repeat(4) {
             run(random.nextLong(1000, 6000), busy = false)
             leader().crash(random.nextLong(50, 3000))
-            runUntil(30_000) { seats.any { it.controller?.leaderTerm() != null } }
+            runUntil(30_000) { hosts.any { it.controller?.leaderTerm() != null } }
         }
         finish(listOf(running, second, third), mostMs = 240_000)
         assertEquals(JobStatus.DONE, poll(third))
@@ -123,12 +123,12 @@
         val third = stage(3, listOf(second))
         run(5000, busy = false)
         // The leader learns nothing of the cancellation, so nobody writes what follows from it.
-        leader().trouble.storeRefusedUntil = time.now + 3000
-        leader().trouble.peersCutUntil = time.now + 60_000
-        assertEquals(200, cancel(first, seats.first { it !== leader() }))
+        leader().faults.storeRefusedUntil = time.now + 3000
+        leader().faults.peersCutUntil = time.now + 60_000
+        assertEquals(200, cancel(first, hosts.first { it !== leader() }))
         store.outage(World.CANCEL_MS + 10_000)
         run(World.CANCEL_MS + 10_000, busy = false)
-        for (seat in seats) for (id in listOf(third, second)) poll(id, seat)?.let { assertEquals(JobStatus.CANCELLED, it) }
+        for (host in hosts) for (id in listOf(third, second)) poll(id, host)?.let { assertEquals(JobStatus.CANCELLED, it) }
         run(10_000, busy = false)
         for (id in listOf(second, third)) assertEquals(JobStatus.CANCELLED, poll(id))
     }
@@ -138,7 +138,7 @@
         val first = stage(1)
         val service = accept(plainJob(2) { it.copy(shape = Shape.SERVICE, tasks = 1) })
         // A node that does not know the machine types, or who reads what, answers 503 until it does.
-        runUntil(20_000) { seats.all { seat -> seat.controller?.let { it.formats.isCurrent && it.users.isReady() } == true } }
+        runUntil(20_000) { hosts.all { host -> host.controller?.let { it.formats.isCurrent && it.users.isReady() } == true } }
         fun status(number: Int, needs: List<JobId>) = submit(plainJob(number) { it.copy(prerequisites = needs) })
         assertEquals(422, status(3, listOf(JobId("j-777777"))))
         assertEquals(422, status(4, listOf(first, JobId("j-000004"))))
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -22,7 +22,7 @@
         assertEquals(emptyList<JobId>(), ids.filter { poll(it) != JobStatus.DONE })
     }
 
-    private fun World.leader() = seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
+    private fun World.leader() = hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
     @Test
     fun `a poisoned job is backed off and preempts nobody, while others get done`() {
@@ -85,9 +85,9 @@
     fun `a rolling restart loses nothing`() {
         val world = World(25)
         val jobs = (1..6).map { world.accept(world.plainJob(it) { spec -> spec.copy(estimateS = 20.0) }) }
-        for (seat in world.seats) {
+        for (host in world.hosts) {
             world.run(6000, busy = false)
-            seat.crash(4000)
+            host.crash(4000)
         }
         world.expectDone(jobs, 90_000)
     }
@@ -113,9 +113,9 @@
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(20_000, busy = false)
         val busy = world.cloud.workers.count { it.busy }
-        val leading = world.seats.first { it.controller?.leaderTerm() != null }
-        leading.trouble.storeCutUntil = world.time.now + 30_000
-        leading.trouble.workersCutUntil = world.time.now + 30_000
+        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
+        leading.faults.storeCutUntil = world.time.now + 30_000
+        leading.faults.workersCutUntil = world.time.now + 30_000
         world.run(45_000, busy = false)
         assertEquals(busy, world.cloud.workers.count { it.busy })
         assertEquals(4, world.rules.started)
@@ -127,11 +127,11 @@
         val world = World(28, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 90.0, tasks = 4, cpus = 4.0, types = listOf(TypeId("s"))) })
         world.run(20_000, busy = false)
-        val leading = world.seats.first { it.controller?.leaderTerm() != null }
-        leading.trouble.workersCutUntil = world.time.now + 60_000
+        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
+        leading.faults.workersCutUntil = world.time.now + 60_000
         world.run(25_000, busy = false)
         assertEquals(null, leading.controller?.leaderTerm())
-        assertNotNull(world.seats.firstNotNullOfOrNull { it.controller?.leaderTerm() })
+        assertNotNull(world.hosts.firstNotNullOfOrNull { it.controller?.leaderTerm() })
     }
 
     @Test
@@ -140,7 +140,7 @@
         val world = World(29, quietNetwork = true)
         world.expectDone(listOf(world.accept(world.plainJob(1))), 30_000)
         val id = world.accept(world.plainJob(2))
-        val leading = world.seats.first { it.controller?.leaderTerm() != null }.controller!!
+        val leading = world.hosts.first { it.controller?.leaderTerm() != null }.controller!!
         leading.leaderWork.watchJobs(0)
         leading.leaderWork.runSchedulingCycle()
         assertTrue(world.leader().cluster.jobs.getValue(id).live.values.all { it.phase == Phase.INTENDED })
@@ -164,12 +164,12 @@
     fun `a node is unready only while another can serve what it cannot`() {
         val world = World(31, quietNetwork = true)
         world.accept(world.plainJob(1))
-        val users = world.seats.map { it.controller!!.users }
+        val users = world.hosts.map { it.controller!!.users }
         assertTrue(users.all { it.isReady() })
-        world.seats[0].trouble.storeRefusedUntil = world.time.now + 8000
+        world.hosts[0].faults.storeRefusedUntil = world.time.now + 8000
         world.run(5000, busy = false)
         assertEquals(listOf(false, true, true), users.map { it.isReady() })
-        assertEquals(200, world.seats[0].controller!!.users.status("j-000001", isForwarded = false).status, "forwarded to a peer")
+        assertEquals(200, world.hosts[0].controller!!.users.status("j-000001", isForwarded = false).status, "forwarded to a peer")
         world.run(10_000, busy = false)
         world.store.outage(10_000)
         world.run(7000, busy = false)
@@ -183,13 +183,13 @@
         // At the grown size it answered submissions too late, while the others were idle.
         val world = World(33, quietNetwork = true)
         world.run(15_000, busy = false)
-        val leading = world.seats.first { it.controller?.leaderTerm() != null }
-        fun isReady() = world.seats.map { it.controller?.users?.isReady() ?: false }
+        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
+        fun isReady() = world.hosts.map { it.controller?.users?.isReady() ?: false }
         assertEquals(listOf(true, true, true), isReady())
         repeat(200) { leading.controller!!.recordWakeLag(200) }
         world.run(3000, busy = false)
-        assertEquals(world.seats.map { it !== leading }, isReady())
-        world.seats.first { it !== leading }.crash(10_000)
+        assertEquals(world.hosts.map { it !== leading }, isReady())
+        world.hosts.first { it !== leading }.crash(10_000)
         world.run(8000, busy = false)
         assertTrue(leading.controller!!.users.isReady(), "one node alone is not enough for all users")
     }
@@ -252,10 +252,10 @@
         val world = World(37, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
-        val leading = world.seats.first { it.controller?.leaderTerm() != null }
+        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
         val machines = world.cloud.workers.filter { it.alive }
         assertTrue(machines.size >= 3)
-        leading.trouble.sendsNothingUntil = world.time.now + 40_000
+        leading.faults.sendsNothingUntil = world.time.now + 40_000
         world.run(14_000, busy = false)
         assertEquals(null, leading.controller?.leaderTerm(), "still leads")
         assertTrue(machines.all { it.alive }, "machines were scaled in for the node's fault")
@@ -267,12 +267,12 @@
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(20_000, busy = false)
         val started = world.rules.started
-        val leading = world.seats.first { it.controller?.leaderTerm() != null }
-        leading.trouble.storeCutUntil = world.time.now + 40_000
-        leading.trouble.peersCutUntil = world.time.now + 40_000
+        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
+        leading.faults.storeCutUntil = world.time.now + 40_000
+        leading.faults.peersCutUntil = world.time.now + 40_000
         // The lease expires, the successor waits a moment and announces itself to the workers: well before the grace of 13 s.
         world.run(9000, busy = false)
-        val successor = world.seats.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
+        val successor = world.hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
         assertTrue(successor !== leading.controller?.leaderTerm())
         assertTrue(
             successor.cluster.machines.values.filter {
@@ -291,7 +291,7 @@
             val job = world.accept(world.plainJob(1) { it.copy(estimateS = 30.0) })
             world.run(12_000, busy = false)
             repeat(4) {
-                world.seats.forEach { it.crash(world.random.nextLong(20, 300)) }
+                world.hosts.forEach { it.crash(world.random.nextLong(20, 300)) }
                 world.run(world.random.nextLong(100, 2200), busy = false)
             }
             world.expectDone(listOf(job), 60_000)
@@ -304,9 +304,9 @@
         val world = World(39, quietNetwork = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(10_000, busy = false)
-        val follower = world.seats.first { it.controller?.leaderTerm() == null }
-        follower.trouble.storeCutUntil = world.time.now + 60_000
-        follower.trouble.peersCutUntil = world.time.now + 60_000
+        val follower = world.hosts.first { it.controller?.leaderTerm() == null }
+        follower.faults.storeCutUntil = world.time.now + 60_000
+        follower.faults.peersCutUntil = world.time.now + 60_000
         world.run(8000, busy = false)
         val users = follower.controller!!.users
         val refused = users.status(job.text, isForwarded = false)
@@ -321,12 +321,12 @@
         val world = World(45, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
-        val former = world.seats.first { it.controller?.leaderTerm() != null }
+        val former = world.hosts.first { it.controller?.leaderTerm() != null }
         former.crash(60_000)
-        while (world.seats.none { it.controller?.leaderTerm() != null }) world.run(200, busy = false)
-        val leading = world.seats.first { it.controller?.leaderTerm() != null }
+        while (world.hosts.none { it.controller?.leaderTerm() != null }) world.run(200, busy = false)
+        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
         val leaderTerm = leading.controller!!.leaderTerm()
-        leading.trouble.sendsNothingUntil = world.time.now + 8000
+        leading.faults.sendsNothingUntil = world.time.now + 8000
         world.run(13_000, busy = false)
         assertTrue(leaderTerm === leading.controller!!.leaderTerm(), "resigned")
     }
@@ -374,8 +374,8 @@
             val world = World(seed)
             val jobs = (1..4).map { world.accept(world.plainJob(it) { spec -> spec.copy(estimateS = 12.0) }) }
             repeat(5) {
-                val leading = world.seats.firstOrNull { it.controller?.leaderTerm() != null }
-                (leading ?: world.seats.first()).trouble.pauseAtNextCallMs = world.random.nextLong(200, 4 * World.LEASE_MS)
+                val leading = world.hosts.firstOrNull { it.controller?.leaderTerm() != null }
+                (leading ?: world.hosts.first()).faults.pauseAtNextCallMs = world.random.nextLong(200, 4 * World.LEASE_MS)
                 world.run(world.random.nextLong(1000, 12_000), busy = false)
             }
             world.rules.quietSince = world.time.now + 4 * World.LEASE_MS
--- a/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
@@ -6,7 +6,7 @@
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.protocol.WireJson
-import mountmast.standin.ControllerSeat
+import mountmast.standin.ControllerHost
 import mountmast.standin.FallingLimits
 import mountmast.standin.NodeVersion
 import mountmast.standin.World
@@ -31,15 +31,15 @@
             }
         }
 
-    private fun World.leading(): ControllerSeat? = seats.filter { it.controller?.leaderTerm() != null }
+    private fun World.leading(): ControllerHost? = hosts.filter { it.controller?.leaderTerm() != null }
         .maxByOrNull { checkNotNull(it.controller?.leaderTerm()).leaderLease.token.number }
 
-    private fun ControllerSeat.upgrade(downMs: Long = 2000) {
+    private fun ControllerHost.upgrade(downMs: Long = 2000) {
         version = NodeVersion.CURRENT
         crash(downMs)
     }
 
-    private fun World.areAllCurrent() = seats.all { it.controller?.formats?.isCurrent == true }
+    private fun World.areAllCurrent() = hosts.all { it.controller?.formats?.isCurrent == true }
 
     private fun World.runUntil(mostMs: Long, what: String, reached: () -> Boolean) {
         val until = time.now + mostMs
@@ -66,10 +66,10 @@
         worlds(1L..8L, limits = smallValues) {
             val jobs = longJobs(1..12, runS = 60.0)
             runUntil(60_000, "all tasks run") { jobs.sumOf { rules.runningOf(it) } == 48 }
-            for (seat in seats) {
-                seat.upgrade()
+            for (host in hosts) {
+                host.upgrade()
                 run(7000, busy = false)
-                assertEquals(seats.last().version == NodeVersion.CURRENT, seat === seats.last())
+                assertEquals(hosts.last().version == NodeVersion.CURRENT, host === hosts.last())
             }
             runUntil(15_000, "agreement") { areAllCurrent() }
             finish(jobs)
@@ -79,19 +79,19 @@
     @Test
     fun `no new form is written, and nothing new accepted, while a node of production is left`() = worlds(11L..14L) {
         val first = longJobs(1..1, runS = 30.0).single()
-        seats.take(2).forEach {
+        hosts.take(2).forEach {
             it.upgrade()
             run(8000, busy = false)
         }
         run(20_000, busy = false)
-        assertFalse(seats.any { it.version == NodeVersion.CURRENT && checkNotNull(it.controller).formats.isCurrent })
+        assertFalse(hosts.any { it.version == NodeVersion.CURRENT && checkNotNull(it.controller).formats.isCurrent })
         val dependent = plainJob(FIRST_NUMBER + 2) { it.copy(prerequisites = listOf(first)) }
-        for (seat in seats.take(2)) {
+        for (host in hosts.take(2)) {
             val body = WireJson.encodeToString(dependent)
-            val refused = checkNotNull(seat.controller).users.submit(body, isForwarded = false)
+            val refused = checkNotNull(host.controller).users.submit(body, isForwarded = false)
             assertEquals(503 to true, refused.status to (refused.retryAfterS > 0))
         }
-        seats.last().upgrade()
+        hosts.last().upgrade()
         runUntil(30_000, "agreement") { areAllCurrent() }
         accept(dependent)
         finish(listOf(first, dependent.id))
@@ -102,7 +102,7 @@
         worlds(21L..28L, limits = smallValues) {
             val jobs = longJobs(1..10, runS = 25.0)
             run(15_000, busy = false)
-            seats[(seed % 3).toInt()].upgrade()
+            hosts[(seed % 3).toInt()].upgrade()
             val led = HashSet<NodeVersion>()
             repeat(8) { round ->
                 // More starts at once than a value holds, which would be compressed if that were agreed on.
@@ -111,12 +111,12 @@
                 val leader = leading() ?: return@repeat
                 led += leader.version
                 // One of the other version shall follow.
-                seats.filter { it.version == leader.version }.forEach { it.crash(if (it === leader) 9000 else 4000) }
+                hosts.filter { it.version == leader.version }.forEach { it.crash(if (it === leader) 9000 else 4000) }
             }
             runUntil(30_000, "a leader") { leading() != null }
             assertEquals(NodeVersion.entries.toSet(), led, "versions that led")
             finish(jobs, isBusy = true)
-            seats.forEach {
+            hosts.forEach {
                 it.upgrade()
                 run(6000, busy = true)
             }
@@ -127,10 +127,10 @@
     @Test
     fun `requests forwarded between versions arrive and are answered whole`() = worlds(31L..33L) {
         val job = longJobs(1..1, runS = 60.0).single()
-        seats[0].upgrade()
+        hosts[0].upgrade()
         run(8000, busy = false)
-        for (cut in seats) {
-            cut.trouble.storeRefusedUntil = time.now + 6000
+        for (cut in hosts) {
+            cut.faults.storeRefusedUntil = time.now + 6000
             run(4000, busy = false)
             assertEquals(200, checkNotNull(cut.controller).users.status(job.text, isForwarded = false).status, "${cut.name}")
             run(6000, busy = false)
@@ -142,14 +142,14 @@
     fun `a process that ends before its turn comes back old, leads, and is exchanged later`() = worlds(41L..46L) {
         val jobs = longJobs(1..8, runS = 20.0)
         run(12_000, busy = false)
-        seats[0].upgrade()
+        hosts[0].upgrade()
         run(6000, busy = false)
-        seats[1].crash(300)
-        seats[0].crash(8000)
+        hosts[1].crash(300)
+        hosts[0].crash(8000)
         run(8000, busy = true)
         assertEquals(NodeVersion.PRODUCTION, runUntilLeader().version)
         run(5000, busy = true)
-        seats.drop(1).forEach {
+        hosts.drop(1).forEach {
             it.upgrade()
             run(5000, busy = true)
         }
@@ -157,7 +157,7 @@
         finish(jobs, isBusy = true)
     }
 
-    private fun World.runUntilLeader(): ControllerSeat {
+    private fun World.runUntilLeader(): ControllerHost {
         runUntil(30_000, "a leader") { leading() != null }
         return checkNotNull(leading())
     }
@@ -166,12 +166,12 @@
     fun `cancellations, an outage, a cut, late writes and a crash of the node being exchanged meet the upgrade`() {
         worlds(51L..70L, quiet = false) {
             run(20_000, busy = true)
-            for (seat in seats.shuffled(random)) {
-                disturb(seat)
+            for (host in hosts.shuffled(random)) {
+                disturb(host)
                 run(random.nextLong(200, 4000), busy = true)
-                seat.upgrade(random.nextLong(200, 4000))
+                host.upgrade(random.nextLong(200, 4000))
                 run(random.nextLong(2000, 9000), busy = true)
-                if (random.nextBoolean()) seat.crash(random.nextLong(50, 3000))
+                if (random.nextBoolean()) host.crash(random.nextLong(50, 3000))
                 fail()
                 run(random.nextLong(2000, 9000), busy = true)
             }
@@ -179,13 +179,13 @@
         }
     }
 
-    private fun World.disturb(seat: ControllerSeat) {
+    private fun World.disturb(host: ControllerHost) {
         when (random.nextInt(6)) {
             0 -> store.outage(random.nextLong(2000, 20_000))
-            1 -> failures.refusedThenOut(random.nextLong(500, 3000), random.nextLong(3000, World.CANCEL_MS))
+            1 -> faultInjector.refusedThenOut(random.nextLong(500, 3000), random.nextLong(3000, World.CANCEL_MS))
             2 -> cutOff(zones.random(random), random.nextLong(3000, 20_000))
-            3 -> seats.forEach { it.trouble.lateWritesUntil = time.now + 20_000 }
-            4 -> seat.trouble.dieAtNextCall = true
+            3 -> hosts.forEach { it.faults.lateWritesUntil = time.now + 20_000 }
+            4 -> host.faults.dieAtNextCall = true
             else -> cancelsAtEnd(15_000)
         }
     }
@@ -207,7 +207,7 @@
         worlds(81L..86L, limits = limits) {
             val jobs = longJobs(1..14, runS = 70.0)
             run(25_000, busy = true)
-            seats.forEach {
+            hosts.forEach {
                 it.upgrade(500)
                 run(5000, busy = true)
             }
@@ -222,7 +222,7 @@
 
     @Test
     fun `two processes at a time are exchanged in the middle of a pipeline that was accepted before`() = worlds(91L..96L) {
-        seats.forEach {
+        hosts.forEach {
             it.upgrade(300)
             run(4000, busy = false)
         }
@@ -231,7 +231,7 @@
         val second = accept(plainJob(FIRST_NUMBER + 2) { it.copy(prerequisites = listOf(first)) })
         val third = accept(plainJob(FIRST_NUMBER + 3) { it.copy(prerequisites = listOf(second)) })
         repeat(3) {
-            seats.shuffled(random).take(2).forEach { it.crash(random.nextLong(200, 3000)) }
+            hosts.shuffled(random).take(2).forEach { it.crash(random.nextLong(200, 3000)) }
             run(6000, busy = false)
         }
         finish(listOf(first, second, third))
--- a/src/test/kotlin/mountmast/coordination/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/mountmast/coordination/election/LeaderElectionTest.kt
@@ -4,8 +4,8 @@
 import mountmast.protocol.FencingToken
 import mountmast.protocol.ModRevision
 import mountmast.protocol.NodeId
+import mountmast.standin.ProcessFaults
 import mountmast.standin.StandInStore
-import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.storage.Compare
 import mountmast.storage.Keys
@@ -28,8 +28,8 @@
     private val standIn = StandInStore(time)
     private val timing = LeaseTiming.of(leaseS = 10.0, cancelS = 40.0, clockOffMs = 0.0, heartbeatIntervalS = 1.0)
 
-    private inner class Participant(name: String, run: String = name, val trouble: Trouble = Trouble(time)) {
-        val store = standIn.View(Random(1), trouble)
+    private inner class Participant(name: String, run: String = name, val faults: ProcessFaults = ProcessFaults(time)) {
+        val store = standIn.View(Random(1), faults)
         val metrics = Metrics()
         val election = LeaderElection(store, NodeId(name), run, timing, time.clock(0.0, 0), metrics)
         val token: FencingToken? get() = election.leaderLease?.token
@@ -122,7 +122,7 @@
     fun `a leader cut off from the store renews workers' leases for the grace period only`() {
         val first = Participant("node-0")
         first.election.step()
-        first.trouble.storeCutUntil = Long.MAX_VALUE
+        first.faults.storeCutUntil = Long.MAX_VALUE
         time.advance(timing.ttlMs + timing.graceMs - 1)
         first.election.step()
         assertTrue(first.election.mayRenewWorkerLeases())
@@ -134,7 +134,7 @@
     fun `a leader cut off from the store steps down once its lease may have expired and it suspects a newer leader`() {
         val first = Participant("node-0")
         first.election.step()
-        first.trouble.storeCutUntil = Long.MAX_VALUE
+        first.faults.storeCutUntil = Long.MAX_VALUE
         first.election.observeToken(FencingToken(ULong.MAX_VALUE))
         time.advance(timing.ttlMs - 1)
         first.election.step()
@@ -147,15 +147,15 @@
     @Test
     fun `an election whose answer was lost is resolved, and counted once`() {
         for (seed in 1L..40L) {
-            val trouble = Trouble(time).apply { lossRate = 0.5 }
-            val lossy = StandInStore(time).View(Random(seed), trouble)
+            val faults = ProcessFaults(time).apply { lossRate = 0.5 }
+            val lossy = StandInStore(time).View(Random(seed), faults)
             val metrics = Metrics()
             val election = LeaderElection(lossy, NodeId("node-0"), "1", timing, time.clock(0.0, 0), metrics)
             while (election.leaderLease == null) {
                 time.advance(STEP_MS)
                 election.step()
             }
-            trouble.lossRate = 0.0
+            faults.lossRate = 0.0
             val key = checkNotNull(lossy.get(Keys.LEADER))
             assertEquals(key.modRevision, election.leaderLease?.modRevision, "seed $seed")
             assertEquals(1, metrics.counter(MetricNames.ELECTIONS).value, "seed $seed")
@@ -182,9 +182,9 @@
         stepFor(STEP_MS, first, second)
         assertEquals(VacancyWait.NOT_NEEDED, first.election.awaitVacancy(0))
         assertEquals(VacancyWait.WATCHED, second.election.awaitVacancy(0))
-        second.trouble.storeCutUntil = Long.MAX_VALUE
+        second.faults.storeCutUntil = Long.MAX_VALUE
         assertEquals(VacancyWait.FAILED, second.election.awaitVacancy(0))
-        second.trouble.storeCutUntil = 0
+        second.faults.storeCutUntil = 0
         stepFor(timing.ttlMs + 2 * STEP_MS, second)
         assertNotNull(second.token)
         assertEquals(VacancyWait.NOT_NEEDED, second.election.awaitVacancy(0))
--- a/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
@@ -5,8 +5,8 @@
 import mountmast.protocol.ModRevision
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
+import mountmast.standin.ProcessFaults
 import mountmast.standin.StandInStore
-import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.standin.World
 import mountmast.storage.Compare
@@ -32,7 +32,7 @@
 
 class JobReaderTest {
     private val time = VirtualTime()
-    private val inner = StandInStore(time).View(Random(1), Trouble(time))
+    private val inner = StandInStore(time).View(Random(1), ProcessFaults(time))
     private val requests = AtomicInteger()
 
     /** A request to the state service takes a permit while [isGated]. */
@@ -104,8 +104,8 @@
     fun `a job never accepted is unknown, and a failed read throws and does not affect later reads`() {
         assertEquals(JobState.Unknown, reader.read(jobs[0].id))
         put(0, false, ModRevision.ABSENT)
-        val trouble = Trouble(time).apply { storeRefusedUntil = 100 }
-        val failing = readerOn(StandInStore(time).View(Random(1), trouble), maxWaitMs = 1800)
+        val faults = ProcessFaults(time).apply { storeRefusedUntil = 100 }
+        val failing = readerOn(StandInStore(time).View(Random(1), faults), maxWaitMs = 1800)
         repeat(3) { assertThrows(StoreException::class.java) { failing.read(jobs[0].id) } }
         time.advance(200)
         assertEquals(JobState.Unknown, failing.read(jobs[0].id))
--- a/src/test/kotlin/mountmast/coordination/jobs/JobRecordPrefetcherTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobRecordPrefetcherTest.kt
@@ -7,8 +7,8 @@
 import mountmast.protocol.ModRevision
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
+import mountmast.standin.ProcessFaults
 import mountmast.standin.StandInStore
-import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.standin.World
 import mountmast.storage.JobRecord
@@ -22,8 +22,8 @@
 class JobRecordPrefetcherTest {
     private val time = VirtualTime()
     private val standIn = StandInStore(time, keptChanges = 10)
-    private val trouble = Trouble(time)
-    private val store = standIn.View(Random(1), trouble)
+    private val faults = ProcessFaults(time)
+    private val store = standIn.View(Random(1), faults)
     private val prefetched = ArrayList<Pair<JobId, ModRevision>>()
     private val prefetcher = JobRecordPrefetcher(store) { record, modRevision -> prefetched += record.spec.id to modRevision }
     private val jobs = (1..30).map { World(1).job(it) }
@@ -52,7 +52,7 @@
         accept(4)
         assertEquals(PrefetchResult.WATCHED, prefetcher.prefetch(0))
         assertEquals(listOf(jobs[4].id), prefetched.map { it.first })
-        trouble.storeRefusedUntil = time.now + 1000
+        faults.storeRefusedUntil = time.now + 1000
         assertEquals(PrefetchResult.STORE_UNAVAILABLE, prefetcher.prefetch(0))
         time.advance(2000)
         // More changes than the service keeps: those are not prefetched, later ones are.
@@ -69,11 +69,11 @@
         val world = World(1, quietNetwork = true)
         val first = (1..3).map { world.accept(world.plainJob(it)) }
         world.run(5000, busy = false)
-        for (seat in world.seats) {
-            val spec = world.plainJob(10 + seat.number) { it.copy(prerequisites = first) }
+        for (host in world.hosts) {
+            val spec = world.plainJob(10 + host.number) { it.copy(prerequisites = first) }
             val before = world.store.requests
-            world.users.submit(spec, seat)
-            assertEquals(1, world.store.requests - before, "${seat.name}")
+            world.users.submit(spec, host)
+            assertEquals(1, world.store.requests - before, "${host.name}")
         }
     }
 }
--- a/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
@@ -6,8 +6,8 @@
 import mountmast.protocol.ModRevision
 import mountmast.protocol.NodeId
 import mountmast.protocol.WireJson
+import mountmast.standin.ProcessFaults
 import mountmast.standin.StandInStore
-import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.standin.World
 import mountmast.storage.Compare
@@ -28,8 +28,8 @@
 class FormatNegotiationTest {
     private val time = VirtualTime()
     private val standIn = StandInStore(time)
-    private val trouble = Trouble(time)
-    private val store = standIn.View(Random(1), trouble)
+    private val faults = ProcessFaults(time)
+    private val store = standIn.View(Random(1), faults)
     private val other = NodeId("node-1")
     private val third = NodeId("node-2")
     private val members = listOf(other, third)
@@ -141,7 +141,7 @@
     @Test
     fun `a write whose answer is lost is read back, or repeated if it was lost itself`() {
         for (seed in 1L..40L) {
-            val lossy = Trouble(time).apply { lossRate = 0.6 }
+            val lossy = ProcessFaults(time).apply { lossRate = 0.6 }
             val viewedStore = StandInStore(time).View(Random(seed), lossy)
             val negotiation = negotiation(viewedStore)
             negotiation.recordAllMembersAsCurrent()
@@ -157,7 +157,7 @@
     @Test
     fun `late writes neither fail a negotiation nor lower a later version`() {
         for (seed in 1L..40L) {
-            val late = Trouble(time).apply { lateWritesUntil = time.now + 60_000 }
+            val late = ProcessFaults(time).apply { lateWritesUntil = time.now + 60_000 }
             val viewedStore = StandInStore(time).View(Random(seed), late)
             val negotiation = negotiation(viewedStore)
             negotiation.recordAllMembersAsCurrent()
@@ -215,9 +215,9 @@
     fun `three nodes become current within seconds, and again after all were restarted`() {
         val world = World(1, quietNetwork = true)
         world.run(12_000, busy = false)
-        assertTrue(world.seats.all { it.controller?.formats?.isCurrent == true })
-        world.seats.forEach { it.crash(100) }
+        assertTrue(world.hosts.all { it.controller?.formats?.isCurrent == true })
+        world.hosts.forEach { it.crash(100) }
         world.run(4000, busy = false)
-        assertTrue(world.seats.all { it.controller?.formats?.isCurrent == true })
+        assertTrue(world.hosts.all { it.controller?.formats?.isCurrent == true })
     }
 }
--- a/src/test/kotlin/mountmast/coordination/persistence/FallingLimitsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/FallingLimitsTest.kt
@@ -34,7 +34,7 @@
         assertEquals(emptyList<Any>(), world.unfinished().filter { world.poll(it)?.isFinal != true }, "jobs that never finished")
     }
 
-    private fun leaderSeats(world: World) = world.seats.filter { it.controller?.leaderTerm() != null }
+    private fun leaderSeats(world: World) = world.hosts.filter { it.controller?.leaderTerm() != null }
 
     @Test
     fun `no transaction is rejected where the lower limits are announced`() {
@@ -64,7 +64,7 @@
         for (seed in 181L..188L) {
             val world = world(seed, fallsAtMs = 30_000, isAnnounced = seed % 2 == 0L, compact = seed % 3 == 0L, quiet = false)
             world.run(28_500, busy = true)
-            leaderSeats(world).forEach { it.trouble.lateWritesUntil = world.time.now + 20_000 }
+            leaderSeats(world).forEach { it.faults.lateWritesUntil = world.time.now + 20_000 }
             world.run(1000, busy = true)
             leaderSeats(world).forEach { it.crash(1000) }
             world.run(40_000, busy = true)
--- a/src/test/kotlin/mountmast/coordination/persistence/InDoubtResolverTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/InDoubtResolverTest.kt
@@ -3,8 +3,8 @@
 import kotlinx.serialization.json.encodeToJsonElement
 import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
+import mountmast.standin.ProcessFaults
 import mountmast.standin.StandInStore
-import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.storage.JournalRecord
 import mountmast.storage.Transaction
@@ -19,7 +19,7 @@
 class InDoubtResolverTest {
     private val time = VirtualTime()
     private val standIn = StandInStore(time)
-    private val store = standIn.View(Random(1), Trouble(time))
+    private val store = standIn.View(Random(1), ProcessFaults(time))
     private val resolver = InDoubtResolver(store)
     private val slotted = SlottedRecord(3, JournalRecord(131, "-j-000001/0;"))
     private val batch = WriteBatch(ModRevision(1u), maxOps = 16).apply { addJournalRecord(slotted, ModRevision.ABSENT, emptyList()) }
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -40,8 +40,8 @@
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
 import mountmast.protocol.Zone
+import mountmast.standin.ProcessFaults
 import mountmast.standin.StandInStore
-import mountmast.standin.Trouble
 import mountmast.standin.VirtualTime
 import mountmast.standin.World
 import mountmast.standin.production.BrokenContract
@@ -227,12 +227,12 @@
         for (seed in 1L..8L) {
             val world = World(seed, quietNetwork = true)
             // One node is never heard, so nobody knows that it is current.
-            world.seats.last().downUntil = Long.MAX_VALUE
+            world.hosts.last().downUntil = Long.MAX_VALUE
             repeat(8) { round ->
                 world.run(8000, busy = true)
-                if (round == 5) world.seats.first().crash(500)
-                assertFalse(world.seats.any { it.controller?.formats?.isCurrent == true })
-                assertReadByProduction(world.store.View(Random(seed), Trouble(world.time)).listAll("").first, world)
+                if (round == 5) world.hosts.first().crash(500)
+                assertFalse(world.hosts.any { it.controller?.formats?.isCurrent == true })
+                assertReadByProduction(world.store.View(Random(seed), ProcessFaults(world.time)).listAll("").first, world)
             }
         }
     }
@@ -243,7 +243,7 @@
             val read = ProductionForms.pass(entry.key, entry.value)
             assertTrue(isPartOf(read, entry.value), "${entry.key}: $read of ${entry.value}")
         }
-        val leaderTerm = loaded(world.store.View(Random(1), Trouble(world.time)))
+        val leaderTerm = loaded(world.store.View(Random(1), ProcessFaults(world.time)))
         val byProduction = replayedByProduction(written)
         val ours = leaderTerm.cluster.jobs.values.flatMap { job ->
             job.live.values.map { "${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone}" }
@@ -302,7 +302,7 @@
     private val time = VirtualTime()
 
     private fun storeOf(entries: Map<String, JsonElement>): StateStore {
-        val view = StandInStore(time).View(Random(1), Trouble(time))
+        val view = StandInStore(time).View(Random(1), ProcessFaults(time))
         for ((key, value) in entries) view.commit(Transaction(emptyList(), listOf(Write.Put(key, value))))
         return view
     }
--- a/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
@@ -94,7 +94,7 @@
             assertTrue((perKind[WriteKind.SNAPSHOT] ?: 0.0) > 0, "snapshots are written")
         }
 
-        private fun pendingChanges() = world.seats.mapNotNull {
+        private fun pendingChanges() = world.hosts.mapNotNull {
             it.controller?.leaderTerm()
         }.maxBy { it.leaderLease.token }.cluster.pendingChanges.size
     }
--- a/src/test/kotlin/mountmast/coordination/workers/LeaseRenewalTest.kt
+++ b/src/test/kotlin/mountmast/coordination/workers/LeaseRenewalTest.kt
@@ -33,7 +33,7 @@
 
     /** Delivers what a worker answers to a command request: its heartbeat, with the next sequence number. */
     private fun deliverCommandResponse(world: World, worker: StandInWorker) {
-        val leader = world.seats.firstNotNullOf { it.controller?.leaderTerm() }
+        val leader = world.hosts.firstNotNullOf { it.controller?.leaderTerm() }
         val now = MonotonicTime(1_000_000 + world.time.now)
         leader.lock.withLock { leader.heartbeats.onCommandResponse(worker.heartbeat(), now) }
     }
--- a/src/test/kotlin/mountmast/soak/SoakRun.kt
+++ b/src/test/kotlin/mountmast/soak/SoakRun.kt
@@ -2,11 +2,11 @@
 
 import mountmast.protocol.JobStatus
 import mountmast.standin.FallingLimits
+import mountmast.standin.ProcessFaults
 import mountmast.standin.Rules
 import mountmast.standin.StandInCloud
 import mountmast.standin.StandInStore
 import mountmast.standin.StandInWorker
-import mountmast.standin.Trouble
 import mountmast.transport.HttpCaller
 import mountmast.transport.NoAnswerException
 import java.io.File
@@ -42,9 +42,9 @@
     /** Where users and workers reach the controllers. */
     val publicPorts: List<Int> get() = ports.take(SoakSite.NODES)
     private val directory: File = Files.createTempDirectory("mountmast-soak").toFile()
-    private val troubles = List(SoakSite.NODES) { Trouble(clock.time).apply { lossRate = LOSS_RATE } }
+    private val troubles = List(SoakSite.NODES) { ProcessFaults(clock.time).apply { lossRate = LOSS_RATE } }
     private val storeServers = troubles.map { StoreServer(clock, store.View(random, it), executor, breakage == Breakage.SUBMISSIONS_LOST) }
-    private val cloudServer = CloudServer(clock, cloud.View(Trouble(clock.time)), fleet::addressOf, executor)
+    private val cloudServer = CloudServer(clock, cloud.View(ProcessFaults(clock.time)), fleet::addressOf, executor)
     private val stateLinks = storeServers.map { LinkProxy(it.port).start() }
 
     /** From each node to each other one. */
--- a/src/test/kotlin/mountmast/standin/ControllerSeat.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerHost.kt
@@ -14,10 +14,10 @@
 import kotlin.random.Random
 
 /** One of the controllers of a [World], with the process that runs on it at the moment. */
-class ControllerSeat(private val world: World, val number: Int, var version: NodeVersion) {
+class ControllerHost(private val world: World, val number: Int, var version: NodeVersion) {
     val name = NodeId("node-$number")
     val zone = world.zones[number % world.zones.size]
-    var trouble = Trouble(world.time, number)
+    var faults = ProcessFaults(world.time, number)
     var controller: Controller? = null
     private var metrics = Metrics()
 
@@ -32,18 +32,18 @@
 
     /** Starts a new process. */
     fun start() {
-        trouble.lossRate = if (world.quietNetwork) 0.0 else LOSS_RATE
-        trouble.repeats = !world.quietNetwork
-        val started = trouble
+        faults.lossRate = if (world.quietNetwork) 0.0 else LOSS_RATE
+        faults.repeats = !world.quietNetwork
+        val started = faults
         started.standStill = { ms -> standStill(started, ms) }
         val drift = if (number == 0) DRIFT else 0.0
-        val store = world.store.View(world.random, trouble, Random(world.seed))
+        val store = world.store.View(world.random, faults, Random(world.seed))
         metrics = Metrics()
         val systems = ExternalSystems(
             version.store(store),
-            world.cloud.View(trouble),
-            world.network.workersOf(trouble),
-            world.network.peersOf(this, trouble),
+            world.cloud.View(faults),
+            world.network.workersOf(faults),
+            world.network.peersOf(this, faults),
         )
         controller = Controller(
             settings(),
@@ -72,7 +72,7 @@
             if (world.time.now >= downUntil) start()
             return
         }
-        if (trouble.stalled()) return
+        if (faults.isStalled()) return
         val steps = steps(running)
         for (i in steps.indices.shuffled(world.random)) {
             if (world.time.now < due[i]) continue
@@ -98,29 +98,29 @@
 
     /** Runs part of this node; false where the process died in it. */
     fun guarded(act: () -> Unit): Boolean {
-        val running = trouble
+        val running = faults
         return try {
             act()
             true
         } catch (e: NodeDied) {
             // One that died while it stood still has been replaced by now.
-            if (trouble === running) crash(if (world.random.nextInt(3) == 0) 200L else RESTART_MS)
+            if (faults === running) crash(if (world.random.nextInt(3) == 0) 200L else RESTART_MS)
             false
         }
     }
 
     /** Everybody else goes on, while this process is in the middle of what it does; its clocks run on too. */
-    private fun standStill(process: Trouble, ms: Long) {
+    private fun standStill(process: ProcessFaults, ms: Long) {
         process.stalledUntil = world.time.now + ms
         world.run(ms, busy = false)
-        if (trouble !== process) throw NodeDied()
+        if (faults !== process) throw NodeDied()
     }
 
     /** Ends the process; another one starts after [downMs]. */
     fun crash(downMs: Long) {
         controller = null
         downUntil = world.time.now + downMs
-        trouble = Trouble(world.time, number)
+        faults = ProcessFaults(world.time, number)
     }
 
     private companion object {
--- a/src/test/kotlin/mountmast/standin/Failures.kt
+++ b/src/test/kotlin/mountmast/standin/FaultInjector.kt
@@ -3,18 +3,18 @@
 import mountmast.protocol.FencingToken
 
 /** Brings failures about in a [World], drawn from its seed. */
-class Failures(private val world: World) {
+class FaultInjector(private val world: World) {
     private val time get() = world.time
     private val random get() = world.random
-    private val seats get() = world.seats
+    private val hosts get() = world.hosts
     private val aliveWorkers get() = world.cloud.workers.filter { it.alive }
 
     /** What a failure may concern: drawn before its kind, so that each draw takes the same numbers. */
-    private class Drawn(val seat: ControllerSeat, val ms: Long, val worker: StandInWorker?)
+    private class Drawn(val host: ControllerHost, val ms: Long, val worker: StandInWorker?)
 
     /** One failure. */
     fun draw() {
-        val drawn = Drawn(seats.random(random), random.nextLong(1000, LONGEST_MS), aliveWorkers.randomOrNull(random))
+        val drawn = Drawn(hosts.random(random), random.nextLong(1000, LONGEST_MS), aliveWorkers.randomOrNull(random))
         val kind = random.nextInt(KINDS)
         processFails(kind, drawn) ||
             linkFails(kind, drawn) ||
@@ -24,49 +24,49 @@
     }
 
     private fun processFails(kind: Int, drawn: Drawn): Boolean {
-        val seat = drawn.seat
+        val host = drawn.host
         when (kind) {
-            0 -> seat.crash(if (random.nextBoolean()) 100L else 4000L)
-            1 -> seat.trouble.dieAtNextCall = true
-            2 -> seats.forEach { it.crash(random.nextLong(50, 4000)) }
-            6 -> seat.trouble.stalledUntil = time.now + drawn.ms / 2
+            0 -> host.crash(if (random.nextBoolean()) 100L else 4000L)
+            1 -> host.faults.dieAtNextCall = true
+            2 -> hosts.forEach { it.crash(random.nextLong(50, 4000)) }
+            6 -> host.faults.stalledUntil = time.now + drawn.ms / 2
             17 -> {
                 // Back within a fraction of a second, twice in a row, at times all of them.
-                val all = if (random.nextBoolean()) seats else listOf(seat)
+                val all = if (random.nextBoolean()) hosts else listOf(host)
                 all.forEach { it.crash(random.nextLong(20, 400)) }
                 time.later(random.nextLong(300, 2500)) { all.forEach { it.crash(random.nextLong(20, 400)) } }
             }
             // It stands still for up to well over a lease, in the middle of what it does, and then goes on.
-            20, 21 -> seats.shuffled(random).take(random.nextInt(1, 3)).forEach {
-                it.trouble.pauseAtNextCallMs = random.nextLong(500, 3 * World.LEASE_MS)
+            20, 21 -> hosts.shuffled(random).take(random.nextInt(1, 3)).forEach {
+                it.faults.pauseAtNextCallMs = random.nextLong(500, 3 * World.LEASE_MS)
             }
             31 -> repeat(10) { time.later(it * 5000L) { leader()?.crash(random.nextLong(20, 3000)) } }
-            33 -> seats.forEach { it.crash(random.nextLong(World.LEASE_MS, 3 * World.LEASE_MS)) }
+            33 -> hosts.forEach { it.crash(random.nextLong(World.LEASE_MS, 3 * World.LEASE_MS)) }
             else -> return false
         }
         return true
     }
 
     private fun linkFails(kind: Int, drawn: Drawn): Boolean {
-        val trouble = drawn.seat.trouble
+        val faults = drawn.host.faults
         val until = time.now + drawn.ms
         when (kind) {
-            3 -> trouble.storeCutUntil = until
-            4 -> trouble.storeRefusedUntil = until
-            5 -> trouble.workersCutUntil = until
+            3 -> faults.storeCutUntil = until
+            4 -> faults.storeRefusedUntil = until
+            5 -> faults.workersCutUntil = until
             7 -> world.store.outage(drawn.ms)
             8 -> world.cloud.outage(drawn.ms)
             15 -> {
                 // It loses the state service and the other controllers, but not its workers.
-                trouble.storeCutUntil = until
-                trouble.peersCutUntil = until
+                faults.storeCutUntil = until
+                faults.peersCutUntil = until
             }
-            16 -> trouble.peersCutUntil = until
-            19 -> trouble.sendsNothingUntil = until
+            16 -> faults.peersCutUntil = until
+            19 -> faults.sendsNothingUntil = until
             25 -> world.cutOff(world.zones.random(random), drawn.ms)
-            26 -> trouble.lateWritesUntil = until
+            26 -> faults.lateWritesUntil = until
             32 -> world.store.outage(random.nextLong(World.CANCEL_MS, 2 * World.CANCEL_MS))
-            34 -> leader()?.trouble?.let { its ->
+            34 -> leader()?.faults?.let { its ->
                 its.watchesNothingUntil = until
                 its.peersCutUntil = until
             }
@@ -115,13 +115,13 @@
         return true
     }
 
-    private fun leader() = seats.filter { it.controller?.leaderTerm() != null }.maxByOrNull {
+    private fun leader() = hosts.filter { it.controller?.leaderTerm() != null }.maxByOrNull {
         it.controller?.leaderTerm()?.leaderLease?.token ?: FencingToken(0u)
     }
 
     /** The state service refuses the leader alone, users cancel elsewhere at that moment, and then it is out for all. */
     fun refusedThenOut(afterMs: Long, outMs: Long) {
-        leader()?.trouble?.storeRefusedUntil = time.now + afterMs + outMs
+        leader()?.faults?.storeRefusedUntil = time.now + afterMs + outMs
         world.users.cancelSomeWithin(afterMs)
         time.later(afterMs) { world.store.outage(outMs) }
     }
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/Network.kt
@@ -47,22 +47,22 @@
     fun cutOff(zone: Zone, ms: Long) {
         cutZone = zone
         cutZoneUntil = time.now + ms
-        world.seats.filter { it.zone == zone }.forEach { it.trouble.storeCutUntil = maxOf(it.trouble.storeCutUntil, cutZoneUntil) }
+        world.hosts.filter { it.zone == zone }.forEach { it.faults.storeCutUntil = maxOf(it.faults.storeCutUntil, cutZoneUntil) }
     }
 
     private fun areApart(one: Zone, other: Zone) = time.now < cutZoneUntil && (one == cutZone) != (other == cutZone)
 
-    private fun isUnreachable(worker: StandInWorker, trouble: Trouble) = worker.cut ||
-        trouble.cutFromWorkers() ||
-        world.seats.any { it.trouble === trouble && areApart(it.zone, worker.zone) }
+    private fun isUnreachable(worker: StandInWorker, faults: ProcessFaults) = worker.cut ||
+        faults.isCutFromWorkers() ||
+        world.hosts.any { it.faults === faults && areApart(it.zone, worker.zone) }
 
-    /** The workers as the process that [trouble] ails reaches them. */
-    fun workersOf(trouble: Trouble) = WorkerClient { address, message -> deliver(trouble, address, message) }
+    /** The workers as the process that [faults] ails reaches them. */
+    fun workersOf(faults: ProcessFaults) = WorkerClient { address, message -> deliver(faults, address, message) }
 
-    private fun deliver(trouble: Trouble, address: String, message: CommandRequest): CommandOutcome {
-        time.record { "command ${trouble.number} $address ${WireJson.encodeToString(message)}" }
-        return send(trouble, address, message).also { outcome ->
-            time.record { "command ${trouble.number} $address answered ${text(outcome)}" }
+    private fun deliver(faults: ProcessFaults, address: String, message: CommandRequest): CommandOutcome {
+        time.record { "command ${faults.number} $address ${WireJson.encodeToString(message)}" }
+        return send(faults, address, message).also { outcome ->
+            time.record { "command ${faults.number} $address answered ${text(outcome)}" }
         }
     }
 
@@ -73,9 +73,9 @@
         CommandOutcome.Unknown -> "unknown"
     }
 
-    private fun send(trouble: Trouble, address: String, message: CommandRequest): CommandOutcome {
+    private fun send(faults: ProcessFaults, address: String, message: CommandRequest): CommandOutcome {
         noteStarts(message.commands)
-        trouble.mayStrike(random)
+        faults.interruptIfDue(random)
         commandsSent++
         val worker = world.cloud.workers.firstOrNull { it.address == address && it.alive } ?: return CommandOutcome.Unknown
         if (time.now < worker.calledByNobodyUntil) return CommandOutcome.NotSent
@@ -84,14 +84,14 @@
             time.later(worker.commandsHeldMs) { if (worker.alive) execute(worker, message) }
             return CommandOutcome.Unknown
         }
-        val isLost = isUnreachable(worker, trouble) ||
+        val isLost = isUnreachable(worker, faults) ||
             worker.deaf ||
             worker.hanging ||
-            trouble.sendsNothing() ||
-            random.nextDouble() < trouble.lossRate
+            faults.sendsNothing() ||
+            random.nextDouble() < faults.lossRate
         if (isLost) return lose(worker, message)
-        trouble.mayRepeat(random) { if (worker.alive) execute(worker, message) }
-        return execute(worker, message).also { trouble.mayStrike(random) }
+        faults.repeatLaterIfDue(random) { if (worker.alive) execute(worker, message) }
+        return execute(worker, message).also { faults.interruptIfDue(random) }
     }
 
     private fun execute(worker: StandInWorker, message: CommandRequest): CommandOutcome {
@@ -116,25 +116,25 @@
         }
     }
 
-    /** The other controllers as the process that [trouble] ails reaches them. */
-    fun peersOf(seat: ControllerSeat, trouble: Trouble) = object : PeerClient {
-        private fun reach(to: Member) = world.seats.first { it.name == to.node }.takeIf {
-            !areApart(it.zone, seat.zone) &&
-                !trouble.stalled() &&
-                !it.trouble.stalled() &&
-                !trouble.cutFromPeers() &&
-                !it.trouble.cutFromPeers()
+    /** The other controllers as the process that [faults] ails reaches them. */
+    fun peersOf(host: ControllerHost, faults: ProcessFaults) = object : PeerClient {
+        private fun reach(to: Member) = world.hosts.first { it.name == to.node }.takeIf {
+            !areApart(it.zone, host.zone) &&
+                !faults.isStalled() &&
+                !it.faults.isStalled() &&
+                !faults.isCutFromPeers() &&
+                !it.faults.isCutFromPeers()
         }
 
         override fun exchangeHeartbeats(to: Member, heartbeat: PeerHeartbeat): PeerHeartbeat? {
             val peer = reach(to) ?: return null
-            time.record { "greeting ${seat.number} ${peer.number} ${ProtoBuf.encodeToHexString(heartbeat)}" }
-            val answer = peer.controller?.onPeerHeartbeat(asTold(heartbeat, seat, peer)) ?: return null
-            time.record { "greeting ${seat.number} ${peer.number} answered ${ProtoBuf.encodeToHexString(answer)}" }
-            return asTold(answer, peer, seat)
+            time.record { "greeting ${host.number} ${peer.number} ${ProtoBuf.encodeToHexString(heartbeat)}" }
+            val answer = peer.controller?.onPeerHeartbeat(asTold(heartbeat, host, peer)) ?: return null
+            time.record { "greeting ${host.number} ${peer.number} answered ${ProtoBuf.encodeToHexString(answer)}" }
+            return asTold(answer, peer, host)
         }
 
-        private fun asTold(heartbeat: PeerHeartbeat, from: ControllerSeat, to: ControllerSeat): PeerHeartbeat {
+        private fun asTold(heartbeat: PeerHeartbeat, from: ControllerHost, to: ControllerHost): PeerHeartbeat {
             val told = to.version.peerHeartbeat(from.version.peerHeartbeat(heartbeat))
             return if (world.agreesOnForms) told else told.copy(formatVersion = 0)
         }
@@ -142,17 +142,17 @@
         override fun forward(to: Member, request: ForwardedRequest): ForwardedResponse? {
             val peer = reach(to) ?: return null
             val users = peer.controller?.users ?: return null
-            val read = peer.version.forwardedRequest(seat.version.forwardedRequest(request))
-            time.record { "relay ${seat.number} ${peer.number} ${read.method} ${read.path} ${read.body}" }
+            val read = peer.version.forwardedRequest(host.version.forwardedRequest(request))
+            time.record { "relay ${host.number} ${peer.number} ${read.method} ${read.path} ${read.body}" }
             val id = read.path.removePrefix("/v1/jobs/").removeSuffix("/cancel")
             val answer = when {
                 read.path == "/v1/jobs" -> users.submit(read.body, isForwarded = true)
                 read.method == "POST" -> users.cancel(id, isForwarded = true)
                 else -> users.status(id, isForwarded = true)
             }
-            time.record { "relay ${seat.number} ${peer.number} answered ${answer.status} ${answer.retryAfterS} ${answer.body}" }
+            time.record { "relay ${host.number} ${peer.number} answered ${answer.status} ${answer.retryAfterS} ${answer.body}" }
             val response = ForwardedResponse(answer.status, answer.body, answer.retryAfterS)
-            return seat.version.forwardedResponse(peer.version.forwardedResponse(response))
+            return host.version.forwardedResponse(peer.version.forwardedResponse(response))
         }
     }
 
@@ -162,77 +162,77 @@
         worker.nextHeartbeatAt = time.now + World.HEARTBEAT_MS * random.nextLong(75, 125) / 100
         val heartbeat = worker.heartbeat()
         if (!world.quietNetwork && random.nextInt(15) == 0) copyLate(heartbeat)
-        val seat = world.seats[worker.target]
-        val controller = seat.controller?.takeUnless { isHeartbeatLost(worker, seat.trouble) } ?: return tryNext(worker, heartbeat)
+        val host = world.hosts[worker.target]
+        val controller = host.controller?.takeUnless { isHeartbeatLost(worker, host.faults) } ?: return tryNext(worker, heartbeat)
         val sentAt = time.now
         if (heartbeatsWaitMs == 0L) {
-            seat.guarded { answered(worker, seat, heartbeat, sentAt, deliver(seat, controller, heartbeat)) }
+            host.guarded { answered(worker, host, heartbeat, sentAt, deliver(host, controller, heartbeat)) }
         } else {
-            answerLater(worker, seat, heartbeat, sentAt)
+            answerLater(worker, host, heartbeat, sentAt)
         }
     }
 
-    private fun isHeartbeatLost(worker: StandInWorker, trouble: Trouble) = worker.mute ||
-        trouble.stalled() ||
-        isUnreachable(worker, trouble) ||
-        random.nextDouble() < trouble.lossRate
+    private fun isHeartbeatLost(worker: StandInWorker, faults: ProcessFaults) = worker.mute ||
+        faults.isStalled() ||
+        isUnreachable(worker, faults) ||
+        random.nextDouble() < faults.lossRate
 
     /** The heartbeat waits for a thread of its node; the worker sends no other meanwhile. */
-    private fun answerLater(worker: StandInWorker, seat: ControllerSeat, heartbeat: Heartbeat, sentAt: Long) {
-        val process = seat.trouble
+    private fun answerLater(worker: StandInWorker, host: ControllerHost, heartbeat: Heartbeat, sentAt: Long) {
+        val process = host.faults
         worker.nextHeartbeatAt += heartbeatsWaitMs
         time.later(heartbeatsWaitMs) {
-            val controller = seat.controller?.takeIf { seat.trouble === process }
-            if (controller != null) seat.guarded { answered(worker, seat, heartbeat, sentAt, deliver(seat, controller, heartbeat)) }
+            val controller = host.controller?.takeIf { host.faults === process }
+            if (controller != null) host.guarded { answered(worker, host, heartbeat, sentAt, deliver(host, controller, heartbeat)) }
         }
     }
 
-    /** Has [controller], which runs at [seat], take [heartbeat]. */
-    private fun deliver(seat: ControllerSeat, controller: Controller, heartbeat: Heartbeat): HeartbeatOutcome {
-        time.record { "heartbeat ${seat.number} ${WireJson.encodeToString(heartbeat)}" }
+    /** Has [controller], which runs at [host], take [heartbeat]. */
+    private fun deliver(host: ControllerHost, controller: Controller, heartbeat: Heartbeat): HeartbeatOutcome {
+        time.record { "heartbeat ${host.number} ${WireJson.encodeToString(heartbeat)}" }
         return controller.onHeartbeat(heartbeat).also { outcome ->
             time.record {
                 val answer = when (outcome) {
                     is HeartbeatOutcome.Accepted -> WireJson.encodeToString(outcome.answer)
                     is HeartbeatOutcome.Elsewhere -> "elsewhere ${outcome.node?.text}"
                 }
-                "heartbeat ${seat.number} ${heartbeat.machine.text} answered $answer"
+                "heartbeat ${host.number} ${heartbeat.machine.text} answered $answer"
             }
         }
     }
 
     /** A copy comes late, from seconds to well over a lease, at any node, whatever became of the machine. */
     private fun copyLate(heartbeat: Heartbeat) {
-        val seat = world.seats.random(random)
-        time.later(random.nextLong(1000, 40_000)) { seat.controller?.let { late -> seat.guarded { deliver(seat, late, heartbeat) } } }
+        val host = world.hosts.random(random)
+        time.later(random.nextLong(1000, 40_000)) { host.controller?.let { late -> host.guarded { deliver(host, late, heartbeat) } } }
     }
 
     private fun tryNext(worker: StandInWorker, heartbeat: Heartbeat) {
         // A cut may hold a report and deliver it long after its worker has given up on it.
         if (random.nextInt(3) == 0 && delaysHeartbeats) {
             time.later(random.nextLong(500, 40_000)) {
-                val seat = world.seats[worker.target]
-                seat.controller?.let { late -> seat.guarded { deliver(seat, late, heartbeat) } }
+                val host = world.hosts[worker.target]
+                host.controller?.let { late -> host.guarded { deliver(host, late, heartbeat) } }
             }
         }
-        worker.target = (worker.target + 1) % world.seats.size
+        worker.target = (worker.target + 1) % world.hosts.size
     }
 
-    private fun answered(worker: StandInWorker, seat: ControllerSeat, heartbeat: Heartbeat, sentAt: Long, outcome: HeartbeatOutcome) {
-        val isAnswerLost = worker.deaf || seat.trouble.sendsNothing()
+    private fun answered(worker: StandInWorker, host: ControllerHost, heartbeat: Heartbeat, sentAt: Long, outcome: HeartbeatOutcome) {
+        val isAnswerLost = worker.deaf || host.faults.sendsNothing()
         when (outcome) {
             is HeartbeatOutcome.Accepted -> {
                 noteStarts(outcome.answer.commands)
                 val delay = if (world.quietNetwork) 0L else random.nextLong(0, 60)
                 if (isAnswerLost) {
-                    worker.target = (worker.target + 1) % world.seats.size
-                } else if (random.nextDouble() >= seat.trouble.lossRate) {
+                    worker.target = (worker.target + 1) % world.hosts.size
+                } else if (random.nextDouble() >= host.faults.lossRate) {
                     time.later(delay) { worker.answered(outcome.answer.token, outcome.answer.commands, sentAt, heartbeat.incarnation) }
                 }
             }
             is HeartbeatOutcome.Elsewhere -> {
-                val next = if (isAnswerLost) -1 else world.seats.indexOfFirst { it.name == outcome.node }
-                worker.target = if (next < 0 || next == worker.target) (worker.target + 1) % world.seats.size else next
+                val next = if (isAnswerLost) -1 else world.hosts.indexOfFirst { it.name == outcome.node }
+                worker.target = if (next < 0 || next == worker.target) (worker.target + 1) % world.hosts.size else next
             }
         }
     }
--- a/src/test/kotlin/mountmast/standin/StandInCloud.kt
+++ b/src/test/kotlin/mountmast/standin/StandInCloud.kt
@@ -87,26 +87,26 @@
     }
 
     /** The cloud as one node reaches it. */
-    inner class View(private val trouble: Trouble) : Cloud {
+    inner class View(private val faults: ProcessFaults) : Cloud {
         private fun <T> ask(what: () -> String, told: (T) -> String, act: () -> T): T {
-            time.record { "cloud ${trouble.number} ${what()}" }
+            time.record { "cloud ${faults.number} ${what()}" }
             try {
-                return reach(act).also { answer -> time.record { "cloud ${trouble.number} answers ${told(answer)}" } }
+                return reach(act).also { answer -> time.record { "cloud ${faults.number} answers ${told(answer)}" } }
             } catch (e: CloudException) {
-                time.record { "cloud ${trouble.number} fails ${e.mayBeCarriedOut}" }
+                time.record { "cloud ${faults.number} fails ${e.mayBeCarriedOut}" }
                 throw e
             }
         }
 
         private fun <T> reach(act: () -> T): T {
-            trouble.mayStrike(random)
+            faults.interruptIfDue(random)
             if (time.now < outageUntil) throw CloudException("outage", mayBeCarriedOut = false)
-            if (random.nextDouble() < trouble.lossRate) {
+            if (random.nextDouble() < faults.lossRate) {
                 if (random.nextBoolean()) act() else time.later(random.nextLong(100, 15_000)) { act() }
                 throw CloudException("lost", mayBeCarriedOut = true)
             }
-            trouble.mayRepeat(random) { act() }
-            return act().also { trouble.mayStrike(random) }
+            faults.repeatLaterIfDue(random) { act() }
+            return act().also { faults.interruptIfDue(random) }
         }
 
         override fun machineTypes() = ask({ "types" }, { WireJson.encodeToString(it) }) { types }
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -183,7 +183,8 @@
      * The store as one node reaches it. Transactions on the agreement on forms draw from [formatRandom], so that they leave
      * the days that seeds stand for as they were.
      */
-    inner class View(private val random: Random, private val trouble: Trouble, private val formatRandom: Random = random) : StateStore {
+    inner class View(private val random: Random, private val faults: ProcessFaults, private val formatRandom: Random = random) :
+        StateStore {
         override var isReachable = true
             private set
 
@@ -201,31 +202,31 @@
             random: Random = this.random,
             act: () -> T,
         ): T {
-            world.record { "store ${trouble.number} ${what()}" }
+            world.record { "store ${faults.number} ${what()}" }
             try {
                 return reach(silentAllowed, random, act).also { answer ->
-                    world.record { "store ${trouble.number} answered ${told(answer)}" }
+                    world.record { "store ${faults.number} answered ${told(answer)}" }
                 }
             } catch (e: StoreException) {
-                world.record { "store ${trouble.number} ${reason(e)}" }
+                world.record { "store ${faults.number} ${reason(e)}" }
                 throw e
             }
         }
 
         private fun <T> reach(silentAllowed: Boolean, random: Random, act: () -> T): T {
-            trouble.mayStrike(random)
+            faults.interruptIfDue(random)
             requests++
             checkRequestRate()
-            if (out || trouble.refusedByStore()) {
+            if (out || faults.isRefusedByStore()) {
                 isReachable = false
                 throw StoreUnavailableException("refused")
             }
-            if (trouble.cutFromStore()) {
+            if (faults.isCutFromStore()) {
                 isReachable = false
                 if (silentAllowed && random.nextBoolean()) world.later(random.nextLong(100, 60_000)) { runCatching(act) }
                 throw StoreTimeoutException("cut off")
             }
-            if (silentAllowed && random.nextDouble() < trouble.lossRate) {
+            if (silentAllowed && random.nextDouble() < faults.lossRate) {
                 when (random.nextInt(3)) {
                     0 -> act()
                     1 -> world.later(random.nextLong(100, 20_000)) { if (!out) runCatching(act) }
@@ -234,8 +235,8 @@
                 throw StoreTimeoutException("lost")
             }
             isReachable = true
-            if (silentAllowed) trouble.mayRepeat(random) { if (!out) act() }
-            return act().also { trouble.mayStrike(random) }
+            if (silentAllowed) faults.repeatLaterIfDue(random) { if (!out) act() }
+            return act().also { faults.interruptIfDue(random) }
         }
 
         override fun get(key: String): Entry? = ask({ "get $key" }, { "${it?.modRevision?.number}" }, false) {
@@ -260,7 +261,7 @@
             if (limits.enforcesRates && bucket.take(transaction.writes.size, 0) == null) throw StoreUnavailableException("over the bucket")
             val random = if (transaction.writes.any { it.key == Keys.FORMAT }) formatRandom else random
             return ask({ "commit ${text(transaction)}" }, ::text, random = random) {
-                if (trouble.writesLate(random)) {
+                if (faults.writesLate(random)) {
                     world.later(random.nextLong(2000, 12_000)) { if (!out) runCatching { this@StandInStore.commit(transaction) } }
                     throw StoreTimeoutException("carried out later")
                 }
@@ -289,7 +290,7 @@
         override fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult = ask({
             "follow $prefix ${from.number} $waitMs"
         }, ::text, false) {
-            if (trouble.watchesNothing()) throw StoreTimeoutException("a watch that stays open")
+            if (faults.watchesNothing()) throw StoreTimeoutException("a watch that stays open")
             expire()
             val oldest = changes.firstOrNull()?.modRevision?.number ?: 0u
             if (changes.size >= keptChanges && from.number < oldest) return@ask WatchResult.Compacted
--- a/src/test/kotlin/mountmast/standin/Users.kt
+++ b/src/test/kotlin/mountmast/standin/Users.kt
@@ -39,20 +39,20 @@
     }
 
     /** What a user is told who waits up to [waitsMs]; a node that stands still answers nobody in time. */
-    private fun ask(what: String, id: JobId, waitsMs: Long, at: ControllerSeat? = null, act: (Controller) -> UserAnswer): UserAnswer? {
-        val seat = at ?: world.seats.filter { it.controller != null && !it.trouble.stalled() }.randomOrNull(random) ?: return null
+    private fun ask(what: String, id: JobId, waitsMs: Long, at: ControllerHost? = null, act: (Controller) -> UserAnswer): UserAnswer? {
+        val host = at ?: world.hosts.filter { it.controller != null && !it.faults.isStalled() }.randomOrNull(random) ?: return null
         if (!asking.add(id)) return null
         val askedAt = time.now
-        time.record { "user ${seat.number} $what ${id.text}" }
+        time.record { "user ${host.number} $what ${id.text}" }
         var result: UserAnswer? = null
-        seat.guarded { result = act(checkNotNull(seat.controller)) }
+        host.guarded { result = act(checkNotNull(host.controller)) }
         asking -= id
-        time.record { "user ${seat.number} $what ${id.text} answered ${result?.run { "$status $retryAfterS $body" }}" }
+        time.record { "user ${host.number} $what ${id.text} answered ${result?.run { "$status $retryAfterS $body" }}" }
         return result.takeIf { time.now - askedAt <= waitsMs }
     }
 
     /** The status that the submission of [spec] gets, or null where no answer comes in time. */
-    fun submit(spec: JobSpec, at: ControllerSeat? = null): Int? {
+    fun submit(spec: JobSpec, at: ControllerHost? = null): Int? {
         jobs[spec.id] = spec
         rules.submitting(spec, time.now)
         val answer =
@@ -75,7 +75,7 @@
     }
 
     /** The status that a cancellation gets, or null where no answer comes in time. */
-    fun cancel(id: JobId, at: ControllerSeat? = null): Int? {
+    fun cancel(id: JobId, at: ControllerHost? = null): Int? {
         rules.cancelling(id)
         val answer = ask("cancel", id, SUBMIT_WAITS_MS, at) { it.users.cancel(id.text, isForwarded = false) } ?: return null
         rules.statusAnswered(id, answer.status, answer.state(), time.now)
@@ -84,7 +84,7 @@
     }
 
     /** The state that a user is told, or null where no answer comes in time. */
-    fun poll(id: JobId, at: ControllerSeat? = null): JobStatus? {
+    fun poll(id: JobId, at: ControllerHost? = null): JobStatus? {
         val askedAt = time.now
         val answer = ask("status", id, POLL_WAITS_MS, at) { it.users.status(id.text, isForwarded = false) }
         rules.asked(id, answer?.status == 200, time.now)
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/World.kt
@@ -50,12 +50,12 @@
         )
     }
     val network = Network(this)
-    val failures = Failures(this)
-    val seats = List(NODES) { ControllerSeat(this, it, version) }
+    val faultInjector = FaultInjector(this)
+    val hosts = List(NODES) { ControllerHost(this, it, version) }
     private val waitingCheck = WaitingCheck(this)
 
     /** Whether users may name prerequisites: nothing new is asked while nodes of the version before may run. */
-    val usesPipelines: Boolean get() = seats.all { it.version == NodeVersion.CURRENT }
+    val usesPipelines: Boolean get() = hosts.all { it.version == NodeVersion.CURRENT }
 
     /** Lets [ms] pass, step by step. */
     fun run(ms: Long, busy: Boolean) {
@@ -67,10 +67,10 @@
                 worker.step()
                 network.onHeartbeat(worker)
             }
-            seats.shuffled(random).forEach { it.step() }
+            hosts.shuffled(random).forEach { it.step() }
             users.step(busy)
             rules.check(time.now)
-            seats.firstOrNull { it.violations > 0 }?.let { throw RuleBroken("invariant violated by ${it.name}, seed $seed") }
+            hosts.firstOrNull { it.violations > 0 }?.let { throw RuleBroken("invariant violated by ${it.name}, seed $seed") }
             waitingCheck.step()
         }
     }
@@ -105,9 +105,9 @@
 
     fun accept(spec: JobSpec): JobId = users.accept(spec)
 
-    fun cancel(id: JobId, at: ControllerSeat? = null): Int? = users.cancel(id, at)
+    fun cancel(id: JobId, at: ControllerHost? = null): Int? = users.cancel(id, at)
 
-    fun poll(id: JobId, at: ControllerSeat? = null): JobStatus? = users.poll(id, at)
+    fun poll(id: JobId, at: ControllerHost? = null): JobStatus? = users.poll(id, at)
 
     fun submitOdd() = users.submitOdd()
 
@@ -118,7 +118,7 @@
     fun unfinished(): List<JobId> = users.unfinished()
 
     /** One failure, drawn from the seed. */
-    fun fail() = failures.draw()
+    fun fail() = faultInjector.draw()
 
     fun cutOff(zone: Zone, ms: Long) = network.cutOff(zone, ms)
 
