--- a/src/main/kotlin/mountmast/coordination/state/Assignment.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Assignment.kt
@@ -7,12 +7,12 @@
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 
-/** Where an attempt runs: a machine, the incarnation of its worker, and its zone. */
+/** Where an attempt of a task runs: the machine, the incarnation of the machine's worker, and the machine's zone. */
 data class Placement(val machine: MachineId, val incarnation: WorkerIncarnation, val zone: Zone)
 
-/** One attempt of a task on a machine, in one incarnation of its worker. Guarded as its [ClusterState] is. */
+/** One attempt of the task [index] of [job], in one incarnation of a machine's worker. Guarded by the lock of the leader's term. */
 class Assignment(val job: Job, val index: Int, val placement: Placement, val attempt: Attempt, phase: Phase) {
-    /** How far it has come. */
+    /** The step of its life cycle that the assignment has reached. */
     var phase = phase
         private set
 
@@ -20,97 +20,100 @@
     val incarnation: WorkerIncarnation get() = placement.incarnation
     val zone: Zone get() = placement.zone
 
-    /** The task's name as the worker writes it. */
+    /** The task's name in messages to and from the worker: the job's ID, a slash and the task's index. */
     val taskName = "${job.id}/$index"
 
-    /** The state in the last heartbeat that listed the attempt, or null before the first one. */
+    /** The task's state in the last heartbeat that listed the attempt; null if no heartbeat has listed it yet. */
     var reported: TaskState? = null
         private set
 
-    /** When the worker first reported it as running. */
+    /** When the first heartbeat arrived that reports the attempt as running; null before that. */
     var runningSince: MonotonicTime? = null
         private set
 
-    /** Set once the task is to be stopped: how long it may save its progress, in seconds. */
+    /** How long the task may take to save its progress while it is stopped, in seconds; null unless the task is to be stopped. */
     var terminationGraceS: Double? = null
         private set
 
-    /** Whether it ended by completing. */
+    /** Whether the attempt ended because the task completed. */
     var completed = false
         private set
 
-    /** Whether it is stopped to free its machine for another job. */
+    /** Whether the attempt is stopped, or was stopped, to free its machine for another job. */
     var preempted = false
         private set
 
-    /** Whether a transaction that lists it is on its way. */
+    /** Whether a journal transaction that lists the attempt as started was sent and has no known outcome yet. */
     var isBeingJournaled = false
         private set
 
-    /** Whether a transaction that lists it was committed. */
+    /** Whether a journal transaction that lists the attempt as started was committed. */
     var written = false
         private set
 
-    /** Whether it took far longer than others of its job elsewhere. */
+    /** Whether the task is a straggler: it takes or took far longer than other tasks of its job on other machines. */
     var isStraggler = false
         private set
 
-    /** Messages to the worker that carry its start. */
+    /** Which messages to the worker carry the command to start this attempt. */
     val startDelivery = StartDelivery()
     val deliveriesInFlight by startDelivery::inFlight
     val startedInHeartbeat by startDelivery::inHeartbeat
 
-    /** Records that a heartbeat that arrived at [now] lists the attempt in [state]. */
+    /** Records that a heartbeat which arrived at [now] lists the attempt with the state [state]. */
     fun recordReported(state: TaskState, now: MonotonicTime) {
         if (state == TaskState.RUNNING && runningSince == null) runningSince = now
         reported = state
     }
 
-    /** Stops the task and lets it save its progress, so that it goes on elsewhere. */
+    /** Stops the task after a grace period in which it may save its progress, so that the next attempt continues from there. */
     fun drain() {
         terminationGraceS = job.spec.checkpointSaveS
     }
 
-    /** Stops the task without time to save its progress. */
+    /** Stops the task without a grace period to save its progress. */
     fun stopAtOnce() {
         terminationGraceS = 0.0
     }
 
-    /** Stops the task to free its machine for another job; one that is being stopped already keeps its grace period. */
+    /** Stops the task to free its machine for another job. A task that is already being stopped keeps its grace period. */
     fun preempt() {
         terminationGraceS = terminationGraceS ?: job.spec.checkpointSaveS
         preempted = true
     }
 
-    /** Records that the transaction that lists the attempt is about to be sent. */
+    /** Records that the journal transaction that lists the attempt as started is about to be sent. */
     fun beginJournaling() {
         isBeingJournaled = true
     }
 
-    /** Records that the transaction that lists the attempt came to nothing. */
+    /** Records that the journal transaction that lists the attempt as started was not committed and will not be. */
     fun abandonJournaling() {
         isBeingJournaled = false
     }
 
-    /** Records that the transaction that lists the attempt was committed: unless it has ended meanwhile, its start may be sent. */
+    /**
+     * Records that the journal transaction that lists the attempt as started was committed. From then on its start command may be
+     * sent, unless the attempt has ended in the meantime.
+     */
     fun markJournaled() {
         isBeingJournaled = false
         written = true
         if (phase == Phase.INTENDED) phase = Phase.COMMITTED
     }
 
-    /** Records that the attempt is off its machine, and whether it completed. */
+    /** Records that the attempt no longer runs on its machine, and whether the task completed. */
     internal fun markEnded(isCompleted: Boolean) {
         phase = Phase.ENDED
         completed = isCompleted
     }
 
-    /** Records that the attempt counts no more. */
+    /** Records that the resources of the attempt are free again. */
     internal fun markReleased() {
         phase = Phase.RELEASED
     }
 
-    /** Records that it took far longer than others of its job elsewhere. */
+    /** Records that the task took far longer than other tasks of its job on other machines. */
     internal fun markStraggler() {
         isStraggler = true
     }
--- a/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
+++ b/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
@@ -8,30 +8,33 @@
 import mountmast.protocol.WorkerIncarnation
 
 /**
- * The steps of an assignment, from the decision to its release. Guarded as its [ClusterState] is.
+ * Moves assignments through their life cycle, from the placement decision to the release. Guarded by the lock of the leader's term.
  *
- * A task is freed only on evidence that cannot be outdated: the worker says that the attempt has exited, the worker's
- * incarnation has ended, or the machine is deleted. A heartbeat that merely lacks a task proves nothing, since its start may be
- * under way. Even then the task counts until the store no longer lists it, because the next leader would start it again
- * from there.
+ * A task is freed only on evidence that cannot be outdated: the worker reports that the attempt has exited, the worker's
+ * incarnation has ended, or the machine is deleted. A heartbeat that merely does not list a task proves nothing, since the start
+ * command may still be on its way. Even with that evidence the assignment keeps its resources until the store no longer lists it,
+ * because the next leader would restore it from the store and start the task again.
  */
 class AssignmentLifecycle internal constructor(private val cluster: ClusterState, private val losses: TaskLosses) {
     private val usage = TeamUsage()
 
-    /** Begins the numbers of this term's attempts: a term is led once, so none is ever used twice. */
+    /**
+     * The number of the last attempt. Numbers start at the term shifted by [ATTEMPT_BITS]; each term has only one leader, so no number
+     * is ever used twice.
+     */
     private var lastAttempt = 0uL
 
-    /** Sets the term in which attempts are given. */
+    /** Numbers the attempts from here on within the term of [token]. */
     fun beginTerm(token: FencingToken) {
         lastAttempt = token.term shl ATTEMPT_BITS
     }
 
-    /** What the tasks of [team] take that may be on a machine. */
+    /** The resources of all assignments of [team] that are not released. */
     fun usageOf(team: TeamId): Resources = usage.of(team)
 
     /**
-     * Assigns the task [index] of [job] to [machine], whose incarnation and zone are known. Nothing may be sent before the
-     * journal lists the assignment.
+     * Assigns the task [index] of [job] to [machine], whose incarnation and zone must be known. The start command may be sent only
+     * once the journal lists the assignment.
      */
     fun assign(job: Job, index: Int, machine: Machine, now: MonotonicTime): Assignment {
         val placement = Placement(machine.id, checkNotNull(machine.incarnation), checkNotNull(machine.zone))
@@ -44,8 +47,8 @@
     }
 
     /**
-     * Restores, as of [now], an assignment that the journal lists as started. Its machine is known by name from then on, and may
-     * have been heard and answered by an earlier leader until [now].
+     * Restores, at [now], an assignment that the journal lists as started. A machine that is not known yet is added by its name
+     * only. An earlier leader may have received heartbeats from that machine, and renewed its worker's lease, until [now].
      */
     fun restore(job: Job, index: Int, placement: Placement, attempt: Attempt, now: MonotonicTime) {
         val machine = cluster.machines.getOrPut(placement.machine) {
@@ -57,7 +60,7 @@
         place(assignment, machine)
     }
 
-    /** Counts [assignment] as being on [machine]. */
+    /** Adds [assignment] to its job, to [machine] and to the usage of its team. */
     private fun place(assignment: Assignment, machine: Machine) {
         val job = assignment.job
         job.live.put(assignment.index, assignment)
@@ -66,7 +69,10 @@
         usage.add(job.spec.team, job.perTask)
     }
 
-    /** Records that [assignment] is off its machine; it is released once the store says so too. Does nothing if it has ended. */
+    /**
+     * Ends [assignment], whose task no longer runs on its machine. It is released once the store no longer lists it. Does nothing if
+     * it has ended before.
+     */
     fun end(assignment: Assignment, completed: Boolean) {
         if (assignment.phase >= Phase.ENDED) return
         assignment.markEnded(completed)
@@ -76,11 +82,11 @@
         } else if (assignment.preempted) {
             job.countPreemption(assignment.index)
         }
-        // What was only intended is released when its turn to be written comes.
+        // An assignment that no transaction lists is released when its pending start is collected for the journal.
         if (assignment.written || assignment.isBeingJournaled) cluster.pendingChanges += PendingChange.Ended(assignment)
     }
 
-    /** Ends every assignment on [machine] of an incarnation before [incarnation], or all of them if that is null. */
+    /** Ends the assignments on [machine] that belong to incarnations before [incarnation], or all of them if [incarnation] is null. */
     fun endIncarnation(machine: Machine, incarnation: WorkerIncarnation?, cause: LossCause) {
         for (assignment in machine.live.values) {
             val isEnded = incarnation == null || assignment.incarnation < incarnation
@@ -90,7 +96,7 @@
         }
     }
 
-    /** Releases what an ended assignment took, once the store no longer lists it. Does nothing if it was released. */
+    /** Frees the resources of an ended assignment that the store no longer lists. Does nothing if the assignment was released before. */
     fun release(assignment: Assignment, now: MonotonicTime) {
         if (assignment.phase == Phase.RELEASED) return
         assignment.markReleased()
--- a/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -12,49 +12,49 @@
 import mountmast.storage.JobRecord
 
 /**
- * Everything the leader knows: jobs, tasks, machines and what each team uses. Not thread-safe: guarded by the lock of the
- * leader's term, as all that it consists of. Does no I/O.
+ * The leader's in-memory state of the cluster: jobs, tasks, machines and the resources that each team uses. Not thread-safe: this
+ * class and every object reachable from it are guarded by the lock of the leader's term. Does no I/O.
  */
 class ClusterState(runDecay: Double, losses: TaskLosses = TaskLosses()) {
-    /** The jobs that are not finished, in the order in which they became known. */
+    /** The jobs that are not finished, in the order in which this leader learned of them. */
     val jobs = LinkedHashMap<JobId, Job>()
 
-    /** The machines that are not known to be deleted, or whose assignments are not all released. */
+    /** The machines that are not known to be deleted, and deleted ones until all of their assignments are released. */
     val machines = LinkedHashMap<MachineId, Machine>()
 
-    /** Machines that were deleted and when, kept so that stale lists and late heartbeats do not bring them back. */
+    /** When each deleted machine was found to be deleted. Kept so that stale lists and late heartbeats do not add the machine again. */
     val tombstones = LinkedHashMap<MachineId, MonotonicTime>()
 
     /** The machine types that the cloud offers. */
     val types = LinkedHashMap<TypeId, MachineType>()
 
-    /** Images of machines that sent no heartbeat yet, with their sizes in GB, as the leader before recorded them. */
+    /** Sizes in GB of the images that the previous leader recorded for machines whose type this leader does not know yet. */
     val recalledImages = HashMap<MachineId, Map<ImageId, Double>>()
 
-    /** Changes that the journal does not hold yet, the oldest first. */
+    /** Changes of the cluster state that are not in the journal yet, the oldest first. */
     val pendingChanges = ArrayDeque<PendingChange>()
 
-    /** Jobs that are complete or cancelled; they are finished once none of their assignments lives. */
+    /** Jobs that are complete or cancelled. Such a job is finished as soon as all of its assignments have ended. */
     val finishing = LinkedHashSet<Job>()
 
-    /** The steps of an assignment. */
+    /** Creates, ends and releases assignments. */
     val assignments = AssignmentLifecycle(this, losses)
 
-    /** How long tasks run. */
+    /** Estimates of how long tasks run. */
     val estimates = RunTimeEstimates(runDecay)
 
-    /** Which machines and jobs fail or are slow. */
+    /** Detects failing and slow machines, and failing jobs. */
     val health = Health(this)
 
-    /** Replaces the machine types by those that the cloud or the store lists. */
+    /** Replaces the machine types by [machineTypes], which were read from the cloud or the store. */
     fun replaceTypes(machineTypes: MachineTypes) {
         types.clear()
         for (type in machineTypes.types) types[type.id] = type
     }
 
     /**
-     * Adds a job, or updates it, from its record at [modRevision]. All changes of jobs before [knownUpTo] were known until now.
-     * Returns the job.
+     * Adds or updates the job of [record], as stored at [modRevision], and returns it. Every change of a job before [knownUpTo] was
+     * known before this call; a cancellation that is new in [record] was therefore committed no earlier than that.
      */
     fun putJob(record: JobRecord, modRevision: ModRevision, now: MonotonicTime, knownUpTo: WallTime = WallTime(0)): Job {
         val job = jobs.getOrPut(record.spec.id) {
@@ -68,45 +68,48 @@
         return job
     }
 
-    /** The low watermark of cancellations, if all changes of jobs before [knownUpTo] are known. */
+    /**
+     * The low watermark of cancellations, given that all changes of jobs before [knownUpTo] are known: no job whose cancellation was
+     * committed before it has an assignment that may still run.
+     */
     fun watermark(knownUpTo: WallTime): WallTime =
         jobs.values.filter { it.cancelled && !it.hasNoLiveAssignments() }.minOfOrNull { it.cancelledAfter }?.let { minOf(it, knownUpTo) }
             ?: knownUpTo
 
-    /** What the store holds by now of tasks and machines, as a snapshot's text. */
+    /** The tasks and assignments that the store lists now, as the text of a snapshot. */
     fun describe(): String = ClusterStateText.of(jobs.values)
 
-    /** Records that the task [index] of [job] is done; a job that is complete by that is to be finished. */
+    /** Records that the task [index] of [job] is done, and marks the job for finishing if that was its last task. */
     fun completeTask(job: Job, index: Int) {
         job.setDone(index)
         finishIfComplete(job)
     }
 
-    /** Has [job] finished if all of its tasks are done. */
+    /** Marks [job] for finishing if all of its tasks are done. */
     fun finishIfComplete(job: Job) {
         if (job.isComplete) finishing += job
     }
 
-    /** Removes a finished job, with the assignments that it still has. */
+    /** Removes a finished job and releases the assignments that it still has. */
     fun removeJob(job: Job, now: MonotonicTime) {
         for (assignment in job.live.values.toList()) assignments.release(assignment, now)
         jobs.remove(job.id)
         finishing.remove(job)
     }
 
-    /** Adds [machine], or puts it in the place of the one that was known only by its name, with the images recalled for it. */
+    /** Adds [machine], or replaces its entry that held only the name, and takes over the images recorded for it by the previous leader. */
     fun putMachine(machine: Machine) {
         recalledImages.remove(machine.id)?.let(machine::recallImages)
         machines[machine.id] = machine
     }
 
-    /** Records the images that an earlier leader knew of on the machine [id], also while it is known only by its name. */
+    /** Records the images that the previous leader recorded for the machine [id]; they are kept until its type is known. */
     fun recallImages(id: MachineId, images: Map<ImageId, Double>) {
         val machine = machines[id]
         if (machine?.type != null) machine.recallImages(images) else recalledImages[id] = images
     }
 
-    /** Records that the cloud has deleted the machine [id]: its assignments end, and it is removed once they are released. */
+    /** Records that the cloud has deleted the machine [id]. Its assignments end, and the machine is removed once they are released. */
     fun markDeleted(id: MachineId, now: MonotonicTime) {
         tombstones[id] = now
         val machine = machines[id] ?: return
@@ -114,7 +117,7 @@
         if (machine.live.isEmpty()) machines.remove(id) else machine.rental.beginDeletion()
     }
 
-    /** Forgets the machines that were deleted more than [ageMs] before [now]. */
+    /** Removes the tombstones of the machines that were deleted more than [ageMs] milliseconds before [now]. */
     fun forgetTombstones(ageMs: Long, now: MonotonicTime) {
         val forgotten = tombstones.entries.takeWhile { now - it.value > ageMs }.map { it.key }
         tombstones.keys.removeAll(forgotten.toSet())
--- a/src/main/kotlin/mountmast/coordination/state/ClusterStateText.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterStateText.kt
@@ -3,13 +3,13 @@
 import mountmast.storage.JournalText
 import mountmast.storage.Ranges
 
-/** Writes the tasks and machines of a [ClusterState] as a snapshot holds them, in the journal's form. */
+/** Writes the tasks and assignments of a [ClusterState] as the text of a snapshot, which has the same form as the journal. */
 internal object ClusterStateText {
     private const val LONGEST_RANGES = 300
 
     /**
-     * What the store holds by now of [jobs]. What ended since is listed as live, and what is only intended is left out: the
-     * journal tells of both from here on.
+     * The tasks and assignments of [jobs] that the store lists now. An assignment that has ended but is still in the store is
+     * listed, and one that is not in the store yet is left out: the journal entries after the snapshot record both changes.
      */
     fun of(jobs: Collection<Job>): String {
         val text = JournalText()
--- a/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
@@ -3,72 +3,75 @@
 import mountmast.protocol.Attempt
 import mountmast.protocol.MonotonicTime
 
-/** Progress of the commands that are sent directly to one machine's worker. Guarded as its [ClusterState] is. */
+/** The state of the direct requests that carry commands to one machine's worker. Guarded by the lock of the leader's term. */
 class CommandDeliveryState {
-    /** Whether a request waits for its answer; there is at most one. */
+    /** Whether a request to the worker waits for its answer; there is never more than one at a time. */
     var isInFlight = false
         private set
 
-    /** No request is sent before this. */
+    /** The time before which no request is sent to the worker. */
     var notBefore = MonotonicTime(Long.MIN_VALUE)
         private set
 
-    /** When this leader last announced itself to the worker. */
+    /** When this leader last sent the worker a request that announces the new leader. */
     var announcedAt = MonotonicTime(0)
         private set
 
-    /** By how much the fencing token for this machine is above the term's first. */
+    /** The difference between the fencing token in use for this machine and the first token of the term. */
     var tokenOffset = 0
         private set
 
     /**
-     * Attempts whose start was in a request that got no answer, with the token offset of that request. It may still be executed,
-     * minutes later, and a start repeated after `forget` runs the task again; so these are not forgotten within this
-     * incarnation, until the worker shows a higher token.
+     * Attempts whose start command was in a request that got no answer, with the token offset of that request. The worker may still
+     * execute the request minutes later, and a start that arrives after the `forget` command of its attempt runs the task again. So
+     * an entry is kept until the worker shows a higher token or begins a new incarnation.
      */
     private val unansweredStarts = HashMap<TaskAttempt, Int>()
 
-    /** Records that a request with commands is on its way. */
+    /** Records that a request with commands is being sent. */
     fun begin() {
         isInFlight = true
     }
 
-    /** Records that a request without commands, which announces the new leader, is on its way since [now]. */
+    /** Records that a request without commands, which announces the new leader, is being sent at [now]. */
     fun beginAnnouncement(now: MonotonicTime) {
         isInFlight = true
         announcedAt = now
     }
 
-    /** Records that the request on its way was answered or given up. */
+    /** Records that the outstanding request was answered or given up. */
     fun end() {
         isInFlight = false
     }
 
-    /** Sends no request before [until]. */
+    /** Delays the next request to the worker until [until]. */
     fun pauseUntil(until: MonotonicTime) {
         notBefore = until
     }
 
-    /** Records that the start of an attempt got no answer, in a request with the token offset [sentWith]. */
+    /** Records that the start command of an attempt got no answer, in a request with the token offset [sentWith]. */
     fun recordUnansweredStart(taskName: String, attempt: Attempt, sentWith: Int) {
         unansweredStarts[TaskAttempt(taskName, attempt)] = sentWith
     }
 
-    /** Whether a start of the attempt that got no answer may still be executed. */
+    /** Whether the worker may still execute a start command of the attempt that got no answer. */
     fun hasUnansweredStart(taskName: String, attempt: Attempt) = TaskAttempt(taskName, attempt) in unansweredStarts
 
-    /** Raises the fencing token above that of an unanswered start of the attempt, if there is one, so that the worker refuses it. */
+    /**
+     * Raises the fencing token above that of an unanswered start command of the attempt, so that the worker refuses the command. Does
+     * nothing if there is no such command.
+     */
     fun fenceOffStart(taskName: String, attempt: Attempt) {
         val sentWith = unansweredStarts[TaskAttempt(taskName, attempt)] ?: return
         tokenOffset = maxOf(tokenOffset, sentWith + 1)
     }
 
-    /** Records that the worker shows the token offset [shown]: it refuses requests with a lower one from now on. */
+    /** Records that the worker shows the token offset [shown]: from now on it refuses requests with a lower offset. */
     fun observeTokenOffset(shown: Int) {
         tokenOffset = maxOf(tokenOffset, shown)
         unansweredStarts.values.removeIf { it < shown }
     }
 
-    /** Forgets all unanswered starts: a new incarnation refuses requests for the one before. */
+    /** Forgets all unanswered start commands, since the worker's new incarnation refuses requests for the previous one. */
     internal fun forgetUnansweredStarts() = unansweredStarts.clear()
 }
--- a/src/main/kotlin/mountmast/coordination/state/FinishedJobCache.kt
+++ b/src/main/kotlin/mountmast/coordination/state/FinishedJobCache.kt
@@ -3,16 +3,16 @@
 import mountmast.protocol.JobId
 import mountmast.storage.FinishedJobRecord
 
-/** The final states of the jobs that were seen to finish last, at most [MAX_JOBS]. Guarded as its [ClusterState] is. */
+/** Caches the final states of the jobs that finished most recently, at most [MAX_JOBS]. Guarded by the lock of the leader's term. */
 internal class FinishedJobCache {
     private val records = LinkedHashMap<JobId, FinishedJobRecord>()
 
     operator fun contains(id: JobId) = id in records
 
-    /** The final state of [id], or null if it is not finished or no longer cached. */
+    /** The final state of the job [id], or null if the job is not finished or its final state is no longer cached. */
     operator fun get(id: JobId): FinishedJobRecord? = records[id]
 
-    /** Adds the final state of [id] as the latest. */
+    /** Adds the final state of the job [id] as the most recent one. */
     fun add(id: JobId, record: FinishedJobRecord) {
         records.remove(id)
         records[id] = record
--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -8,18 +8,18 @@
 
 private val log = LoggerFactory.getLogger("mountmast.health")
 
-/** Distinguishes sick and slow machines from jobs that fail or run long wherever they are. Guarded as its [ClusterState] is. */
+/** Tells faulty and slow machines from jobs that fail or run long on every machine. Guarded by the lock of the leader's term. */
 class Health(private val cluster: ClusterState) {
-    /** Records that a task of [job] failed on [machine] at [now]; quarantines a machine on which two in a row failed. */
+    /** Records that a task of [job] failed on [machine] at [now]. Quarantines the machine after [SICK_STRIKES] failures in a row. */
     fun failed(machine: Machine, job: Job, now: MonotonicTime) {
-        // One failure may be chance; but a sick machine, always empty, would draw task after task.
+        // One failure may be chance, but a faulty machine is always empty and would therefore get one task after the other.
         machine.health.pausePlacementUntil(now + FAILED_PAUSE_MS)
         job.recentFailures.record(machine.id)
         if (job.isPoisoned) {
             backOff(job, now)
             log.info("job={} failed on {} machines; next attempt in {} ms", job.id, job.failedOn.size, job.notBefore - now)
         } else if (job.doneCount > 0 || job.id !in machine.strikes) {
-            // A machine is not blamed for a job that may fail everywhere: such a one counts once.
+            // A job without a completed task may fail on every machine, so its failures count only once against this machine.
             machine.health.addStrike(job.id)
         }
         if (machine.strikes.size >= SICK_STRIKES && !machine.isQuarantined) {
@@ -35,8 +35,8 @@
     }
 
     /**
-     * The jobs that fail wherever they run, at most [most], for the next leader: it would start all of their tasks again. Only what
-     * [recall] needs is recorded, so that the record soon changes no more.
+     * The jobs that fail on every machine, at most [most] of them. They are stored for the next leader, which would otherwise start
+     * all of their tasks at once. Holds only as much as [recall] needs, so that the stored record soon stops changing.
      */
     fun failing(most: Int): Map<JobId, FailingJob> {
         val failing = LinkedHashMap<JobId, FailingJob>()
@@ -48,7 +48,7 @@
         return failing
     }
 
-    /** Continues, at [now], to back off what the leader before recorded by [failing]. Called once the completed tasks are known. */
+    /** Backs off, from [now] on, the jobs that the previous leader recorded by [failing]. Completed tasks must be known already. */
     fun recall(failing: Map<JobId, FailingJob>, now: MonotonicTime) {
         for ((id, recorded) in failing) {
             val job = cluster.jobs[id] ?: continue
@@ -57,7 +57,7 @@
         }
     }
 
-    /** What failed on a sick machine says nothing of its jobs: they are not held to fail everywhere. */
+    /** Removes [machine] from the failures of all jobs: a failure on a faulty machine is no evidence against the job. */
     private fun dropFailuresOn(machine: Machine) {
         for (job in cluster.jobs.values) {
             if (!job.failedOn.remove(machine.id) || job.isPoisoned) continue
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Records that the task of [assignment] completed on [machine] after [runS] seconds. */
+    /** Records that the task of [assignment] completed on [machine] after running for [runS] seconds. */
     fun completedIn(machine: Machine, assignment: Assignment, runS: Double) {
         val job = assignment.job
         if (isSlow(job, machine.id, runS)) {
@@ -73,15 +73,16 @@
         } else if (!assignment.isStraggler) {
             machine.health.clearSlowStrikes()
         }
-        // A slow machine's run says nothing of what the job takes elsewhere.
+        // The run time on a slow machine does not show how long the job's tasks take on other machines.
         if (!assignment.isStraggler) {
             job.runStatistics.recordRun(runS)
         }
     }
 
     /**
-     * Whether a run is far beyond what the job's tasks take elsewhere. The owner's estimate counts too, as a task that
-     * was seen running late seems short; and a job that finds every machine slow is simply long.
+     * Whether a run of [runS] seconds is far longer than the job's tasks take on other machines. The owner's estimate is a lower
+     * bound for the comparison, since a task that was first reported late in its run seems short. A job that was slow on
+     * [MAX_SLOW_MACHINES] machines is taken to be long, and no further machine counts as slow for it.
      */
     private fun isSlow(job: Job, machine: MachineId, runS: Double): Boolean {
         if (job.runs < RUNS_TO_COMPARE) return false
@@ -105,8 +106,8 @@
     }
 
     /**
-     * Marks, as of [now], tasks that run on while others of the same jobs have long completed elsewhere; quarantines a machine with
-     * several of them.
+     * Marks the tasks that have run for far longer, at [now], than completed tasks of the same job took on other machines.
+     * Quarantines a machine with [SICK_STRIKES] such tasks in a row.
      */
     fun detectStragglers(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
--- a/src/main/kotlin/mountmast/coordination/state/ImageCache.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ImageCache.kt
@@ -3,18 +3,19 @@
 import mountmast.protocol.ImageId
 
 /**
- * Images that were used on one machine, with their sizes in GB, least recently used first. A guess: the worker does not report its
- * cache. Guarded as its [ClusterState] is.
+ * The images that the worker of one machine is expected to have in its cache. This is an estimate from the tasks placed there,
+ * since the worker does not report its cache. Guarded by the lock of the leader's term.
  */
 internal class ImageCache {
+    /** The sizes of the images in GB, the least recently used image first. */
     val images = LinkedHashMap<ImageId, Double>()
 
-    /** Adds the images that an earlier leader knew of, where they are not known yet. */
+    /** Adds the images that the previous leader recorded, except those that are known already. */
     fun recall(known: Map<ImageId, Double>) {
         for ((image, sizeGb) in known) images.putIfAbsent(image, sizeGb)
     }
 
-    /** Records a use of [image], and drops the least recently used images beyond the capacity of [cacheGb]. */
+    /** Records a use of [image] and evicts the least recently used images until the rest fits into [cacheGb]. */
     fun touch(image: ImageId, sizeGb: Double, cacheGb: Double) {
         images.remove(image)
         images[image] = sizeGb
--- a/src/main/kotlin/mountmast/coordination/state/InheritedPriorities.kt
+++ b/src/main/kotlin/mountmast/coordination/state/InheritedPriorities.kt
@@ -4,17 +4,18 @@
 import mountmast.protocol.WallTime
 
 /**
- * Priority inheritance along the dependency graph: a job takes over the highest urgency of the jobs that depend on it, and a due
- * time early enough for what is predicted to run after it (the critical path). Users set both on a pipeline's last job only.
+ * Priority inheritance along the dependency graph: a job inherits the highest urgency of the jobs that depend on it, and a due time
+ * that leaves them their estimated run times (the critical path). Users set urgency and deadline on a pipeline's last job only.
  *
- * Kept as jobs come and go: a job that is added propagates its requirement to its prerequisites, as far as that tightens
- * anything. If a dependent is removed, what it alone required is computed anew before the next scheduling cycle, once
- * for each job however many of its dependents were removed. Guarded as the [ClusterState] is.
+ * Updated incrementally: a job that is added propagates its requirement to its prerequisites, as far as it is stricter than what
+ * they inherited before. The priority of a job that lost dependents is recomputed before the next scheduling cycle, once
+ * however many dependents were removed. Guarded by the lock of the leader's term.
  */
 internal class InheritedPriorities(private val dependents: Map<JobId, Set<Job>>) {
+    /** Jobs that lost a dependent and whose inherited priority is not recomputed yet. */
     private val weakened = LinkedHashSet<Job>()
 
-    /** Propagates the requirement of [job] to its prerequisites among the [live] jobs. */
+    /** Propagates the requirement of [job] to its direct and indirect prerequisites among the [live] jobs. */
     fun addDependent(job: Job, live: Map<JobId, Job>) {
         val pending = ArrayDeque(listOf(job))
         while (pending.isNotEmpty()) {
@@ -30,17 +31,17 @@
         }
     }
 
-    /** Sets the priority of [job] from its dependents, which may have been known before it. */
+    /** Sets the inherited priority of the added [job] from those of its dependents that became known before the job itself. */
     fun addPrerequisite(job: Job) {
         job.inheritedPriority = priorityFromDependents(job)
     }
 
-    /** Has the priority of [job] computed anew by the next [refresh], as it lost a dependent. */
+    /** Makes the next [refresh] recompute the inherited priority of [job], which lost a dependent. */
     fun markWeakened(job: Job) {
         weakened += job
     }
 
-    /** Computes anew the priorities of the jobs that lost a dependent, and of their prerequisites among the [live] jobs. */
+    /** Recomputes the inherited priorities of the jobs that lost a dependent, and of their prerequisites among the [live] jobs. */
     fun refresh(live: Map<JobId, Job>) {
         if (weakened.isEmpty()) return
         val pending = ArrayDeque(weakened)
@@ -58,7 +59,7 @@
         .filter { !it.cancelled }
         .fold(InheritedPriority.NONE) { priority, dependent -> priority.tightenedBy(requirementOf(dependent)) }
 
-    /** What the prerequisites of [job] have to meet for it: they must be done one run of it before it is due. */
+    /** What [job] requires of its prerequisites: its urgency, and to be done one estimated run of [job] before [job] is due. */
     private fun requirementOf(job: Job): InheritedPriority {
         val startBy = job.effectiveDue?.let { WallTime(it.ms - (job.spec.estimateS * MS_PER_S).toLong()) }
         return InheritedPriority(job.effectiveUrgency, startBy)
--- a/src/main/kotlin/mountmast/coordination/state/Invariants.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Invariants.kt
@@ -7,16 +7,16 @@
 private val log = LoggerFactory.getLogger("mountmast.invariants")
 
 /**
- * Conditions that the argument in `docs/design.md` rests on, checked where an action would rest on them. A violation is logged at
- * `error` and counted, and the caller leaves the action undone; the process goes on. Thread-safe.
+ * Checks at run time the conditions on which the correctness argument in `docs/design.md` relies, right before an action that
+ * relies on them. A violation is logged at `error` and counted, and the caller skips the action; the process goes on. Thread-safe.
  */
 class Invariants(metrics: Metrics = Metrics()) {
     private val violations = metrics.counter(MetricNames.INVARIANT_VIOLATIONS)
 
-    /** How many violations there were. */
+    /** How many violations were found since the process started. */
     val violationCount: Long get() = violations.value
 
-    /** Returns [isMet]; if it is false, counts a violation and logs [message], which is called only then. */
+    /** Returns [isMet]. If it is false, counts a violation and logs the result of [message], which is not called otherwise. */
     fun check(isMet: Boolean, message: () -> String): Boolean {
         if (!isMet) {
             violations.add()
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -11,70 +11,70 @@
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
 
-/** A job that is not finished, as submitted at [submitted]. Guarded as its [ClusterState] is. */
+/** A job that is not finished and was submitted at [submitted]. Guarded by the lock of the leader's term. */
 class Job(val spec: JobSpec, val submitted: WallTime, modRevision: ModRevision) {
-    /** The latest modification revision of its record that is known. */
+    /** The latest known modification revision of the job's record. */
     var modRevision = modRevision
         internal set
 
     val id: JobId get() = spec.id
 
-    /** What each of its tasks takes. */
+    /** The resources that each task of the job takes. */
     val perTask: Resources = spec.perTask
 
-    /** Whether it is cancelled, by its record or by another node's broadcast. */
+    /** Whether the job is cancelled, according to its record or to a broadcast of another node. */
     var cancelled = false
         private set
 
-    /** Whether its record in the store says that it is cancelled; another node's broadcast may come before that is seen. */
+    /** Whether the job's record in the store says that it is cancelled. Another node's broadcast may arrive before that record is read. */
     var isCancellationRecorded = false
         private set
 
-    /** The cancellation was committed no earlier than this. */
+    /** A lower bound of the time at which the job's cancellation was committed; meaningful only if the job is cancelled. */
     var cancelledAfter = WallTime(0)
         private set
 
     /**
-     * Cancels the job, as its record says if [recorded], or else only a broadcast: its tasks are stopped without time to save. The
-     * cancellation was committed no earlier than [after].
+     * Cancels the job and stops its tasks without a grace period. [recorded] tells whether the job's record says that it is cancelled,
+     * or only a broadcast. The cancellation was committed no earlier than [after].
      */
     fun cancel(after: WallTime, recorded: Boolean) {
         if (!cancelled) {
             cancelled = true
             cancelledAfter = after
-            // Nobody gains from what a cancelled job's tasks do.
+            // The results of a cancelled job are not needed, so its tasks get no time to save their progress.
             for (assignment in live.values) assignment.stopAtOnce()
         }
         isCancellationRecorded = isCancellationRecorded || recorded
     }
 
-    /** Which of its prerequisites are not known to be done. */
+    /** The job's prerequisites that are not known to be done. */
     val unmetDependencies = UnmetDependencies()
 
-    /** Whether every prerequisite is known to be done: before that none of its tasks may start. */
+    /** Whether all prerequisites of the job are known to be done. None of the job's tasks may start before that. */
     val isReleased: Boolean get() = unmetDependencies.isListKnown && unmetDependencies.open.isEmpty()
 
-    /** What its dependents require of it. */
+    /** The urgency and due time that the job's dependents require. */
     var inheritedPriority = InheritedPriority.NONE
         internal set(value) {
             field = value
             schedulingSpec = if (effectiveUrgency == spec.urgency) spec else spec.copy(urgency = effectiveUrgency)
         }
 
-    /** The highest urgency among its own and that of its dependents. */
+    /** The higher of the job's own urgency and the one that it inherits from its dependents. */
     val effectiveUrgency: Urgency get() = minOf(spec.urgency, inheritedPriority.urgency)
 
-    /** When it should be done, by its own deadline or for its dependents; null if nobody requires it. */
+    /** When the job should be done, the earlier of its own deadline and the due time that it inherits; null if it has neither. */
     val effectiveDue: WallTime? get() = InheritedPriority.earlier(ownDue, inheritedPriority.due)
 
-    /** When it should be done by its own deadline, or null if it has none. */
+    /** When the job should be done according to its own deadline; null if it has none. */
     val ownDue: WallTime? = spec.deadlineS?.let { WallTime(submitted.ms + (it * MS_PER_S).toLong()) }
 
-    /** The job as it is scheduled: with its [effectiveUrgency]. */
+    /** The job's specification for the scheduler, with [effectiveUrgency] as the urgency. */
     var schedulingSpec = spec
         private set
 
-    /** From when its waiting counts: from the end of its last prerequisite, or from its submission. */
+    /** The start of the job's waiting time: the end of its last prerequisite, or its submission if that was later. */
     val waitingFrom: WallTime get() = unmetDependencies.lastDoneAt?.let { maxOf(it, submitted) } ?: submitted
 
     private val progress = TaskProgress(spec.tasks)
@@ -91,52 +91,52 @@
     /** How many tasks are done. */
     val doneCount: Int get() = progress.doneCount
 
-    /** Its assignments that are not released, by the task's index. */
+    /** The job's assignments that are not released, by the task's index. */
     val live = Int2ObjectOpenHashMap<Assignment>()
 
-    /** How often each of its tasks was preempted, by the task's index. */
+    /** How often each task of the job was preempted, by the task's index. */
     val preemptions = Int2IntOpenHashMap()
 
-    /** How long its tasks ran. */
+    /** The run times of the job's completed tasks. */
     val runStatistics = RunStatistics()
     val runs by runStatistics::runs
     val runSumS by runStatistics::runSumS
     val slowOn get() = runStatistics.slowOn
 
-    /** How its tasks failed lately. */
+    /** The job's failures since one of its tasks last completed. */
     val recentFailures = JobFailures()
     val failedOn get() = recentFailures.machines
     val failures by recentFailures::count
     val notBefore by recentFailures::notBefore
 
-    /** When a task was last placed or the job became known or was released, for detecting that it stalls. */
+    /** When a task of the job was last placed, or the job became known or was released. Used to detect jobs that stall. */
     var lastProgress = MonotonicTime(0)
         private set
 
-    /** When operators were last informed that it stalls; null once it goes on. */
+    /** When operators were last informed that the job stalls; null if it has not stalled since a task was last placed. */
     var lastStallReport: MonotonicTime? = null
         private set
 
-    /** Whether operators were informed that it is late. */
+    /** Whether operators were informed that the job is late. */
     var isReportedLate = false
         private set
 
     /**
-     * Whether it fails wherever it runs: it is backed off, and has no claim on the guarantee. A job with a mistake never completes
-     * a task, so one that has is only unlucky with its machines.
+     * Whether the job fails on every machine. Such a job is backed off and has no claim on its team's guarantee. A job with a defect
+     * never completes a task, so if a task has completed, the failures are blamed on the machines.
      */
     val isPoisoned: Boolean get() = doneCount == 0 && failedOn.size >= POISON_MACHINES
 
-    /** Whether it is an array job all of whose tasks are done; a service never completes. */
+    /** Whether the job is an array job and all of its tasks are done. A service never completes. */
     val isComplete: Boolean get() = spec.shape == Shape.ARRAY && doneCount == spec.tasks
 
-    /** Whether none of its assignments lives: each one is known to have ended. */
+    /** Whether all assignments of the job that are not released have ended, so that none of its tasks runs. */
     fun hasNoLiveAssignments() = live.values.all { it.phase == Phase.ENDED }
 
-    /** The first [count] open tasks. */
+    /** The indices of the first [count] open tasks; there must be as many. */
     fun firstOpen(count: Int): IntArray = progress.firstOpen(count)
 
-    /** Records that the task [index] is done: it is not open any more. */
+    /** Records that the task [index] is done, and therefore no longer open. */
     fun setDone(index: Int) = progress.setDone(index)
 
     /** Sets whether the task [index] may be placed. */
@@ -152,12 +152,12 @@
         preemptions.addTo(index, 1)
     }
 
-    /** Records that the job became ready to run at [now], as it became known or was released. */
+    /** Records that the job became ready to run at [now], since it became known or was released. */
     fun recordProgress(now: MonotonicTime) {
         lastProgress = now
     }
 
-    /** Records that a task was placed at [now]: the job does not stall. */
+    /** Records that a task was placed at [now], so that the job does not stall. */
     fun recordPlacement(now: MonotonicTime) {
         lastProgress = now
         lastStallReport = null
@@ -174,7 +174,7 @@
     }
 
     companion object {
-        /** An error mostly means a faulty machine; on this many machines it means the job. */
+        /** On how many machines a job must have failed to be blamed itself. A failure on fewer is usually due to a faulty machine. */
         const val POISON_MACHINES = 3
         private const val MS_PER_S = 1000
     }
--- a/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
@@ -11,28 +11,28 @@
 private val log = LoggerFactory.getLogger("mountmast.dependencies")
 
 /**
- * The dependency graph of the live jobs, on the leader: releases a job once the `done` of every prerequisite is committed, and
- * cancels it with any of them. Guarded as its [ClusterState] is; does no I/O.
+ * The leader's dependency graph of the live jobs. Releases a job once the final state `done` of every prerequisite is committed,
+ * and cancels a job if one of its prerequisites is cancelled. Guarded by the lock of the leader's term; does no I/O.
  *
- * A prerequisite that is not among the live jobs counts as open until its final state has been read from the state
- * service ([PrerequisiteLookups]): not known means wait. All steps go along edges of jobs that change, without recursion, so a
- * long chain or a wide fan costs what it has edges. Nothing is kept of finished jobs that no live job names, save the
- * final states in a [FinishedJobCache].
+ * A prerequisite that is not among the live jobs counts as open until its final state has been read from the state service
+ * ([PrerequisiteLookups]), so its dependents wait meanwhile. Updates follow only the edges of jobs that change, without recursion:
+ * the cost of a long chain or a wide fan-out is linear in its edges. Finished jobs that no live job names take no memory, apart from
+ * the final states in a [FinishedJobCache].
  */
 class JobDependencies(private val cluster: ClusterState) {
-    /** The jobs that wait for a prerequisite which is not known to be finished. */
+    /** The jobs that wait for a prerequisite which is not known to be finished, by the prerequisite. */
     private val dependents = HashMap<JobId, LinkedHashSet<Job>>()
     private val lookups = PrerequisiteLookups()
     private val finishedJobs = FinishedJobCache()
     private val inheritedPriorities = InheritedPriorities(dependents)
 
-    /** The records of the jobs whose list of prerequisites has to be read. */
+    /** The records of the jobs whose list of prerequisites is still to be read from the state service. */
     internal val unreadLists: List<JobRecord> get() = lookups.lists
 
-    /** Whether [id] is among the jobs that were seen to finish last. */
+    /** Whether the job [id] is among those that finished most recently. */
     internal fun isRecentlyFinished(id: JobId) = id in finishedJobs
 
-    /** Adds a live job that this leader has not known before, with the prerequisites that its [record] names. */
+    /** Adds a live job that is new to this leader, with the prerequisites that its [record] names. */
     internal fun addJob(job: Job, record: JobRecord, now: MonotonicTime) {
         lookups.removePrerequisite(job.id)
         inheritedPriorities.addPrerequisite(job)
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Adds the [prerequisites] of the job [id], whose list of them was read. */
+    /** Adds the [prerequisites] of the job [id], read from its separately stored list. Does nothing if that list is not awaited. */
     internal fun addReadList(id: JobId, prerequisites: List<JobId>, now: MonotonicTime) {
         if (!lookups.removeList(id)) return
         cluster.jobs[id]?.let { addPrerequisites(it, prerequisites, now) }
@@ -75,7 +75,7 @@
         if (count > 0) log.info("job={} is cancelled, and {} dependent jobs with it", job.id, count)
     }
 
-    /** Cancels [roots] and all jobs that depend on them, directly or through others; returns how many were not cancelled before. */
+    /** Cancels [roots] and their direct and indirect dependents; returns how many had no recorded cancellation before. */
     private fun cancelAll(roots: Collection<Job>): Int {
         var count = 0
         val pending = ArrayDeque(roots)
@@ -83,7 +83,7 @@
             val job = pending.removeFirst()
             if (job.isCancellationRecorded) continue
             count++
-            // Nothing of it ever ran, so its cancellation holds back no watermark.
+            // No task of a job with open prerequisites ever ran, so its cancellation need not hold back the watermark.
             job.cancel(WallTime(0), recorded = true)
             cluster.finishing += job
             pending += dependents[job.id].orEmpty()
@@ -91,7 +91,10 @@
         return count
     }
 
-    /** Records the final state of [id], which is in the state service, for its dependents. Returns the jobs that are released by it. */
+    /**
+     * Applies the final state [record] of the job [id], which is committed in the state service, to the job's dependents. Returns the
+     * dependents that it releases.
+     */
     internal fun recordFinished(id: JobId, record: FinishedJobRecord, now: MonotonicTime): List<Job> {
         finishedJobs.add(id, record)
         lookups.removePrerequisite(id)
@@ -104,14 +107,14 @@
         for (job in waiting) job.unmetDependencies.recordDone(id, record.endedAt)
         val released = waiting.filter { it.isReleased }
         for (job in released) {
-            // It waits for free capacity from now on.
+            // The released job waits for free capacity from now on, so stalls are measured from here.
             job.recordProgress(now)
             log.debug("job={} is released: all of its prerequisites are done", job.id)
         }
         return released
     }
 
-    /** Removes [job], which is finished, as one that waits for others. */
+    /** Removes the finished [job] from the dependents of its open prerequisites. */
     internal fun removeJob(job: Job) {
         lookups.removeList(job.id)
         for (id in job.unmetDependencies.open) {
@@ -124,9 +127,9 @@
         }
     }
 
-    /** Brings urgencies and due times up to date for jobs that lost a dependent. */
+    /** Recomputes the inherited urgencies and due times of the jobs that lost a dependent. */
     fun refreshInheritedPriorities() = inheritedPriorities.refresh(cluster.jobs)
 
-    /** At most [most] prerequisites whose final state has to be looked up at [now]; the same are due again after a pause. */
+    /** Returns at most [most] prerequisites whose final state is to be looked up at [now]; they are due again after a pause. */
     internal fun nextUnresolved(most: Int, now: MonotonicTime): List<JobId> = lookups.nextPrerequisites(most, now)
 }
--- a/src/main/kotlin/mountmast/coordination/state/JobFailures.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobFailures.kt
@@ -4,16 +4,16 @@
 import mountmast.protocol.MonotonicTime
 import mountmast.storage.FailingJob
 
-/** How one job's tasks failed lately, and until when that holds it back. Guarded as its [ClusterState] is. */
+/** The recent failures of one job's tasks, and the backoff that follows from them. Guarded by the lock of the leader's term. */
 class JobFailures {
     /** Machines on which a task failed since one of the job's tasks last completed. */
     val machines = LinkedHashSet<MachineId>()
 
-    /** Failures since one of the job's tasks last completed. */
+    /** How many tasks failed since one of the job's tasks last completed. */
     var count = 0
         private set
 
-    /** None of its tasks is placed before this. */
+    /** The time before which no task of the job is placed. */
     var notBefore = MonotonicTime(Long.MIN_VALUE)
         private set
 
@@ -23,25 +23,25 @@
         count++
     }
 
-    /** Takes over what an earlier leader recorded. */
+    /** Adds the failures that the previous leader recorded. */
     internal fun recall(recorded: FailingJob) {
         machines += recorded.machines
         count = maxOf(count, recorded.failures)
     }
 
-    /** Counts one failure for each machine that is left, and ends the pause. */
+    /** Sets the count to one failure for each machine in [machines], and ends the backoff. */
     internal fun recount() {
         count = machines.size
         notBefore = MonotonicTime(Long.MIN_VALUE)
     }
 
-    /** Forgets all failures, as one of the job's tasks completed; a pause goes on. */
+    /** Forgets all failures, since one of the job's tasks completed. A backoff that has begun continues. */
     fun clear() {
         machines.clear()
         count = 0
     }
 
-    /** Places none of its tasks before [until]. */
+    /** Allows no task of the job to be placed before [until]. */
     fun pausePlacementUntil(until: MonotonicTime) {
         notBefore = until
     }
--- a/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
@@ -16,16 +16,16 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-/** What a leader's term consists of for its [JobInformer]: the state, guarded by [lock], and who is woken by its changes. */
+/** The parts of a leader's term that a [JobInformer] updates: the state, guarded by [lock], and the [signals] that wake other threads. */
 class JobInformerState(val lock: ReentrantLock, val cluster: ClusterState, val dependencies: JobDependencies, val signals: TermSignals)
 
-/** Where a [JobInformer] reads jobs. */
+/** The stores from which a [JobInformer] reads jobs and their lists of prerequisites. */
 class JobInformerSources(val store: StateStore, val prerequisiteLists: PrerequisiteLists)
 
 /**
- * Keeps the leader's live jobs as the state service has them, by a watch on their keys, with all that follows from a job's
- * cancellation or end. Knows up to which moment all changes of jobs are known, on which the low watermark of cancellations rests.
- * Guarded by the lock of the leader's term, which is never held during a call.
+ * Keeps the leader's live jobs in step with the state service by a watch on their keys, and applies the consequences of a job's
+ * cancellation or end. Tracks up to which time all changes of jobs are known, from which the low watermark of cancellations is
+ * derived. Guarded by the lock of the leader's term, which is never held during a call to the state service.
  */
 class JobInformer(
     state: JobInformerState,
@@ -42,16 +42,19 @@
     private val resolver = PrerequisiteResolver(lock, dependencies, store, sources.prerequisiteLists, clock, ::recordFinished)
     private var watchFrom = Revision(0u)
 
-    /** All changes of jobs before this are known. */
+    /** The time before which all changes of jobs are known. */
     private var knownUpTo = Moment(MonotonicTime(0), knownBefore)
 
-    /** For how long changes of jobs may have gone unknown at [now], in milliseconds; the caller holds the lock. */
+    /** The age at [now], in milliseconds, of the oldest change of a job that may be unknown; the caller holds the lock. */
     fun stalenessMs(now: MonotonicTime): Long = now - knownUpTo.monotonic
 
     /** The low watermark of cancellations; the caller holds the lock. */
     fun watermark(): WallTime = cluster.watermark(knownUpTo.wall)
 
-    /** Reads new and cancelled jobs; waits up to [waitMs] for them. Throws a `StoreException` if the state service fails. */
+    /**
+     * Reads the records of new and cancelled jobs, and waits up to [waitMs] milliseconds for them. Throws a `StoreException` if the
+     * state service fails.
+     */
     fun watch(waitMs: Long) {
         val requestedAt = Moment(clock.now(), clock.wall())
         when (val result = store.watch(Keys.JOBS, watchFrom, waitMs)) {
@@ -68,7 +71,7 @@
         }
     }
 
-    /** Applies [entry] unless a later state of the job is known: what was written first may be seen last. */
+    /** Applies [entry] unless a later revision of the job's record is known, since changes may arrive out of order. */
     private fun applyChange(entry: Entry) {
         val id = Keys.jobOfKey(entry.key) ?: return
         val record = RecordDecoder.decode<JobRecord>(entry.key, entry.value) ?: return
@@ -77,7 +80,10 @@
         if (known == null || entry.modRevision.number > known.modRevision.number) applyRecord(record, entry.modRevision)
     }
 
-    /** Applies all live jobs as they were at [revision] or later, requested at [asked]; the caller holds the lock. */
+    /**
+     * Applies the records of all live jobs, read at [revision] or later by a request that was sent at [asked] (time of day:
+     * [askedWall]); the caller holds the lock.
+     */
     fun applyAll(entries: List<Entry>, revision: Revision, asked: MonotonicTime, askedWall: WallTime) {
         for (entry in entries) RecordDecoder.decode<JobRecord>(entry.key, entry.value)?.let { applyRecord(it, entry.modRevision) }
         watchFrom = revision
@@ -101,7 +107,7 @@
         }
     }
 
-    /** Cancels the jobs [ids], whose cancellation another node broadcast; their records may be seen much later. */
+    /** Cancels the jobs [ids], whose cancellation another node broadcast. Their cancelled records may be read much later. */
     fun cancelByBroadcast(ids: List<JobId>) = lock.withLock {
         for (id in ids) cluster.jobs[id]?.let { cancel(it, recorded = false) }
     }
@@ -111,7 +117,7 @@
         job.live.values.forEach { listener.onCommandsDue(it) }
     }
 
-    /** Removes a job whose final state is in the state service; the caller holds the lock. */
+    /** Removes [job], whose final state [record] is committed in the state service; the caller holds the lock. */
     fun finished(job: Job, record: FinishedJobRecord) {
         dependencies.removeJob(job)
         cluster.removeJob(job, clock.now())
@@ -125,11 +131,11 @@
     }
 
     /**
-     * Reads final states and lists of prerequisites that live jobs name and this leader does not know. Returns whether there were
-     * any to read. Throws a `StoreException` if the state service fails.
+     * Reads the final states and the lists of prerequisites that live jobs refer to and that this leader does not know. Returns
+     * whether any were due. Throws a `StoreException` if the state service fails.
      */
     fun resolvePrerequisites(): Boolean = resolver.resolveDue() > 0
 
-    /** One moment on this node's steady clock and by its time of day. */
+    /** One moment, on this node's monotonic clock and as its time of day. */
     private class Moment(val monotonic: MonotonicTime, val wall: WallTime)
 }
--- a/src/main/kotlin/mountmast/coordination/state/JobInformerListener.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformerListener.kt
@@ -4,14 +4,14 @@
 import mountmast.protocol.ModRevision
 import mountmast.storage.JobRecord
 
-/** What the [JobInformer] calls on others, with the lock of the leader's term held. */
+/** Receives the calls of a [JobInformer], each with the lock of the leader's term held. */
 interface JobInformerListener {
-    /** Whether another node broadcast the cancellation of the job [id]. */
+    /** Returns whether another node has broadcast the cancellation of the job [id]. */
     fun isCancelledElsewhere(id: JobId): Boolean
 
-    /** The [record] of a live job was read, at [modRevision]. */
+    /** Called when the [record] of a live job was read, with the modification revision [modRevision]. */
     fun onRecord(record: JobRecord, modRevision: ModRevision)
 
-    /** There are commands for the worker that [assignment] is with. */
+    /** Called when there are commands to send to the worker that runs [assignment]. */
     fun onCommandsDue(assignment: Assignment)
 }
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -10,28 +10,30 @@
 import mountmast.protocol.Zone
 
 /**
- * A rented machine. Type and zone are null while it is known only by name, from the journal. Guarded as its [ClusterState] is.
+ * A rented machine. [type] and [zone] are null while only its name is known, from the journal. Guarded by the lock of the leader's
+ * term.
  *
- * What it consists of changes by the methods of its parts; the delegating properties read them.
+ * The parts of its state ([worker], [delivery], [reachability], [rental], [health]) change by methods of their own; the delegating
+ * properties only read them.
  */
 class Machine(val id: MachineId, val type: TypeId?, val zone: Zone?, val spot: Boolean, state: MachineState) {
-    /** Its condition. */
+    /** The machine's condition as far as this leader knows it. */
     var state = state
         private set
 
-    /** What the worker's heartbeats say, and what was answered to them. */
+    /** The contents of the worker's heartbeats, and the answers that they got. */
     val worker = WorkerStatus()
 
-    /** Commands that are sent directly. */
+    /** The state of the direct requests that carry commands to the worker. */
     val delivery = CommandDeliveryState()
 
-    /** Whether answers and commands arrive. */
+    /** Whether answers to heartbeats and commands reach the worker. */
     val reachability = MachineReachability()
 
-    /** What is known of it from the cloud. */
+    /** The machine's state as the cloud reports it. */
     val rental = MachineRental()
 
-    /** Its failures and slow tasks. */
+    /** The task failures and the stragglers on this machine, and its quarantine. */
     val health = MachineHealth()
     private val imageCache = ImageCache()
 
@@ -69,39 +71,39 @@
     val isQuarantined by health::isQuarantined
     val notBefore by health::notBefore
 
-    /** Images that were used here with their sizes in GB, least recently used first. */
+    /** The sizes in GB of the images that tasks used on this machine, the least recently used image first. */
     val images get() = imageCache.images
 
-    /** When its worker's lease was found to have expired. */
+    /** When the worker's lease was found to have expired; meaningful only in the state [MachineState.EXPIRED]. */
     var expiredAt = MonotonicTime(0)
         private set
 
-    /** Every assignment not yet released, by the task's name as the worker writes it. */
+    /** The machine's assignments that are not released, by [Assignment.taskName]. */
     val live = LinkedHashMap<String, Assignment>()
 
-    /** Rises with each change of what the scheduler sees of the machine, apart from whether it is usable. */
+    /** Increases with each change of the machine that the scheduler sees, other than a change of [isUsable]. */
     var changes = 0
         private set
 
-    /** What [live] takes, kept as it changes: a scheduling cycle must not add up every task of every machine. */
+    /** The resources that [live] takes. Kept up to date, so that a scheduling cycle need not add up every task of every machine. */
     var used = Resources.NONE
         private set(value) {
             field = value
             changes++
         }
 
-    /** The job that this machine is reserved for, and preempted where need be. */
+    /** The job that the machine is reserved for, for which tasks on it may have been preempted; null if it is not reserved. */
     var reservedFor: JobId? = null
         private set(value) {
             field = value
             changes++
         }
 
-    /** When the reservation ends. */
+    /** When the reservation ends; meaningful only while [reservedFor] is not null. */
     var reservedUntil = MonotonicTime(0)
         private set
 
-    /** Whether tasks may be placed here at [now]. */
+    /** Whether tasks may be placed on the machine at [now]. */
     fun isUsable(now: MonotonicTime) = state == MachineState.UP &&
         hasShownCurrentTerm &&
         unreachedSince == null &&
@@ -111,40 +113,40 @@
         incarnation != null &&
         now >= notBefore
 
-    /** Takes over the assignments of [before], which stood for this machine while it was known only by name. */
+    /** Takes over the assignments of [before], the entry of this machine while only its name was known. */
     fun inheritAssignments(before: Machine) {
         live.putAll(before.live)
         used = before.used
     }
 
-    /** Counts [assignment] as being here. */
+    /** Adds [assignment] to the machine's assignments and its resources to [used]. */
     internal fun addAssignment(assignment: Assignment) {
         live[assignment.taskName] = assignment
         used += assignment.job.perTask
     }
 
-    /** Counts [assignment] no more; a machine without any is idle since [now]. */
+    /** Removes [assignment] and frees its resources; a machine without any other assignment is idle from [now] on. */
     internal fun removeAssignment(assignment: Assignment, now: MonotonicTime) {
         if (live.remove(assignment.taskName) != null) used -= assignment.job.perTask
         if (live.isNotEmpty()) return
         rental.markIdle(now)
-        // Rounding must not add up over a machine's life.
+        // Sets the sum to exactly zero, so that rounding errors do not accumulate over the machine's life.
         used = Resources.NONE
     }
 
-    /** Adds the images that an earlier leader knew of here, with their sizes in GB. */
+    /** Adds the images that the previous leader recorded for this machine, with their sizes in GB. */
     fun recallImages(known: Map<ImageId, Double>) {
         imageCache.recall(known)
         changes++
     }
 
-    /** Records a use of [image], of [sizeGb], in a cache of [cacheGb]. */
+    /** Records that a task on this machine uses [image], of [sizeGb], where the worker's cache holds [cacheGb]. */
     fun touchImage(image: ImageId, sizeGb: Double, cacheGb: Double) {
         changes++
         imageCache.touch(image, sizeGb, cacheGb)
     }
 
-    /** Records that a heartbeat arrived at [now]: a machine that was not up is idle since then. */
+    /** Sets the state to [MachineState.UP], as a heartbeat arrived at [now]. A machine that was not up before is idle from [now] on. */
     fun markUp(now: MonotonicTime) {
         if (state == MachineState.UP) return
         state = MachineState.UP
@@ -158,8 +160,8 @@
     }
 
     /**
-     * Begins the worker's incarnation [next] as of [now]: nothing of it was answered yet, and what was sent to the one before
-     * can be executed no more. The caller ends the assignments of the one before.
+     * Begins the worker's incarnation [next] at [now]: no heartbeat of it was answered yet, and commands sent to the previous
+     * incarnation can no longer be executed. The caller ends the assignments of the previous incarnation.
      */
     fun beginIncarnation(next: WorkerIncarnation, now: MonotonicTime) {
         delivery.forgetUnansweredStarts()
--- a/src/main/kotlin/mountmast/coordination/state/MachineHealth.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineHealth.kt
@@ -3,47 +3,47 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.MonotonicTime
 
-/** Failures and slow tasks on one machine, and what follows from them. Guarded as its [ClusterState] is. */
+/** The task failures and the stragglers on one machine, and its quarantine. Guarded by the lock of the leader's term. */
 class MachineHealth {
-    /** The jobs whose tasks failed here, without a completion in between. */
+    /** The jobs of the tasks that failed on this machine since a task last completed on it, one entry for each counted failure. */
     val strikes = ArrayList<JobId>()
 
-    /** Tasks in a row that took far longer here than others of their job elsewhere. */
+    /** How many tasks in a row took far longer on this machine than other tasks of their jobs on other machines. */
     var slowStrikes = 0
         private set
 
-    /** Whether it gets no more work, and is returned once it is empty. */
+    /** Whether the machine is quarantined: it gets no more tasks and is returned to the cloud once it is empty. */
     var isQuarantined = false
         private set
 
-    /** No task is placed here before this. */
+    /** The time before which no task is placed on the machine. */
     var notBefore = MonotonicTime(Long.MIN_VALUE)
         private set
 
-    /** Places no task here before [until]. */
+    /** Allows no task to be placed on the machine before [until]. */
     fun pausePlacementUntil(until: MonotonicTime) {
         notBefore = until
     }
 
-    /** Records that a task of [job] failed here. */
+    /** Counts a failure of a task of [job] on this machine. */
     internal fun addStrike(job: JobId) {
         strikes += job
     }
 
-    /** Records that a task completed here: failures count only in a row. */
+    /** Forgets the failures, since a task completed on this machine and only consecutive failures count. */
     fun clearStrikes() = strikes.clear()
 
-    /** Records that a task took far longer here than elsewhere. */
+    /** Counts a task that took far longer on this machine than on others. */
     internal fun addSlowStrike() {
         slowStrikes++
     }
 
-    /** Records that a task took no longer here than elsewhere. */
+    /** Forgets the stragglers, since a task took no longer on this machine than on others. */
     internal fun clearSlowStrikes() {
         slowStrikes = 0
     }
 
-    /** Gives the machine no more work. */
+    /** Quarantines the machine; this is never undone. */
     internal fun quarantine() {
         isQuarantined = true
     }
--- a/src/main/kotlin/mountmast/coordination/state/MachineReachability.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineReachability.kt
@@ -2,32 +2,35 @@
 
 import mountmast.protocol.MonotonicTime
 
-/** Whether answers and commands reach one machine's worker, as its heartbeats show. Guarded as its [ClusterState] is. */
+/**
+ * Whether answers to heartbeats and commands reach one machine's worker, judged by its heartbeats. Guarded by the lock of the leader's
+ * term.
+ */
 class MachineReachability {
-    /** Heartbeats in a row that show no effect of the answers before them. */
+    /** How many heartbeats in a row show no effect of the answers to earlier heartbeats. */
     var unacknowledgedHeartbeats = 0
         private set
 
-    /** Since when answers and commands seem not to reach the worker although its heartbeats arrive; null while they do. */
+    /** Since when the worker is taken to receive no answers or commands although its heartbeats arrive; null while it receives them. */
     var unreachedSince: MonotonicTime? = null
         private set
 
-    /** Counts [heartbeats] more that show no effect of the answers before them. */
+    /** Counts [heartbeats] more heartbeats that show no effect of the answers to earlier ones. */
     fun countUnacknowledged(heartbeats: Int = 1) {
         unacknowledgedHeartbeats += heartbeats
     }
 
-    /** Begins the count of unacknowledged heartbeats anew. */
+    /** Resets the count of unacknowledged heartbeats to zero. */
     fun clearUnacknowledged() {
         unacknowledgedHeartbeats = 0
     }
 
-    /** Records that nothing seems to reach the worker since [now]. */
+    /** Records that the worker is taken to receive no answers or commands from [now] on. */
     fun markUnreached(now: MonotonicTime) {
         unreachedSince = now
     }
 
-    /** Records that answers reach the worker again. */
+    /** Records that answers and commands reach the worker again. */
     fun markReached() {
         unreachedSince = null
     }
--- a/src/main/kotlin/mountmast/coordination/state/MachineRental.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineRental.kt
@@ -2,17 +2,17 @@
 
 import mountmast.protocol.MonotonicTime
 
-/** What is known of one machine as something rented from the cloud. Guarded as its [ClusterState] is. */
+/** The state of one machine as rented from the cloud. Guarded by the lock of the leader's term. */
 class MachineRental {
-    /** When it was rented, as far as is known. */
+    /** When the machine was rented, as far as this leader knows. */
     var rentedAt = MonotonicTime(0)
         private set
 
-    /** When this leader first knew of it. */
+    /** When this leader learned of the machine. */
     var knownAt = MonotonicTime(0)
         private set
 
-    /** Since when no task has been on it, where none is. */
+    /** Since when the machine has had no assignment; meaningful only while it has none. */
     var idleSince = MonotonicTime(0)
         private set
 
@@ -24,25 +24,25 @@
     var reclaimNoticeS = 0.0
         private set
 
-    /** Whether it was chosen for deletion; that is never taken back. */
+    /** Whether the machine was chosen for deletion; the choice is never undone. */
     var isDeleting = false
         private set
 
-    /** Whether the cloud lists it as failed. */
+    /** Whether the cloud has listed the machine as failed. */
     var isListedFailed = false
         private set
 
-    /** Whether the cloud listed it as running when this leader first saw it; it counts only once it sends heartbeats. */
+    /** Whether the cloud listed the machine as running when this leader first saw it listed; it is usable only once heartbeats arrive. */
     var isListedRunning = false
         private set
 
-    /** Records that it was rented at [rented] and is known to this leader since [known]. */
+    /** Records that the machine was rented at [rented] and is known to this leader since [known]. */
     fun recordRental(rented: MonotonicTime, known: MonotonicTime) {
         rentedAt = rented
         knownAt = known
     }
 
-    /** Records that no task has been on it since [now]. */
+    /** Records that the machine has no assignment from [now] on. */
     fun markIdle(now: MonotonicTime) {
         idleSince = now
     }
@@ -53,17 +53,17 @@
         reclaimNoticeS = noticeS
     }
 
-    /** Records that the cloud lists it as failed. */
+    /** Records that the cloud lists the machine as failed. */
     fun markListedFailed() {
         isListedFailed = true
     }
 
-    /** Records whether the cloud listed it as running when this leader first saw it. */
+    /** Records whether the cloud listed the machine as running when this leader first saw it listed. */
     fun recordFirstListing(isRunning: Boolean) {
         isListedRunning = isRunning
     }
 
-    /** Chooses the machine for deletion: it gets no more work, and its deletion is repeated until the cloud answers. */
+    /** Chooses the machine for deletion: it gets no more tasks, and the request to delete it is repeated until the cloud answers. */
     fun beginDeletion() {
         isDeleting = true
     }
--- a/src/main/kotlin/mountmast/coordination/state/MachineState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineState.kt
@@ -1,16 +1,16 @@
 package mountmast.coordination.state
 
-/** What the leader knows of a machine's condition. */
+/** A machine's condition as far as the leader knows it. */
 enum class MachineState {
-    /** Rented; no heartbeat has arrived yet. */
+    /** The machine is rented, and none of its heartbeats has arrived yet. */
     BOOTING,
 
-    /** Its worker sends heartbeats. */
+    /** Heartbeats of the machine's worker arrive. */
     UP,
 
-    /** Named in the store, but no heartbeat has arrived since this node leads. */
+    /** The machine is named in the store, but no heartbeat of its worker has arrived since this leader was elected. */
     SILENT,
 
-    /** Its worker's lease has provably expired and no heartbeat has arrived since. */
+    /** The lease of the machine's worker has certainly expired, and no heartbeat has arrived since. */
     EXPIRED,
 }
--- a/src/main/kotlin/mountmast/coordination/state/Phase.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Phase.kt
@@ -1,16 +1,16 @@
 package mountmast.coordination.state
 
-/** How far an assignment has come. Until it is released it counts as being on its machine. */
+/** The steps of an assignment's life cycle. Until it is released, an assignment takes resources of its machine. */
 enum class Phase {
-    /** Decided, not yet known to be in the store: must not be sent. */
+    /** Made, but not known to be in the store: its start command must not be sent. */
     INTENDED,
 
-    /** In the store: its start may be sent, any number of times. */
+    /** In the store: its start command may be sent, any number of times. */
     COMMITTED,
 
-    /** Known to be off its machine, but the store still lists it: counts until the store does not. */
+    /** No longer running on its machine, but still listed in the store: takes resources until the store no longer lists it. */
     ENDED,
 
-    /** Counts no more. */
+    /** Removed from the cluster state: takes no resources. */
     RELEASED,
 }
--- a/src/main/kotlin/mountmast/coordination/state/PrerequisiteLookups.kt
+++ b/src/main/kotlin/mountmast/coordination/state/PrerequisiteLookups.kt
@@ -4,36 +4,39 @@
 import mountmast.protocol.MonotonicTime
 import mountmast.storage.JobRecord
 
-/** What has to be read from the state service before live jobs can be released. Guarded as its [ClusterState] is. */
+/**
+ * The final states and lists of prerequisites that must be read from the state service to release live jobs. Guarded by the lock of
+ * the leader's term.
+ */
 internal class PrerequisiteLookups {
-    /** Prerequisites that are not among the live jobs, and when to look for their final state next. */
+    /** Prerequisites that are not among the live jobs, with the time of the next lookup of their final state. */
     private val unresolved = LinkedHashMap<JobId, MonotonicTime>()
 
-    /** Jobs whose list of prerequisites is stored apart from their record and was not read yet. */
+    /** The records of jobs whose list of prerequisites is stored separately and was not read yet. */
     private val unreadLists = LinkedHashMap<JobId, JobRecord>()
 
-    /** The records of the jobs whose list of prerequisites has to be read. */
+    /** The records of the jobs whose list of prerequisites is still to be read. */
     val lists: List<JobRecord> get() = unreadLists.values.toList()
 
-    /** Has the list of prerequisites read that [record] refers to. */
+    /** Schedules a lookup of the list of prerequisites that [record] refers to. */
     fun addList(record: JobRecord) {
         unreadLists[record.spec.id] = record
     }
 
-    /** Ends the lookup of the list of [id]; returns whether there was one. */
+    /** Ends the lookup of the list of prerequisites of the job [id]; returns whether there was one. */
     fun removeList(id: JobId): Boolean = unreadLists.remove(id) != null
 
-    /** Has the final state of [id] looked up, from [now] on. */
+    /** Schedules lookups of the final state of the prerequisite [id], the first one at [now]. */
     fun addPrerequisite(id: JobId, now: MonotonicTime) {
         unresolved[id] = now
     }
 
-    /** Ends the lookup of the final state of [id]. */
+    /** Ends the lookups of the final state of the prerequisite [id]. */
     fun removePrerequisite(id: JobId) {
         unresolved.remove(id)
     }
 
-    /** At most [most] prerequisites to be looked up at [now]; the same are due again after a pause. */
+    /** Returns at most [most] prerequisites whose lookup is due at [now]; they are due again after a pause. */
     fun nextPrerequisites(most: Int, now: MonotonicTime): List<JobId> {
         val due = unresolved.entries.filter { it.value <= now }.take(most).map { it.key }
         for (id in due) unresolved[id] = now + RETRY_MS
--- a/src/main/kotlin/mountmast/coordination/state/PrerequisiteResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/state/PrerequisiteResolver.kt
@@ -10,8 +10,8 @@
 import kotlin.concurrent.withLock
 
 /**
- * Reads from the state service what live jobs name and this leader does not know: final states, and lists of prerequisites that
- * are stored apart. Takes [lock], the lock of the leader's term, which is never held during a call.
+ * Reads, from the state service, final states of prerequisites that this leader does not know, and lists of prerequisites that are
+ * stored separately from the job's record. Takes [lock], the lock of the leader's term, but never holds it during such a read.
  */
 internal class PrerequisiteResolver(
     private val lock: ReentrantLock,
@@ -19,10 +19,10 @@
     private val store: StateStore,
     private val prerequisiteLists: PrerequisiteLists,
     private val clock: Clock,
-    /** Called with the lock held for each final state that was read. */
+    /** Called for each final state that was read, with [lock] held. */
     private val onFinished: (JobId, FinishedJobRecord) -> Unit,
 ) {
-    /** Reads what is due now; until it is read, the jobs that name it wait. Returns how many lists and final states were due. */
+    /** Reads the lists and final states that are due now, and returns how many were due. Jobs that need them wait until they are read. */
     fun resolveDue(): Int = readLists() + readFinalStates()
 
     private fun readLists(): Int {
--- a/src/main/kotlin/mountmast/coordination/state/RecordDecoder.kt
+++ b/src/main/kotlin/mountmast/coordination/state/RecordDecoder.kt
@@ -5,12 +5,12 @@
 import mountmast.protocol.WireJson
 import org.slf4j.LoggerFactory
 
-/** Reads records of the state service; one that cannot be read is logged and left out. */
+/** Decodes records of the state service. A record that cannot be decoded is logged and skipped. */
 object RecordDecoder {
     @PublishedApi
     internal val log = LoggerFactory.getLogger("mountmast.leader")
 
-    /** Returns the record that [key] holds as [value], or null if it cannot be read. */
+    /** Returns the record that is stored as [value] under [key], or null if it cannot be decoded. */
     inline fun <reified T> decode(key: String, value: JsonElement): T? = try {
         WireJson.decodeFromJsonElement<T>(value)
     } catch (e: IllegalArgumentException) {
--- a/src/main/kotlin/mountmast/coordination/state/RunStatistics.kt
+++ b/src/main/kotlin/mountmast/coordination/state/RunStatistics.kt
@@ -2,26 +2,26 @@
 
 import mountmast.protocol.MachineId
 
-/** How long one job's tasks ran, and where they ran slowly. Guarded as its [ClusterState] is. */
+/** The run times of one job's completed tasks, and the machines on which its tasks were slow. Guarded by the lock of the leader's term. */
 class RunStatistics {
-    /** Runs of its completed tasks, stragglers left out. */
+    /** How many of the job's tasks completed, without stragglers. */
     var runs = 0
         private set
 
-    /** Their duration together, in seconds. */
+    /** The total run time of the completed tasks, without stragglers, in seconds. */
     var runSumS = 0.0
         private set
 
-    /** Machines that this job's tasks ran slowly on. */
+    /** The machines on which the job had stragglers. */
     val slowOn = HashSet<MachineId>()
 
-    /** Records that a task completed after [runS] seconds. */
+    /** Records that a task that is not a straggler completed after running for [runS] seconds. */
     internal fun recordRun(runS: Double) {
         runs++
         runSumS += runS
     }
 
-    /** Records that a task ran slowly on [machine]. */
+    /** Records that a task was a straggler on [machine]. */
     internal fun recordSlow(machine: MachineId) {
         slowOn += machine
     }
--- a/src/main/kotlin/mountmast/coordination/state/RunTimeEstimates.kt
+++ b/src/main/kotlin/mountmast/coordination/state/RunTimeEstimates.kt
@@ -3,11 +3,11 @@
 import mountmast.protocol.TeamId
 
 /**
- * Mean run time of each team's tasks, recent ones counting more, for jobs without an estimate by their owner. Guarded as its
- * [ClusterState] is.
+ * Estimates the run time of tasks: by the owner's estimate for their job, or else by the exponentially weighted mean run time of
+ * their team's tasks. Guarded by the lock of the leader's term.
  */
 class RunTimeEstimates(
-    /** The weight of the mean so far against that of one run more, from 0 to 1. */
+    /** The weight of the previous mean when one more run is averaged in, from 0 to 1. */
     private val decay: Double,
 ) {
     private val meanRunS = HashMap<TeamId, Double>()
@@ -17,7 +17,7 @@
         meanRunS.merge(team, runS) { old, new -> old * decay + new * (1 - decay) }
     }
 
-    /** The estimate for the whole run of one of the job's tasks, in seconds. */
+    /** The estimated run time of one task of [job], from start to end, in seconds. */
     fun estimateS(job: Job): Double = if (job.spec.estimateS > 0) job.spec.estimateS else meanRunS[job.spec.team] ?: UNKNOWN_RUN_S
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/state/StartDelivery.kt
+++ b/src/main/kotlin/mountmast/coordination/state/StartDelivery.kt
@@ -2,32 +2,35 @@
 
 import mountmast.protocol.HeartbeatSequence
 
-/** Which messages to the worker carry an assignment's start and are not known to be executed. Guarded as its [ClusterState] is. */
+/**
+ * The messages to the worker that carry an assignment's start command and are not known to be executed. Guarded by the lock of the
+ * leader's term.
+ */
 class StartDelivery {
-    /** Direct requests with the start that wait for their answer. */
+    /** How many direct requests with the start command wait for their answer. */
     var inFlight = 0
         private set
 
-    /** The latest heartbeat that was answered with the start; the next heartbeat shows whether that was executed. */
+    /** The latest heartbeat whose answer carries the start command; the next heartbeat shows whether the command was executed. */
     var inHeartbeat: HeartbeatSequence? = null
         private set
 
-    /** Records that the answer to [heartbeat] carries the start. */
+    /** Records that the answer to [heartbeat] carries the start command. */
     fun recordAnswer(heartbeat: HeartbeatSequence) {
         inHeartbeat = heartbeat
     }
 
-    /** Records that a heartbeat shows the start to have been executed. */
+    /** Records that a heartbeat shows that the start command was executed. */
     fun confirm() {
         inHeartbeat = null
     }
 
-    /** Records that a direct request with the start is on its way. */
+    /** Records that a direct request with the start command is being sent. */
     fun beginRequest() {
         inFlight++
     }
 
-    /** Records that a direct request with the start was answered or given up. */
+    /** Records that a direct request with the start command was answered or given up. */
     fun endRequest() {
         inFlight--
     }
--- a/src/main/kotlin/mountmast/coordination/state/TaskAttempt.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TaskAttempt.kt
@@ -2,5 +2,5 @@
 
 import mountmast.protocol.Attempt
 
-/** One attempt of a task, by the name that the worker writes. */
+/** Identifies one attempt of a task by the task's name ([Assignment.taskName]) and the attempt's number. */
 internal data class TaskAttempt(val taskName: String, val attempt: Attempt)
--- a/src/main/kotlin/mountmast/coordination/state/TaskLosses.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TaskLosses.kt
@@ -3,29 +3,29 @@
 import mountmast.transport.Counter
 import mountmast.transport.Metrics
 
-/** Why a task was off its machine without having exited there. */
+/** Why an assignment ended although its task is not known to have exited. */
 enum class LossCause(
-    /** Names the cause in metrics and in the log. */
+    /** The name of the cause in metrics and in the log. */
     val label: String,
 ) {
-    /** The lease of its worker expired. */
+    /** The lease of the task's worker expired. */
     LEASE_EXPIRED("lease_over"),
 
-    /** Its worker began a new incarnation. */
+    /** The task's worker began a new incarnation. */
     NEW_INCARNATION("new_session"),
 
-    /** Its machine was deleted. */
+    /** The task's machine was deleted. */
     MACHINE_DELETED("machine_deleted"),
 }
 
-/** Counts lost tasks by their cause. Thread-safe. */
+/** Counts lost tasks by the cause of the loss. Thread-safe. */
 class TaskLosses(metrics: Metrics = Metrics()) {
     private val counters: Map<LossCause, Counter> =
         LossCause.entries.associateWith { metrics.counter("tasks_lost_${it.label}") }
 
-    /** Counts one more task that was lost for this [cause]. */
+    /** Counts one more task that was lost by [cause]. */
     fun record(cause: LossCause) = counters.getValue(cause).add()
 
-    /** How many were lost for this [cause] so far. */
+    /** How many tasks were lost by [cause] since the process started. */
     fun of(cause: LossCause): Long = counters.getValue(cause).value
 }
--- a/src/main/kotlin/mountmast/coordination/state/TaskProgress.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TaskProgress.kt
@@ -2,7 +2,7 @@
 
 import java.util.BitSet
 
-/** Which of a job's tasks are done and which may be placed. Guarded as its [ClusterState] is. */
+/** Which of a job's tasks are done and which may be placed. Guarded by the lock of the leader's term. */
 internal class TaskProgress(private val tasks: Int) {
     /** Tasks whose completion is known. */
     val done = BitSet()
@@ -14,7 +14,7 @@
     var doneCount = 0
         private set
 
-    /** The first [count] open tasks. */
+    /** The indices of the first [count] open tasks; there must be as many. */
     fun firstOpen(count: Int): IntArray {
         var index = -1
         return IntArray(count) {
--- a/src/main/kotlin/mountmast/coordination/state/TeamUsage.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TeamUsage.kt
@@ -3,11 +3,11 @@
 import mountmast.protocol.Resources
 import mountmast.protocol.TeamId
 
-/** What the tasks of each team that may be on a machine take. Guarded as its [ClusterState] is. */
+/** The resources of each team's assignments that are not released. Guarded by the lock of the leader's term. */
 internal class TeamUsage {
     private val used = HashMap<TeamId, Resources>()
 
-    /** What the tasks of [team] take now. */
+    /** The resources that the assignments of [team] take now. */
     fun of(team: TeamId): Resources = used[team] ?: Resources.NONE
 
     fun add(team: TeamId, resources: Resources) {
--- a/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
@@ -5,13 +5,13 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-/** Wakes the threads that write the journal and that run scheduling cycles. Its conditions are those of the leader's [lock]. */
+/** Wakes the threads that write the journal and that run scheduling cycles. [lock] is the lock of the leader's term. */
 class TermSignals(private val lock: ReentrantLock) {
     private val writable: Condition = lock.newCondition()
     private val placeable: Condition = lock.newCondition()
     private var isCycleRequested = false
 
-    /** Requests a scheduling cycle soon; the caller holds the lock. */
+    /** Requests a scheduling cycle and wakes the thread that runs it; the caller holds the lock. */
     fun requestSchedulingCycle() {
         isCycleRequested = true
         placeable.signalAll()
@@ -20,17 +20,17 @@
     /** Wakes the thread that writes the journal; the caller holds the lock. */
     fun wakeWriter() = writable.signalAll()
 
-    /** A scheduling cycle begins, which answers all requests so far; the caller holds the lock. */
+    /** Records that a scheduling cycle begins, which meets all earlier requests; the caller holds the lock. */
     fun beginCycle() {
         isCycleRequested = false
     }
 
-    /** Waits until a scheduling cycle is requested, at most [ms] milliseconds; takes the lock. */
+    /** Waits until a scheduling cycle is requested, for at most [ms] milliseconds; takes the lock. */
     fun awaitCycleRequest(ms: Long) {
         lock.withLock { if (!isCycleRequested) placeable.await(ms, TimeUnit.MILLISECONDS) }
     }
 
-    /** Waits until there is something to write, at most [ms] milliseconds; takes the lock. */
+    /** Waits until [wakeWriter] is called, for at most [ms] milliseconds; takes the lock. */
     fun awaitWritable(ms: Long) {
         lock.withLock { writable.await(ms, TimeUnit.MILLISECONDS) }
     }
--- a/src/main/kotlin/mountmast/coordination/state/UnassignedTask.kt
+++ b/src/main/kotlin/mountmast/coordination/state/UnassignedTask.kt
@@ -2,13 +2,13 @@
 
 import mountmast.protocol.Attempt
 
-/** A task that a worker's heartbeat lists and that the cluster state has no assignment for. Immutable. */
+/** An attempt that a worker's heartbeat lists and for which the cluster state has no assignment. Immutable. */
 class UnassignedTask(
-    /** The task's name as the worker writes it. */
+    /** The task's name as the worker reports it, in the form of [Assignment.taskName]. */
     val taskName: String,
     val attempt: Attempt,
-    /** Whether the attempt has ended; the worker lists it until it is told to forget it. */
+    /** Whether the attempt has exited. The worker lists an exited attempt until it receives a `forget` command for it. */
     val exited: Boolean,
-    /** Whether it ended by completing. */
+    /** Whether the attempt exited because the task completed. */
     val completed: Boolean,
 )
--- a/src/main/kotlin/mountmast/coordination/state/UnmetDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/UnmetDependencies.kt
@@ -3,27 +3,27 @@
 import mountmast.protocol.JobId
 import mountmast.protocol.WallTime
 
-/** What one job still waits for before any of its tasks may start. Guarded as its [ClusterState] is. */
+/** The prerequisites that one job waits for before any of its tasks may start. Guarded by the lock of the leader's term. */
 class UnmetDependencies {
     private val openIds = LinkedHashSet<JobId>()
 
     /** The prerequisites that are not known to be done. */
     val open: Set<JobId> get() = openIds
 
-    /** False until a list of prerequisites that is stored apart from the job's record has been read. */
+    /** Whether the job's prerequisites are known; false until a list that is stored separately from the job's record has been read. */
     var isListKnown = true
         private set
 
-    /** When the last prerequisite so far was done, by its record; null if no record says so. */
+    /** The latest time at which a prerequisite was done, according to the records; null if no record tells a time. */
     var lastDoneAt: WallTime? = null
         private set
 
-    /** Records that the list of prerequisites is stored apart and has not been read. */
+    /** Records that the list of prerequisites is stored separately and has not been read. */
     internal fun awaitList() {
         isListKnown = false
     }
 
-    /** Records that the list of prerequisites is known; [addOpen] and [recordDone] say of each one whether it is done. */
+    /** Records that the list of prerequisites is known. The caller adds each prerequisite by [addOpen] or [recordDone]. */
     internal fun markListKnown() {
         isListKnown = true
     }
@@ -33,7 +33,7 @@
         openIds += id
     }
 
-    /** Records that the prerequisite [id] was done at [at], which records of earlier versions do not say. */
+    /** Records that the prerequisite [id] was done at [at], which is null if an earlier version wrote the record. */
     internal fun recordDone(id: JobId, at: WallTime?) {
         openIds -= id
         if (at != null) lastDoneAt = maxOf(at, lastDoneAt ?: at)
--- a/src/main/kotlin/mountmast/coordination/state/WorkerStatus.kt
+++ b/src/main/kotlin/mountmast/coordination/state/WorkerStatus.kt
@@ -4,9 +4,9 @@
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.WorkerIncarnation
 
-/** What the heartbeats of one machine's worker say, and what was answered to them. Guarded as its [ClusterState] is. */
+/** The contents of the heartbeats of one machine's worker, and the answers that they got. Guarded by the lock of the leader's term. */
 class WorkerStatus {
-    /** Where commands are sent, or null before it is known. */
+    /** The address to which commands for the worker are sent, or null before it is known. */
     var address: String? = null
         private set
 
@@ -14,48 +14,48 @@
     var incarnation: WorkerIncarnation? = null
         private set
 
-    /** When the incarnation became known. */
+    /** When this leader learned of the worker's incarnation. */
     var incarnationSince = MonotonicTime(0)
         private set
 
-    /** The latest heartbeat of the incarnation that was reconciled. */
+    /** The sequence number of the latest heartbeat that was reconciled with the cluster state. */
     var sequence = HeartbeatSequence(0u)
         private set
 
-    /** When a heartbeat last arrived, by itself or as the answer to a command. */
+    /** When a heartbeat last arrived, unsolicited or in the answer to a command. */
     var lastContactAt = MonotonicTime(0)
         private set
 
-    /** When a heartbeat last arrived by itself: a worker that only answers commands receives no answers to its heartbeats. */
+    /** When an unsolicited heartbeat last arrived. A worker that only answers commands receives no answers to its heartbeats. */
     var lastHeartbeatAt = MonotonicTime(0)
         private set
 
-    /** The highest heartbeat of this incarnation that was answered as such, and not as the answer to a command. */
+    /** The sequence number of the latest heartbeat of this incarnation that got an answer, which excludes those in answers to commands. */
     var answeredHeartbeatSequence = HeartbeatSequence(0u)
         private set
 
-    /** The heartbeat of this incarnation that this leader answered last, if any. */
+    /** The sequence number of the heartbeat of this incarnation that this leader answered last, or null if it answered none. */
     var answeredSequence: HeartbeatSequence? = null
         private set
 
-    /** When a heartbeat was last answered, or the incarnation became known: the worker's lease runs from then at the latest. */
+    /** When a heartbeat was last answered or the incarnation became known. The worker's lease was renewed no later than that. */
     var leaseRenewedAt = MonotonicTime(0)
         private set
 
     /**
-     * Whether the worker has shown the current leader's term: from then on it refuses what earlier leaders say, and its heartbeats
-     * are no copies from before this term, which might be of a machine long gone.
+     * Whether a heartbeat of the worker has shown the current leader's term. From then on the worker refuses messages of earlier
+     * leaders, and its heartbeats are known not to be late copies from before this term, which a deleted machine may have sent.
      */
     var hasShownCurrentTerm = false
         private set
 
-    /** Tasks in the last heartbeat that the cluster state has no assignment for. */
+    /** The attempts in the last heartbeat for which the cluster state has no assignment. */
     var unassignedTasks = emptyList<UnassignedTask>()
         private set
 
     /**
-     * Begins [next] as of [now]. An incarnation that nobody has answered yet holds a full lease from its beginning, which may have
-     * been just now.
+     * Begins the incarnation [next] at [now]. A new incarnation holds a full lease from its start even before any answer, and it may
+     * have started just before [now].
      */
     internal fun beginIncarnation(next: WorkerIncarnation, now: MonotonicTime) {
         incarnation = next
@@ -65,14 +65,14 @@
         leaseRenewedAt = now
     }
 
-    /** Records the arrival of the heartbeat [received], sent by itself or as the answer to a command, from a worker at [from]. */
+    /** Records that the heartbeat [received] arrived at [now], unsolicited or in the answer to a command, from a worker at [from]. */
     fun recordHeartbeat(received: HeartbeatSequence, from: String, now: MonotonicTime) {
         sequence = received
         address = from
         lastContactAt = now
     }
 
-    /** Records that the heartbeat that arrived at [now] was sent by itself, not as the answer to a command. */
+    /** Records that the heartbeat that arrived at [now] was unsolicited, that is, not in the answer to a command. */
     fun recordUnsolicitedHeartbeat(now: MonotonicTime) {
         lastHeartbeatAt = now
     }
@@ -84,28 +84,28 @@
         answeredSequence = answered
     }
 
-    /** Records that a leader before this one may have renewed the worker's lease as late as [at]. */
+    /** Records that an earlier leader may have renewed the worker's lease as late as [at]. */
     fun assumeLeaseRenewal(at: MonotonicTime) {
         leaseRenewedAt = at
     }
 
-    /** Records that a leader before this one may have received a heartbeat, and renewed the lease, as late as [at]. */
+    /** Records that an earlier leader may have received a heartbeat of the worker, and renewed its lease, as late as [at]. */
     fun assumeHeartbeat(at: MonotonicTime) {
         leaseRenewedAt = at
         lastContactAt = at
     }
 
-    /** Records where the cloud says that the worker listens. */
+    /** Records the address of the worker that the cloud lists. */
     fun recordListedAddress(listed: String?) {
         address = listed
     }
 
-    /** Records that the worker has shown the current leader's term. */
+    /** Records that a heartbeat of the worker has shown the current leader's term. */
     fun confirmCurrentTerm() {
         hasShownCurrentTerm = true
     }
 
-    /** Replaces what the heartbeat before listed beside the assignments. */
+    /** Replaces the unassigned tasks by those that the last heartbeat lists. */
     fun replaceUnassignedTasks(tasks: List<UnassignedTask>) {
         unassignedTasks = tasks
     }
