--- a/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -58,7 +58,7 @@
      */
     fun putJob(record: JobRecord, modRevision: ModRevision, now: MonotonicTime, knownUpTo: WallTime = WallTime(0)): Job {
         val job = jobs.getOrPut(record.spec.id) {
-            Job(record.spec, record.submitted, modRevision).apply { recordProgress(now) }
+            Job(record.spec, record.submitted, modRevision).apply { recordReady(now) }
         }
         job.modRevision = modRevision
         if (record.cancelled && !job.isCancellationRecorded) {
--- a/src/main/kotlin/mountmast/coordination/state/ClusterStateText.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterStateText.kt
@@ -5,7 +5,7 @@
 
 /** Writes the tasks and assignments of a [ClusterState] as the text of a snapshot, which has the same form as the journal. */
 internal object ClusterStateText {
-    private const val LONGEST_RANGES = 300
+    private const val MAX_RANGES_LENGTH = 300
 
     /**
      * The tasks and assignments of [jobs] that the store lists now. An assignment that has ended but is still in the store is
@@ -14,7 +14,7 @@
     fun of(jobs: Collection<Job>): String {
         val text = JournalText()
         for (job in jobs) {
-            for (ranges in Ranges.encode(job.done, LONGEST_RANGES)) text.done(job.id, ranges)
+            for (ranges in Ranges.encode(job.done, MAX_RANGES_LENGTH)) text.done(job.id, ranges)
             for (times in job.preemptions.int2IntEntrySet()) text.preemptedBefore("${job.id}/${times.intKey}", times.intValue)
             for (it in job.live.values) if (it.written) text.started(it.taskName, it.machine, it.incarnation, it.attempt, it.zone)
         }
--- a/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
@@ -66,10 +66,10 @@
         tokenOffset = maxOf(tokenOffset, sentWith + 1)
     }
 
-    /** Records that the worker shows the token offset [shown]: from now on it refuses requests with a lower offset. */
-    fun observeTokenOffset(shown: Int) {
-        tokenOffset = maxOf(tokenOffset, shown)
-        unansweredStarts.values.removeIf { it < shown }
+    /** Records that the worker shows the token offset [shownOffset]: from now on it refuses requests with a lower offset. */
+    fun observeTokenOffset(shownOffset: Int) {
+        tokenOffset = maxOf(tokenOffset, shownOffset)
+        unansweredStarts.values.removeIf { it < shownOffset }
     }
 
     /** Forgets all unanswered start commands, since the worker's new incarnation refuses requests for the previous one. */
--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -10,28 +10,28 @@
 
 /** Tells faulty and slow machines from jobs that fail or run long on every machine. Guarded by the lock of the leader's term. */
 class Health(private val cluster: ClusterState) {
-    /** Records that a task of [job] failed on [machine] at [now]. Quarantines the machine after [SICK_STRIKES] failures in a row. */
+    /** Records that a task of [job] failed on [machine] at [now]; quarantines the machine after [QUARANTINE_THRESHOLD] of them in a row. */
     fun failed(machine: Machine, job: Job, now: MonotonicTime) {
         // One failure may be chance, but a faulty machine is always empty and would therefore get one task after the other.
-        machine.health.pausePlacementUntil(now + FAILED_PAUSE_MS)
+        machine.health.pausePlacementUntil(now + FAILURE_PAUSE_MS)
         job.recentFailures.record(machine.id)
         if (job.isPoisoned) {
             backOff(job, now)
             log.info("job={} failed on {} machines; next attempt in {} ms", job.id, job.failedOn.size, job.notBefore - now)
-        } else if (job.doneCount > 0 || job.id !in machine.strikes) {
+        } else if (job.doneCount > 0 || job.id !in machine.consecutiveFailures) {
             // A job without a completed task may fail on every machine, so its failures count only once against this machine.
-            machine.health.addStrike(job.id)
+            machine.health.addFailure(job.id)
         }
-        if (machine.strikes.size >= SICK_STRIKES && !machine.isQuarantined) {
+        if (machine.consecutiveFailures.size >= QUARANTINE_THRESHOLD && !machine.isQuarantined) {
             machine.health.quarantine()
-            log.info("machine={} quarantined: {} tasks failed in a row", machine.id, machine.strikes.size)
+            log.info("machine={} quarantined: {} tasks failed in a row", machine.id, machine.consecutiveFailures.size)
             dropFailuresOn(machine)
         }
     }
 
     private fun backOff(job: Job, now: MonotonicTime) {
-        val doublings = minOf(job.failures - Job.POISON_MACHINES, MAX_DOUBLINGS)
-        job.recentFailures.pausePlacementUntil(now + (POISON_PAUSE_MS shl maxOf(0, doublings)))
+        val doublings = minOf(job.failures - Job.MIN_FAILED_MACHINES, MAX_DOUBLINGS)
+        job.recentFailures.pausePlacementUntil(now + (MIN_BACKOFF_MS shl maxOf(0, doublings)))
     }
 
     /**
@@ -43,7 +43,10 @@
         for (job in cluster.jobs.values) {
             if (failing.size >= most) break
             if (!job.isPoisoned || job.cancelled) continue
-            failing[job.id] = FailingJob(job.failedOn.take(MACHINES_RECORDED), minOf(job.failures, Job.POISON_MACHINES + MAX_DOUBLINGS))
+            failing[job.id] = FailingJob(
+                job.failedOn.take(MAX_RECORDED_MACHINES),
+                minOf(job.failures, Job.MIN_FAILED_MACHINES + MAX_DOUBLINGS),
+            )
         }
         return failing
     }
@@ -71,7 +74,7 @@
         if (isSlow(job, machine.id, runS)) {
             markStraggler(machine, assignment)
         } else if (!assignment.isStraggler) {
-            machine.health.clearSlowStrikes()
+            machine.health.clearStragglers()
         }
         // The run time on a slow machine does not show how long the job's tasks take on other machines.
         if (!assignment.isStraggler) {
@@ -85,29 +88,29 @@
      * [MAX_SLOW_MACHINES] machines is taken to be long, and no further machine counts as slow for it.
      */
     private fun isSlow(job: Job, machine: MachineId, runS: Double): Boolean {
-        if (job.runs < RUNS_TO_COMPARE) return false
-        if (machine !in job.slowOn && job.slowOn.size >= MAX_SLOW_MACHINES) return false
-        return runS > maxOf(job.runSumS / job.runs, job.spec.estimateS) * SLOW_FACTOR + SLOW_EXTRA_S
+        if (job.runCount < MIN_RUNS_TO_COMPARE) return false
+        if (machine !in job.slowMachines && job.slowMachines.size >= MAX_SLOW_MACHINES) return false
+        return runS > maxOf(job.totalRunS / job.runCount, job.spec.estimateS) * SLOW_FACTOR + SLOW_EXTRA_S
     }
 
     private fun markStraggler(machine: Machine, assignment: Assignment) {
         if (assignment.isStraggler) return
         assignment.markStraggler()
-        assignment.job.runStatistics.recordSlow(machine.id)
-        machine.health.addSlowStrike()
-        if (machine.slowStrikes < SICK_STRIKES || machine.isQuarantined) return
+        assignment.job.runStatistics.recordStraggler(machine.id)
+        machine.health.addStraggler()
+        if (machine.consecutiveStragglers < QUARANTINE_THRESHOLD || machine.isQuarantined) return
         machine.health.quarantine()
         log.info(
             "machine={} quarantined: {} tasks in a row ran {} times as long as elsewhere",
             machine.id,
-            machine.slowStrikes,
+            machine.consecutiveStragglers,
             SLOW_FACTOR,
         )
     }
 
     /**
      * Marks the tasks that have run for far longer, at [now], than completed tasks of the same job took on other machines.
-     * Quarantines a machine with [SICK_STRIKES] such tasks in a row.
+     * Quarantines a machine with [QUARANTINE_THRESHOLD] such tasks in a row.
      */
     fun detectStragglers(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
@@ -124,12 +127,12 @@
     }
 
     private companion object {
-        const val FAILED_PAUSE_MS = 2000L
-        const val POISON_PAUSE_MS = 5000L
+        const val FAILURE_PAUSE_MS = 2000L
+        const val MIN_BACKOFF_MS = 5000L
         const val MAX_DOUBLINGS = 4
-        const val MACHINES_RECORDED = 5
-        const val SICK_STRIKES = 2
-        const val RUNS_TO_COMPARE = 2
+        const val MAX_RECORDED_MACHINES = 5
+        const val QUARANTINE_THRESHOLD = 2
+        const val MIN_RUNS_TO_COMPARE = 2
         const val SLOW_FACTOR = 2.5
         const val MAX_SLOW_MACHINES = 2
         const val SLOW_EXTRA_S = 5.0
--- a/src/main/kotlin/mountmast/coordination/state/InheritedPriorities.kt
+++ b/src/main/kotlin/mountmast/coordination/state/InheritedPriorities.kt
@@ -13,7 +13,7 @@
  */
 internal class InheritedPriorities(private val dependents: Map<JobId, Set<Job>>) {
     /** Jobs that lost a dependent and whose inherited priority is not recomputed yet. */
-    private val weakened = LinkedHashSet<Job>()
+    private val stale = LinkedHashSet<Job>()
 
     /** Propagates the requirement of [job] to its direct and indirect prerequisites among the [live] jobs. */
     fun addDependent(job: Job, live: Map<JobId, Job>) {
@@ -37,15 +37,15 @@
     }
 
     /** Makes the next [refresh] recompute the inherited priority of [job], which lost a dependent. */
-    fun markWeakened(job: Job) {
-        weakened += job
+    fun markStale(job: Job) {
+        stale += job
     }
 
     /** Recomputes the inherited priorities of the jobs that lost a dependent, and of their prerequisites among the [live] jobs. */
     fun refresh(live: Map<JobId, Job>) {
-        if (weakened.isEmpty()) return
-        val pending = ArrayDeque(weakened)
-        weakened.clear()
+        if (stale.isEmpty()) return
+        val pending = ArrayDeque(stale)
+        stale.clear()
         while (pending.isNotEmpty()) {
             val job = pending.removeFirst()
             val inheritedPriority = priorityFromDependents(job)
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -99,9 +99,9 @@
 
     /** The run times of the job's completed tasks. */
     val runStatistics = RunStatistics()
-    val runs by runStatistics::runs
-    val runSumS by runStatistics::runSumS
-    val slowOn get() = runStatistics.slowOn
+    val runCount by runStatistics::runCount
+    val totalRunS by runStatistics::totalRunS
+    val slowMachines get() = runStatistics.slowMachines
 
     /** The job's failures since one of its tasks last completed. */
     val recentFailures = JobFailures()
@@ -125,7 +125,7 @@
      * Whether the job fails on every machine. Such a job is backed off and has no claim on its team's guarantee. A job with a defect
      * never completes a task, so if a task has completed, the failures are blamed on the machines.
      */
-    val isPoisoned: Boolean get() = doneCount == 0 && failedOn.size >= POISON_MACHINES
+    val isPoisoned: Boolean get() = doneCount == 0 && failedOn.size >= MIN_FAILED_MACHINES
 
     /** Whether the job is an array job and all of its tasks are done. A service never completes. */
     val isComplete: Boolean get() = spec.shape == Shape.ARRAY && doneCount == spec.tasks
@@ -153,7 +153,7 @@
     }
 
     /** Records that the job became ready to run at [now], since it became known or was released. */
-    fun recordProgress(now: MonotonicTime) {
+    fun recordReady(now: MonotonicTime) {
         lastProgress = now
     }
 
@@ -175,7 +175,7 @@
 
     companion object {
         /** On how many machines a job must have failed to be blamed itself. A failure on fewer is usually due to a faulty machine. */
-        const val POISON_MACHINES = 3
+        const val MIN_FAILED_MACHINES = 3
         private const val MS_PER_S = 1000
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
@@ -108,7 +108,7 @@
         val released = waiting.filter { it.isReleased }
         for (job in released) {
             // The released job waits for free capacity from now on, so stalls are measured from here.
-            job.recordProgress(now)
+            job.recordReady(now)
             log.debug("job={} is released: all of its prerequisites are done", job.id)
         }
         return released
@@ -120,7 +120,7 @@
         for (id in job.unmetDependencies.open) {
             val others = dependents[id] ?: continue
             others -= job
-            cluster.jobs[id]?.let(inheritedPriorities::markWeakened)
+            cluster.jobs[id]?.let(inheritedPriorities::markStale)
             if (others.isNotEmpty()) continue
             dependents.remove(id)
             lookups.removePrerequisite(id)
--- a/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
@@ -81,13 +81,13 @@
     }
 
     /**
-     * Applies the records of all live jobs, read at [revision] or later by a request that was sent at [asked] (time of day:
-     * [askedWall]); the caller holds the lock.
+     * Applies the records of all live jobs, read at [revision] or later by a request that was sent at [requestedAt] (time of day:
+     * [requestedWall]); the caller holds the lock.
      */
-    fun applyAll(entries: List<Entry>, revision: Revision, asked: MonotonicTime, askedWall: WallTime) {
+    fun applyAll(entries: List<Entry>, revision: Revision, requestedAt: MonotonicTime, requestedWall: WallTime) {
         for (entry in entries) RecordDecoder.decode<JobRecord>(entry.key, entry.value)?.let { applyRecord(it, entry.modRevision) }
         watchFrom = revision
-        knownUpTo = Moment(asked, askedWall)
+        knownUpTo = Moment(requestedAt, requestedWall)
     }
 
     /** Applies the record of a live job at [modRevision]; the caller holds the lock. */
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -66,8 +66,8 @@
     val isListedFailed by rental::isListedFailed
     val isListedRunning by rental::isListedRunning
 
-    val strikes get() = health.strikes
-    val slowStrikes by health::slowStrikes
+    val consecutiveFailures get() = health.consecutiveFailures
+    val consecutiveStragglers by health::consecutiveStragglers
     val isQuarantined by health::isQuarantined
     val notBefore by health::notBefore
 
--- a/src/main/kotlin/mountmast/coordination/state/MachineHealth.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineHealth.kt
@@ -6,10 +6,10 @@
 /** The task failures and the stragglers on one machine, and its quarantine. Guarded by the lock of the leader's term. */
 class MachineHealth {
     /** The jobs of the tasks that failed on this machine since a task last completed on it, one entry for each counted failure. */
-    val strikes = ArrayList<JobId>()
+    val consecutiveFailures = ArrayList<JobId>()
 
     /** How many tasks in a row took far longer on this machine than other tasks of their jobs on other machines. */
-    var slowStrikes = 0
+    var consecutiveStragglers = 0
         private set
 
     /** Whether the machine is quarantined: it gets no more tasks and is returned to the cloud once it is empty. */
@@ -26,21 +26,21 @@
     }
 
     /** Counts a failure of a task of [job] on this machine. */
-    internal fun addStrike(job: JobId) {
-        strikes += job
+    internal fun addFailure(job: JobId) {
+        consecutiveFailures += job
     }
 
     /** Forgets the failures, since a task completed on this machine and only consecutive failures count. */
-    fun clearStrikes() = strikes.clear()
+    fun clearStrikes() = consecutiveFailures.clear()
 
     /** Counts a task that took far longer on this machine than on others. */
-    internal fun addSlowStrike() {
-        slowStrikes++
+    internal fun addStraggler() {
+        consecutiveStragglers++
     }
 
     /** Forgets the stragglers, since a task took no longer on this machine than on others. */
-    internal fun clearSlowStrikes() {
-        slowStrikes = 0
+    internal fun clearStragglers() {
+        consecutiveStragglers = 0
     }
 
     /** Quarantines the machine; this is never undone. */
--- a/src/main/kotlin/mountmast/coordination/state/PrerequisiteLookups.kt
+++ b/src/main/kotlin/mountmast/coordination/state/PrerequisiteLookups.kt
@@ -39,11 +39,11 @@
     /** Returns at most [most] prerequisites whose lookup is due at [now]; they are due again after a pause. */
     fun nextPrerequisites(most: Int, now: MonotonicTime): List<JobId> {
         val due = unresolved.entries.filter { it.value <= now }.take(most).map { it.key }
-        for (id in due) unresolved[id] = now + RETRY_MS
+        for (id in due) unresolved[id] = now + RETRY_INTERVAL_MS
         return due
     }
 
     private companion object {
-        const val RETRY_MS = 1000L
+        const val RETRY_INTERVAL_MS = 1000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/RunStatistics.kt
+++ b/src/main/kotlin/mountmast/coordination/state/RunStatistics.kt
@@ -5,24 +5,24 @@
 /** The run times of one job's completed tasks, and the machines on which its tasks were slow. Guarded by the lock of the leader's term. */
 class RunStatistics {
     /** How many of the job's tasks completed, without stragglers. */
-    var runs = 0
+    var runCount = 0
         private set
 
     /** The total run time of the completed tasks, without stragglers, in seconds. */
-    var runSumS = 0.0
+    var totalRunS = 0.0
         private set
 
     /** The machines on which the job had stragglers. */
-    val slowOn = HashSet<MachineId>()
+    val slowMachines = HashSet<MachineId>()
 
     /** Records that a task that is not a straggler completed after running for [runS] seconds. */
     internal fun recordRun(runS: Double) {
-        runs++
-        runSumS += runS
+        runCount++
+        totalRunS += runS
     }
 
     /** Records that a task was a straggler on [machine]. */
-    internal fun recordSlow(machine: MachineId) {
-        slowOn += machine
+    internal fun recordStraggler(machine: MachineId) {
+        slowMachines += machine
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/RunTimeEstimates.kt
+++ b/src/main/kotlin/mountmast/coordination/state/RunTimeEstimates.kt
@@ -18,9 +18,9 @@
     }
 
     /** The estimated run time of one task of [job], from start to end, in seconds. */
-    fun estimateS(job: Job): Double = if (job.spec.estimateS > 0) job.spec.estimateS else meanRunS[job.spec.team] ?: UNKNOWN_RUN_S
+    fun estimateS(job: Job): Double = if (job.spec.estimateS > 0) job.spec.estimateS else meanRunS[job.spec.team] ?: DEFAULT_RUN_S
 
     private companion object {
-        const val UNKNOWN_RUN_S = 60.0
+        const val DEFAULT_RUN_S = 60.0
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
@@ -7,18 +7,18 @@
 
 /** Wakes the threads that write the journal and that run scheduling cycles. [lock] is the lock of the leader's term. */
 class TermSignals(private val lock: ReentrantLock) {
-    private val writable: Condition = lock.newCondition()
-    private val placeable: Condition = lock.newCondition()
+    private val writerCondition: Condition = lock.newCondition()
+    private val cycleCondition: Condition = lock.newCondition()
     private var isCycleRequested = false
 
     /** Requests a scheduling cycle and wakes the thread that runs it; the caller holds the lock. */
     fun requestSchedulingCycle() {
         isCycleRequested = true
-        placeable.signalAll()
+        cycleCondition.signalAll()
     }
 
     /** Wakes the thread that writes the journal; the caller holds the lock. */
-    fun wakeWriter() = writable.signalAll()
+    fun wakeWriter() = writerCondition.signalAll()
 
     /** Records that a scheduling cycle begins, which meets all earlier requests; the caller holds the lock. */
     fun beginCycle() {
@@ -27,11 +27,11 @@
 
     /** Waits until a scheduling cycle is requested, for at most [ms] milliseconds; takes the lock. */
     fun awaitCycleRequest(ms: Long) {
-        lock.withLock { if (!isCycleRequested) placeable.await(ms, TimeUnit.MILLISECONDS) }
+        lock.withLock { if (!isCycleRequested) cycleCondition.await(ms, TimeUnit.MILLISECONDS) }
     }
 
     /** Waits until [wakeWriter] is called, for at most [ms] milliseconds; takes the lock. */
     fun awaitWritable(ms: Long) {
-        lock.withLock { writable.await(ms, TimeUnit.MILLISECONDS) }
+        lock.withLock { writerCondition.await(ms, TimeUnit.MILLISECONDS) }
     }
 }
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -79,12 +79,13 @@
         cluster.assignments.release(assignment, MonotonicTime(200))
         assertEquals(0.0, cluster.assignments.usageOf(spec.team).cpus)
         assertTrue(job.open.get(0))
-        assertTrue(place(0, "vm-1", 300).attempt > assignment.attempt, "attempts are never reused")
+        assertTrue(place(0, "vm-1", 300).attempt > assignment.attempt, "an attempt number was reused")
     }
 
     @Test
     fun `a new incarnation ends the tasks of the one before and has a lease of its own`() {
-        // A worker once showed its next incarnation in the answer to a direct command, and its lease was expired too early.
+        // A worker's next incarnation may first appear in its answer to a direct command. Once, the lease of such an incarnation was
+        // declared expired too early.
         heartbeat("vm-1", 0)
         val assignment = place(0, "vm-1", 0)
         heartbeat("vm-1", 50_000, incarnation = 2u)
@@ -125,22 +126,23 @@
         assertTrue(job.isPoisoned)
         assertTrue(job.notBefore > MonotonicTime(4000))
         assertTrue(cluster.machines.values.none { it.isQuarantined })
-        assertTrue(cluster.machines.getValue(MachineId("vm-4")).strikes.isEmpty())
+        assertTrue(cluster.machines.getValue(MachineId("vm-4")).consecutiveFailures.isEmpty())
     }
 
     @Test
     fun `to a leader just elected a late copy of a heartbeat proves nothing`() {
-        // It has received no heartbeat yet, so it cannot tell a copy from news: nothing may depend on which one it is.
+        // A newly elected leader has received no heartbeat yet, so it cannot tell a late copy from a new heartbeat and must not act on
+        // the difference.
         val replay = JournalReplay(cluster, MonotonicTime(0))
         replay.started(TaskId(spec.id, 3), MachineId("vm-7"), WorkerIncarnation(3u), Attempt(9u), Zone("a"))
         assertTrue(heartbeat("vm-7", 100, incarnation = 2u))
         val assignment = job.live.get(3)
         assertEquals(Phase.COMMITTED, assignment.phase, "a copy from an older incarnation ended a newer one's task")
         val machine = cluster.machines.getValue(MachineId("vm-7"))
-        assertFalse(machine.isUsable(MonotonicTime(200)), "a machine that may be long gone would get work")
+        assertFalse(machine.isUsable(MonotonicTime(200)), "a machine that may have been deleted long ago would get tasks")
         assertTrue(heartbeat("vm-7", 300, assignment.shown(TaskState.RUNNING), incarnation = 3u))
         assertEquals(Phase.COMMITTED, assignment.phase)
-        assertFalse(heartbeat("vm-7", 400, incarnation = 2u), "a copy is no news once a heartbeat has arrived")
+        assertFalse(heartbeat("vm-7", 400, incarnation = 2u), "a late copy was applied although a newer heartbeat had arrived")
         assertEquals(WorkerIncarnation(3u), machine.incarnation)
     }
 
@@ -161,6 +163,6 @@
         }
         assertEquals(3, cluster.machines.values.count { it.isQuarantined })
         assertFalse(job.isPoisoned)
-        assertTrue(job.notBefore <= MonotonicTime(0), "still backed off for the failures of a sick machine")
+        assertTrue(job.notBefore <= MonotonicTime(0), "the job is still backed off for failures on a faulty machine")
     }
 }
--- a/src/test/kotlin/mountmast/coordination/state/InvariantsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/InvariantsTest.kt
@@ -12,7 +12,7 @@
     fun `a violation is counted and logged, and the caller learns of it`() {
         val metrics = Metrics()
         val invariants = Invariants(metrics)
-        assertTrue(invariants.check(true) { throw AssertionError("asked for nothing") })
+        assertTrue(invariants.check(true) { throw AssertionError("the message was built although the condition is met") })
         assertEquals(0, invariants.violationCount)
         assertFalse(invariants.check(false) { "broken" })
         assertEquals(1, invariants.violationCount)
