--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
@@ -31,7 +31,7 @@
         machine.isListedFailed -> ScaleInReason.LISTED_AS_FAILED
         machine.state == MachineState.EXPIRED -> ScaleInReason.LEASE_EXPIRED
         machine.isQuarantined -> ScaleInReason.QUARANTINED
-        machine.unreachedSince != null -> ScaleInReason.UNREACHABLE
+        machine.unreachableSince != null -> ScaleInReason.UNREACHABLE
         machine.state == MachineState.BOOTING -> ScaleInReason.BOOT_TIMEOUT
         machine.isReclaimNoticed -> ScaleInReason.RECLAIMED
         else -> ScaleInReason.IDLE
@@ -59,7 +59,7 @@
 
     /** Its tasks are free once it is deleted; but if most workers are unreachable, the fault is not the machines'. */
     private fun isUnreachableForGood(machine: Machine, now: MonotonicTime): Boolean {
-        val since = machine.unreachedSince ?: return false
+        val since = machine.unreachableSince ?: return false
         return now - since > context.unreachableTimeoutMs && !context.areMostUnreached()
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -125,7 +125,7 @@
         for (assignment in machine.live.values) {
             val isStopping = assignment.terminationGraceS != null
             if (isStopping || assignment.phase != Phase.COMMITTED || !mustLeave(assignment)) continue
-            assignment.drain()
+            assignment.stopGracefully()
             dispatch.queue(machine.id)
         }
     }
@@ -133,7 +133,7 @@
     private fun releaseReservations(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
             val state = cluster.jobs[machine.reservedFor ?: continue]
-            val needsMachine = state != null && !state.cancelled && state.openCount > 0
+            val needsMachine = state != null && !state.isCancelled && state.openCount > 0
             if (!needsMachine || now > machine.reservedUntil) machine.releaseReservation()
         }
     }
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -42,7 +42,7 @@
         var usedInCycle = 0L
 
         fun isCurrent(machine: Machine, type: MachineType) =
-            this.machine === machine && changes == machine.changes && view.type === type && !view.isModifiedByPlan
+            this.machine === machine && changes == machine.changeCount && view.type === type && !view.isModifiedByPlan
     }
 
     private val cachedViews = LinkedHashMap<MachineId, CachedView>()
@@ -55,7 +55,7 @@
         val jobs = ArrayList<JobView>(cluster.jobs.size)
         // What waits for other jobs is no demand yet, whatever it has been promised.
         dependencies.refreshInheritedPriorities()
-        for (job in cluster.jobs.values) if (!job.cancelled && job.isReleased) jobs += view(job, now)
+        for (job in cluster.jobs.values) if (!job.isCancelled && job.isReleased) jobs += view(job, now)
         return ClusterSnapshot(machines, jobs, teams.keys.associateWith { cluster.assignments.usageOf(it) }, teams, assurance, index)
     }
 
@@ -78,7 +78,7 @@
         var cached = cachedViews[machine.id]
         if (cached == null || !cached.isCurrent(machine, type)) {
             cached?.let { index.remove(it.view) }
-            cached = CachedView(machine, machine.changes, view(machine, type, zone))
+            cached = CachedView(machine, machine.changeCount, view(machine, type, zone))
             cachedViews[machine.id] = cached
             index.add(cached.view)
         } else {
@@ -133,7 +133,7 @@
         }
         val tasks = JobTasks(job.openCount, job.spec.tasks - job.doneCount, job.live.size, perZone) { count -> job.firstOpen(count) }
         val jobTiming = JobTiming(job.waitingFrom, runS, untilDueS(job) - runS, (now - job.lastProgress) / 1000.0)
-        return JobView(job.schedulingSpec, tasks, jobTiming, job.failedOn, job.isPoisoned, now >= job.notBefore)
+        return JobView(job.schedulingSpec, tasks, jobTiming, job.failedMachines, job.isPoisoned, now >= job.notBefore)
     }
 
     private fun untilDueS(job: Job): Double = untilS(job.effectiveDue)
--- a/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
@@ -13,7 +13,7 @@
     /** Logs each job whose deadline has passed, once; [untilDueS] tells the seconds left. */
     fun logLateJobs(untilDueS: (Job) -> Double) {
         for (job in cluster.jobs.values) {
-            if (job.isReportedLate || job.cancelled || untilDueS(job) >= 0) continue
+            if (job.isReportedLate || job.isCancelled || untilDueS(job) >= 0) continue
             job.recordLateReport()
             if (job.isReleased) logLate(job) else logLateDependent(job)
         }
--- a/src/main/kotlin/mountmast/coordination/persistence/CommittedBatchApplier.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CommittedBatchApplier.kt
@@ -28,7 +28,7 @@
         writers.onCommitted(batch, modRevision)
         for (finished in batch.finishedJobs) {
             log.debug("job={} finished", finished.job.id)
-            context.jobs.finished(finished.job, finished.record)
+            context.jobs.removeFinished(finished.job, finished.record)
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
@@ -42,7 +42,7 @@
             val job = context.cluster.jobs[id] ?: return
             when {
                 live != null -> context.jobs.applyRecord(WireJson.decodeFromJsonElement<JobRecord>(live.value), live.modRevision)
-                finished != null -> context.jobs.finished(job, WireJson.decodeFromJsonElement<FinishedJobRecord>(finished.value))
+                finished != null -> context.jobs.removeFinished(job, WireJson.decodeFromJsonElement<FinishedJobRecord>(finished.value))
                 else -> log.error("job={} is missing from the store", id)
             }
         }
--- a/src/main/kotlin/mountmast/coordination/persistence/FailingJobsWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/FailingJobsWriter.kt
@@ -25,7 +25,7 @@
         if (batch.remainingOps <= 0 || now < notBefore) return
         notBefore = now + INTERVAL_MS
         val maxBytes = options.limits.valueBytes
-        val failing = cluster.health.failing(most = maxBytes / BYTES_PER_JOB)
+        val failing = cluster.health.failingJobs(limit = maxBytes / BYTES_PER_JOB)
         if (failing == lastAdded) return
         val value = WireJson.encodeToJsonElement(FailingRecord(failing))
         if (jsonSize(value) > maxBytes) return
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -73,7 +73,7 @@
         return JournalEntries(text.take(), changes)
     }
 
-    private fun isVoid(assignment: Assignment): Boolean = assignment.phase != Phase.INTENDED || assignment.job.cancelled
+    private fun isVoid(assignment: Assignment): Boolean = assignment.phase != Phase.INTENDED || assignment.job.isCancelled
 
     private fun append(change: PendingChange, text: JournalText) {
         when (change) {
@@ -88,8 +88,8 @@
     }
 
     private fun endOf(assignment: Assignment): TaskEnd = when {
-        assignment.completed -> TaskEnd.DONE
-        assignment.preempted -> TaskEnd.PREEMPTED
+        assignment.isCompleted -> TaskEnd.DONE
+        assignment.isPreempted -> TaskEnd.PREEMPTED
         else -> TaskEnd.UNDONE
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
@@ -85,11 +85,11 @@
     }
 
     private fun restoreFailingJobs(entry: Entry) {
-        RecordDecoder.decode<FailingRecord>(entry.key, entry.value)?.let { cluster.health.recall(it.jobs, clock.now()) }
+        RecordDecoder.decode<FailingRecord>(entry.key, entry.value)?.let { cluster.health.restoreFailingJobs(it.jobs, clock.now()) }
     }
 
     private fun restoreImages(record: ImagesRecord) {
-        for ((id, images) in record.images) cluster.recallImages(id, images)
+        for ((id, images) in record.images) cluster.restoreImages(id, images)
     }
 
     /** Returns how many entries could not be read. */
--- a/src/main/kotlin/mountmast/coordination/state/Assignment.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Assignment.kt
@@ -24,7 +24,7 @@
     val taskName = "${job.id}/$index"
 
     /** The task's state in the last heartbeat that listed the attempt; null if no heartbeat has listed it yet. */
-    var reported: TaskState? = null
+    var reportedState: TaskState? = null
         private set
 
     /** When the first heartbeat arrived that reports the attempt as running; null before that. */
@@ -36,11 +36,11 @@
         private set
 
     /** Whether the attempt ended because the task completed. */
-    var completed = false
+    var isCompleted = false
         private set
 
     /** Whether the attempt is stopped, or was stopped, to free its machine for another job. */
-    var preempted = false
+    var isPreempted = false
         private set
 
     /** Whether a journal transaction that lists the attempt as started was sent and has no known outcome yet. */
@@ -48,7 +48,7 @@
         private set
 
     /** Whether a journal transaction that lists the attempt as started was committed. */
-    var written = false
+    var isJournaled = false
         private set
 
     /** Whether the task is a straggler: it takes or took far longer than other tasks of its job on other machines. */
@@ -63,11 +63,11 @@
     /** Records that a heartbeat which arrived at [now] lists the attempt with the state [state]. */
     fun recordReported(state: TaskState, now: MonotonicTime) {
         if (state == TaskState.RUNNING && runningSince == null) runningSince = now
-        reported = state
+        reportedState = state
     }
 
     /** Stops the task after a grace period in which it may save its progress, so that the next attempt continues from there. */
-    fun drain() {
+    fun stopGracefully() {
         terminationGraceS = job.spec.checkpointSaveS
     }
 
@@ -79,7 +79,7 @@
     /** Stops the task to free its machine for another job. A task that is already being stopped keeps its grace period. */
     fun preempt() {
         terminationGraceS = terminationGraceS ?: job.spec.checkpointSaveS
-        preempted = true
+        isPreempted = true
     }
 
     /** Records that the journal transaction that lists the attempt as started is about to be sent. */
@@ -98,14 +98,14 @@
      */
     fun markJournaled() {
         isBeingJournaled = false
-        written = true
+        isJournaled = true
         if (phase == Phase.INTENDED) phase = Phase.COMMITTED
     }
 
     /** Records that the attempt no longer runs on its machine, and whether the task completed. */
-    internal fun markEnded(isCompleted: Boolean) {
+    internal fun markEnded(hasCompleted: Boolean) {
         phase = Phase.ENDED
-        completed = isCompleted
+        isCompleted = hasCompleted
     }
 
     /** Records that the resources of the attempt are free again. */
--- a/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
+++ b/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
@@ -56,7 +56,7 @@
         }
         val assignment = Assignment(job, index, placement, attempt, Phase.COMMITTED)
         assignment.markJournaled()
-        if (job.cancelled) assignment.stopAtOnce()
+        if (job.isCancelled) assignment.stopAtOnce()
         place(assignment, machine)
     }
 
@@ -79,11 +79,11 @@
         val job = assignment.job
         if (completed) {
             cluster.completeTask(job, assignment.index)
-        } else if (assignment.preempted) {
+        } else if (assignment.isPreempted) {
             job.countPreemption(assignment.index)
         }
         // An assignment that no transaction lists is released when its pending start is collected for the journal.
-        if (assignment.written || assignment.isBeingJournaled) cluster.pendingChanges += PendingChange.Ended(assignment)
+        if (assignment.isJournaled || assignment.isBeingJournaled) cluster.pendingChanges += PendingChange.Ended(assignment)
     }
 
     /** Ends the assignments on [machine] that belong to incarnations before [incarnation], or all of them if [incarnation] is null. */
--- a/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -29,7 +29,7 @@
     val types = LinkedHashMap<TypeId, MachineType>()
 
     /** Sizes in GB of the images that the previous leader recorded for machines whose type this leader does not know yet. */
-    val recalledImages = HashMap<MachineId, Map<ImageId, Double>>()
+    val restoredImages = HashMap<MachineId, Map<ImageId, Double>>()
 
     /** Changes of the cluster state that are not in the journal yet, the oldest first. */
     val pendingChanges = ArrayDeque<PendingChange>()
@@ -73,7 +73,7 @@
      * committed before it has an assignment that may still run.
      */
     fun watermark(knownUpTo: WallTime): WallTime =
-        jobs.values.filter { it.cancelled && !it.hasNoLiveAssignments() }.minOfOrNull { it.cancelledAfter }?.let { minOf(it, knownUpTo) }
+        jobs.values.filter { it.isCancelled && !it.hasNoLiveAssignments() }.minOfOrNull { it.cancelledAfter }?.let { minOf(it, knownUpTo) }
             ?: knownUpTo
 
     /** The tasks and assignments that the store lists now, as the text of a snapshot. */
@@ -99,14 +99,14 @@
 
     /** Adds [machine], or replaces its entry that held only the name, and takes over the images recorded for it by the previous leader. */
     fun putMachine(machine: Machine) {
-        recalledImages.remove(machine.id)?.let(machine::recallImages)
+        restoredImages.remove(machine.id)?.let(machine::restoreImages)
         machines[machine.id] = machine
     }
 
     /** Records the images that the previous leader recorded for the machine [id]; they are kept until its type is known. */
-    fun recallImages(id: MachineId, images: Map<ImageId, Double>) {
+    fun restoreImages(id: MachineId, images: Map<ImageId, Double>) {
         val machine = machines[id]
-        if (machine?.type != null) machine.recallImages(images) else recalledImages[id] = images
+        if (machine?.type != null) machine.restoreImages(images) else restoredImages[id] = images
     }
 
     /** Records that the cloud has deleted the machine [id]. Its assignments end, and the machine is removed once they are released. */
--- a/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
@@ -49,9 +49,9 @@
         notBefore = until
     }
 
-    /** Records that the start command of an attempt got no answer, in a request with the token offset [sentWith]. */
-    fun recordUnansweredStart(taskName: String, attempt: Attempt, sentWith: Int) {
-        unansweredStarts[TaskAttempt(taskName, attempt)] = sentWith
+    /** Records that the start command of an attempt got no answer, in a request with the token offset [requestTokenOffset]. */
+    fun recordUnansweredStart(taskName: String, attempt: Attempt, requestTokenOffset: Int) {
+        unansweredStarts[TaskAttempt(taskName, attempt)] = requestTokenOffset
     }
 
     /** Whether the worker may still execute a start command of the attempt that got no answer. */
@@ -62,8 +62,8 @@
      * nothing if there is no such command.
      */
     fun fenceOffStart(taskName: String, attempt: Attempt) {
-        val sentWith = unansweredStarts[TaskAttempt(taskName, attempt)] ?: return
-        tokenOffset = maxOf(tokenOffset, sentWith + 1)
+        val requestTokenOffset = unansweredStarts[TaskAttempt(taskName, attempt)] ?: return
+        tokenOffset = maxOf(tokenOffset, requestTokenOffset + 1)
     }
 
     /** Records that the worker shows the token offset [shownOffset]: from now on it refuses requests with a lower offset. */
--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -11,13 +11,13 @@
 /** Tells faulty and slow machines from jobs that fail or run long on every machine. Guarded by the lock of the leader's term. */
 class Health(private val cluster: ClusterState) {
     /** Records that a task of [job] failed on [machine] at [now]; quarantines the machine after [QUARANTINE_THRESHOLD] of them in a row. */
-    fun failed(machine: Machine, job: Job, now: MonotonicTime) {
+    fun recordFailure(machine: Machine, job: Job, now: MonotonicTime) {
         // One failure may be chance, but a faulty machine is always empty and would therefore get one task after the other.
         machine.health.pausePlacementUntil(now + FAILURE_PAUSE_MS)
         job.recentFailures.record(machine.id)
         if (job.isPoisoned) {
             backOff(job, now)
-            log.info("job={} failed on {} machines; next attempt in {} ms", job.id, job.failedOn.size, job.notBefore - now)
+            log.info("job={} failed on {} machines; next attempt in {} ms", job.id, job.failedMachines.size, job.notBefore - now)
         } else if (job.doneCount > 0 || job.id !in machine.consecutiveFailures) {
             // A job without a completed task may fail on every machine, so its failures count only once against this machine.
             machine.health.addFailure(job.id)
@@ -35,27 +35,27 @@
     }
 
     /**
-     * The jobs that fail on every machine, at most [most] of them. They are stored for the next leader, which would otherwise start
-     * all of their tasks at once. Holds only as much as [recall] needs, so that the stored record soon stops changing.
+     * The jobs that fail on every machine, at most [limit] of them. They are stored for the next leader, which would otherwise start
+     * all of their tasks at once. Holds only as much as [restoreFailingJobs] needs, so that the stored record soon stops changing.
      */
-    fun failing(most: Int): Map<JobId, FailingJob> {
+    fun failingJobs(limit: Int): Map<JobId, FailingJob> {
         val failing = LinkedHashMap<JobId, FailingJob>()
         for (job in cluster.jobs.values) {
-            if (failing.size >= most) break
-            if (!job.isPoisoned || job.cancelled) continue
+            if (failing.size >= limit) break
+            if (!job.isPoisoned || job.isCancelled) continue
             failing[job.id] = FailingJob(
-                job.failedOn.take(MAX_RECORDED_MACHINES),
+                job.failedMachines.take(MAX_RECORDED_MACHINES),
                 minOf(job.failures, Job.MIN_FAILED_MACHINES + MAX_DOUBLINGS),
             )
         }
         return failing
     }
 
-    /** Backs off, from [now] on, the jobs that the previous leader recorded by [failing]. Completed tasks must be known already. */
-    fun recall(failing: Map<JobId, FailingJob>, now: MonotonicTime) {
+    /** Backs off, from [now] on, the jobs that the previous leader recorded by [failingJobs]. Completed tasks must be known already. */
+    fun restoreFailingJobs(failing: Map<JobId, FailingJob>, now: MonotonicTime) {
         for ((id, recorded) in failing) {
             val job = cluster.jobs[id] ?: continue
-            job.recentFailures.recall(recorded)
+            job.recentFailures.restore(recorded)
             if (job.isPoisoned) backOff(job, now)
         }
     }
@@ -63,13 +63,13 @@
     /** Removes [machine] from the failures of all jobs: a failure on a faulty machine is no evidence against the job. */
     private fun dropFailuresOn(machine: Machine) {
         for (job in cluster.jobs.values) {
-            if (!job.failedOn.remove(machine.id) || job.isPoisoned) continue
+            if (!job.failedMachines.remove(machine.id) || job.isPoisoned) continue
             job.recentFailures.recount()
         }
     }
 
     /** Records that the task of [assignment] completed on [machine] after running for [runS] seconds. */
-    fun completedIn(machine: Machine, assignment: Assignment, runS: Double) {
+    fun recordCompletion(machine: Machine, assignment: Assignment, runS: Double) {
         val job = assignment.job
         if (isSlow(job, machine.id, runS)) {
             markStraggler(machine, assignment)
--- a/src/main/kotlin/mountmast/coordination/state/ImageCache.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ImageCache.kt
@@ -11,7 +11,7 @@
     val images = LinkedHashMap<ImageId, Double>()
 
     /** Adds the images that the previous leader recorded, except those that are known already. */
-    fun recall(known: Map<ImageId, Double>) {
+    fun restore(known: Map<ImageId, Double>) {
         for ((image, sizeGb) in known) images.putIfAbsent(image, sizeGb)
     }
 
--- a/src/main/kotlin/mountmast/coordination/state/InheritedPriorities.kt
+++ b/src/main/kotlin/mountmast/coordination/state/InheritedPriorities.kt
@@ -56,7 +56,7 @@
     }
 
     private fun priorityFromDependents(job: Job): InheritedPriority = dependents[job.id].orEmpty()
-        .filter { !it.cancelled }
+        .filter { !it.isCancelled }
         .fold(InheritedPriority.NONE) { priority, dependent -> priority.tightenedBy(requirementOf(dependent)) }
 
     /** What [job] requires of its prerequisites: its urgency, and to be done one estimated run of [job] before [job] is due. */
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -23,7 +23,7 @@
     val perTask: Resources = spec.perTask
 
     /** Whether the job is cancelled, according to its record or to a broadcast of another node. */
-    var cancelled = false
+    var isCancelled = false
         private set
 
     /** Whether the job's record in the store says that it is cancelled. Another node's broadcast may arrive before that record is read. */
@@ -39,8 +39,8 @@
      * or only a broadcast. The cancellation was committed no earlier than [after].
      */
     fun cancel(after: WallTime, recorded: Boolean) {
-        if (!cancelled) {
-            cancelled = true
+        if (!isCancelled) {
+            isCancelled = true
             cancelledAfter = after
             // The results of a cancelled job are not needed, so its tasks get no time to save their progress.
             for (assignment in live.values) assignment.stopAtOnce()
@@ -105,7 +105,7 @@
 
     /** The job's failures since one of its tasks last completed. */
     val recentFailures = JobFailures()
-    val failedOn get() = recentFailures.machines
+    val failedMachines get() = recentFailures.machines
     val failures by recentFailures::count
     val notBefore by recentFailures::notBefore
 
@@ -125,7 +125,7 @@
      * Whether the job fails on every machine. Such a job is backed off and has no claim on its team's guarantee. A job with a defect
      * never completes a task, so if a task has completed, the failures are blamed on the machines.
      */
-    val isPoisoned: Boolean get() = doneCount == 0 && failedOn.size >= MIN_FAILED_MACHINES
+    val isPoisoned: Boolean get() = doneCount == 0 && failedMachines.size >= MIN_FAILED_MACHINES
 
     /** Whether the job is an array job and all of its tasks are done. A service never completes. */
     val isComplete: Boolean get() = spec.shape == Shape.ARRAY && doneCount == spec.tasks
--- a/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
@@ -130,6 +130,6 @@
     /** Recomputes the inherited urgencies and due times of the jobs that lost a dependent. */
     fun refreshInheritedPriorities() = inheritedPriorities.refresh(cluster.jobs)
 
-    /** Returns at most [most] prerequisites whose final state is to be looked up at [now]; they are due again after a pause. */
-    internal fun nextUnresolved(most: Int, now: MonotonicTime): List<JobId> = lookups.nextPrerequisites(most, now)
+    /** Returns at most [limit] prerequisites whose final state is to be looked up at [now]; they are due again after a pause. */
+    internal fun nextUnresolved(limit: Int, now: MonotonicTime): List<JobId> = lookups.nextPrerequisites(limit, now)
 }
--- a/src/main/kotlin/mountmast/coordination/state/JobFailures.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobFailures.kt
@@ -24,7 +24,7 @@
     }
 
     /** Adds the failures that the previous leader recorded. */
-    internal fun recall(recorded: FailingJob) {
+    internal fun restore(recorded: FailingJob) {
         machines += recorded.machines
         count = maxOf(count, recorded.failures)
     }
--- a/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
@@ -99,7 +99,7 @@
         val job = cluster.putJob(record, modRevision, now, knownUpTo.wall)
         if (isNew) dependencies.addJob(job, record, now)
         if (job.isCancellationRecorded) dependencies.cancelDependents(job)
-        if (job.cancelled || listener.isCancelledElsewhere(job.id)) {
+        if (job.isCancelled || listener.isCancelledElsewhere(job.id)) {
             cancel(job, record.cancelled)
             signals.wakeWriter()
         } else {
@@ -118,7 +118,7 @@
     }
 
     /** Removes [job], whose final state [record] is committed in the state service; the caller holds the lock. */
-    fun finished(job: Job, record: FinishedJobRecord) {
+    fun removeFinished(job: Job, record: FinishedJobRecord) {
         dependencies.removeJob(job)
         cluster.removeJob(job, clock.now())
         recordFinished(job.id, record)
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -55,7 +55,7 @@
     val tokenOffset by delivery::tokenOffset
 
     val unacknowledgedHeartbeats by reachability::unacknowledgedHeartbeats
-    val unreachedSince by reachability::unreachedSince
+    val unreachableSince by reachability::unreachableSince
 
     val rentedAt by rental::rentedAt
     val knownAt by rental::knownAt
@@ -82,21 +82,21 @@
     val live = LinkedHashMap<String, Assignment>()
 
     /** Increases with each change of the machine that the scheduler sees, other than a change of [isUsable]. */
-    var changes = 0
+    var changeCount = 0
         private set
 
     /** The resources that [live] takes. Kept up to date, so that a scheduling cycle need not add up every task of every machine. */
     var used = Resources.NONE
         private set(value) {
             field = value
-            changes++
+            changeCount++
         }
 
     /** The job that the machine is reserved for, for which tasks on it may have been preempted; null if it is not reserved. */
     var reservedFor: JobId? = null
         private set(value) {
             field = value
-            changes++
+            changeCount++
         }
 
     /** When the reservation ends; meaningful only while [reservedFor] is not null. */
@@ -106,7 +106,7 @@
     /** Whether tasks may be placed on the machine at [now]. */
     fun isUsable(now: MonotonicTime) = state == MachineState.UP &&
         hasShownCurrentTerm &&
-        unreachedSince == null &&
+        unreachableSince == null &&
         !isReclaimNoticed &&
         !isDeleting &&
         !isQuarantined &&
@@ -135,14 +135,14 @@
     }
 
     /** Adds the images that the previous leader recorded for this machine, with their sizes in GB. */
-    fun recallImages(known: Map<ImageId, Double>) {
-        imageCache.recall(known)
-        changes++
+    fun restoreImages(known: Map<ImageId, Double>) {
+        imageCache.restore(known)
+        changeCount++
     }
 
     /** Records that a task on this machine uses [image], of [sizeGb], where the worker's cache holds [cacheGb]. */
     fun touchImage(image: ImageId, sizeGb: Double, cacheGb: Double) {
-        changes++
+        changeCount++
         imageCache.touch(image, sizeGb, cacheGb)
     }
 
--- a/src/main/kotlin/mountmast/coordination/state/MachineHealth.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineHealth.kt
@@ -31,7 +31,7 @@
     }
 
     /** Forgets the failures, since a task completed on this machine and only consecutive failures count. */
-    fun clearStrikes() = consecutiveFailures.clear()
+    fun clearFailures() = consecutiveFailures.clear()
 
     /** Counts a task that took far longer on this machine than on others. */
     internal fun addStraggler() {
--- a/src/main/kotlin/mountmast/coordination/state/MachineReachability.kt
+++ b/src/main/kotlin/mountmast/coordination/state/MachineReachability.kt
@@ -12,7 +12,7 @@
         private set
 
     /** Since when the worker is taken to receive no answers or commands although its heartbeats arrive; null while it receives them. */
-    var unreachedSince: MonotonicTime? = null
+    var unreachableSince: MonotonicTime? = null
         private set
 
     /** Counts [heartbeats] more heartbeats that show no effect of the answers to earlier ones. */
@@ -26,12 +26,12 @@
     }
 
     /** Records that the worker is taken to receive no answers or commands from [now] on. */
-    fun markUnreached(now: MonotonicTime) {
-        unreachedSince = now
+    fun markUnreachable(now: MonotonicTime) {
+        unreachableSince = now
     }
 
     /** Records that answers and commands reach the worker again. */
-    fun markReached() {
-        unreachedSince = null
+    fun markReachable() {
+        unreachableSince = null
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/PrerequisiteLookups.kt
+++ b/src/main/kotlin/mountmast/coordination/state/PrerequisiteLookups.kt
@@ -36,9 +36,9 @@
         unresolved.remove(id)
     }
 
-    /** Returns at most [most] prerequisites whose lookup is due at [now]; they are due again after a pause. */
-    fun nextPrerequisites(most: Int, now: MonotonicTime): List<JobId> {
-        val due = unresolved.entries.filter { it.value <= now }.take(most).map { it.key }
+    /** Returns at most [limit] prerequisites whose lookup is due at [now]; they are due again after a pause. */
+    fun nextPrerequisites(limit: Int, now: MonotonicTime): List<JobId> {
+        val due = unresolved.entries.filter { it.value <= now }.take(limit).map { it.key }
         for (id in due) unresolved[id] = now + RETRY_INTERVAL_MS
         return due
     }
--- a/src/main/kotlin/mountmast/coordination/state/UnassignedTask.kt
+++ b/src/main/kotlin/mountmast/coordination/state/UnassignedTask.kt
@@ -8,7 +8,7 @@
     val taskName: String,
     val attempt: Attempt,
     /** Whether the attempt has exited. The worker lists an exited attempt until it receives a `forget` command for it. */
-    val exited: Boolean,
+    val hasExited: Boolean,
     /** Whether the attempt exited because the task completed. */
-    val completed: Boolean,
+    val isCompleted: Boolean,
 )
--- a/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
@@ -68,7 +68,7 @@
     private fun recordUnansweredStarts(request: OutgoingRequest) {
         for (command in request.commands) {
             if (command.type != CommandType.START) continue
-            request.machine.delivery.recordUnansweredStart(command.task, command.attempt, sentWith = request.tokenOffset)
+            request.machine.delivery.recordUnansweredStart(command.task, command.attempt, requestTokenOffset = request.tokenOffset)
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -104,7 +104,7 @@
     private fun withdrawStopped(machine: Machine, heartbeat: Heartbeat) {
         for (assignment in machine.live.values) {
             // What the heartbeat lists has been reconciled, so it counts as reported by now.
-            val isStoppedUnseen = assignment.terminationGraceS != null && assignment.reported == null
+            val isStoppedUnseen = assignment.terminationGraceS != null && assignment.reportedState == null
             val isWithdrawable = assignment.phase == Phase.COMMITTED && isStoppedUnseen && !mayStillStart(assignment, machine, heartbeat)
             if (isWithdrawable) cluster.assignments.end(assignment, completed = false)
         }
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -93,7 +93,7 @@
         cluster.assignments.end(assignment, completed = cause == ExitCause.DONE)
         when (cause) {
             ExitCause.DONE -> recordCompletion(machine, assignment, now)
-            ExitCause.FAILED -> cluster.health.failed(machine, job, now)
+            ExitCause.FAILED -> cluster.health.recordFailure(machine, job, now)
             // The worker's free capacity and the one known here differ for a moment, for instance while a killed task saves.
             ExitCause.NO_ROOM, ExitCause.BUSY -> machine.health.pausePlacementUntil(now + REJECTION_PAUSE_MS)
             ExitCause.UNKNOWN -> job.recentFailures.pausePlacementUntil(now + REJECTION_PAUSE_MS)
@@ -103,12 +103,12 @@
 
     private fun recordCompletion(machine: Machine, assignment: Assignment, now: MonotonicTime) {
         val job = assignment.job
-        machine.health.clearStrikes()
+        machine.health.clearFailures()
         job.recentFailures.clear()
         val since = assignment.runningSince ?: return
         val runS = (now - since) / MS_PER_S
         cluster.estimates.recordRun(job.spec.team, runS)
-        cluster.health.completedIn(machine, assignment, runS)
+        cluster.health.recordCompletion(machine, assignment, runS)
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/workers/OutstandingCommands.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/OutstandingCommands.kt
@@ -32,7 +32,7 @@
      */
     fun fenceOffStoppedTasks(machine: Machine) {
         for (assignment in machine.live.values) {
-            val isStoppedUnseen = assignment.terminationGraceS != null && assignment.reported == null
+            val isStoppedUnseen = assignment.terminationGraceS != null && assignment.reportedState == null
             if (isStoppedUnseen) machine.delivery.fenceOffStart(assignment.taskName, assignment.attempt)
         }
     }
@@ -54,7 +54,7 @@
         val commands = ArrayList<WorkerCommand>()
         addForAssignments(commands, machine) { it.startDelivery.recordAnswer(sequence) }
         for (task in machine.unassignedTasks) {
-            if (!task.exited) {
+            if (!task.hasExited) {
                 commands += WorkerCommand(CommandType.STOP, task.taskName, task.attempt, 0.0)
             } else if (mayBeForgotten(task, machine)) {
                 commands += WorkerCommand(CommandType.FORGET, task.taskName, task.attempt)
@@ -74,7 +74,7 @@
             val graceS = assignment.terminationGraceS
             if (graceS != null) {
                 commands += WorkerCommand(CommandType.STOP, assignment.taskName, assignment.attempt, graceS)
-            } else if (assignment.reported == null && mayStart && isStartable(assignment)) {
+            } else if (assignment.reportedState == null && mayStart && isStartable(assignment)) {
                 commands += WorkerCommand(CommandType.START, assignment.taskName, assignment.attempt)
                 onStart(assignment)
             }
@@ -87,9 +87,9 @@
      * one does yet.
      */
     private fun isStartable(assignment: Assignment): Boolean {
-        val isCancelled = assignment.job.cancelled
-        return context.invariants.check(assignment.written && !isCancelled) {
-            "start of task=${assignment.taskName}: journalled=${assignment.written} cancelled=$isCancelled"
+        val isCancelled = assignment.job.isCancelled
+        return context.invariants.check(assignment.isJournaled && !isCancelled) {
+            "start of task=${assignment.taskName}: journalled=${assignment.isJournaled} cancelled=$isCancelled"
         }
     }
 
@@ -99,7 +99,7 @@
      * attempt that was stopped is not forgotten, since its start may come once more".
      */
     private fun mayBeForgotten(task: UnassignedTask, machine: Machine) =
-        (task.completed || machine.unassignedTasks.size > MAX_REMEMBERED_ATTEMPTS) &&
+        (task.isCompleted || machine.unassignedTasks.size > MAX_REMEMBERED_ATTEMPTS) &&
             !machine.delivery.hasUnansweredStart(task.taskName, task.attempt)
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -49,13 +49,13 @@
             evidence.isEffectShown -> machine.reachability.clearUnacknowledged()
         }
         return when {
-            machine.unacknowledgedHeartbeats >= MAX_UNACKNOWLEDGED_HEARTBEATS && machine.unreachedSince == null -> {
-                machine.reachability.markUnreached(now)
+            machine.unacknowledgedHeartbeats >= MAX_UNACKNOWLEDGED_HEARTBEATS && machine.unreachableSince == null -> {
+                machine.reachability.markUnreachable(now)
                 log.info("machine={} unreached: its heartbeats arrive, but responses and commands seem not to reach it", machine.id)
                 ReachabilityChange.LOST
             }
-            machine.unacknowledgedHeartbeats == 0 && machine.unreachedSince != null -> {
-                machine.reachability.markReached()
+            machine.unacknowledgedHeartbeats == 0 && machine.unreachableSince != null -> {
+                machine.reachability.markReachable()
                 log.info("machine={} reached again", machine.id)
                 ReachabilityChange.RESTORED
             }
@@ -68,7 +68,7 @@
         val isTokenBehind = answered != null && answered < heartbeat.sequence && heartbeat.token < leaderLease.token
         val outlivesLease = now - machine.incarnationSince > timing.leaseExpiryMs && heartbeat.token.term == leaderLease.token.term
         val commandedStarts = machine.live.values.filter { wasCommandedBefore(it, heartbeat) }
-        val (missing, shown) = commandedStarts.partition { it.reported == null }
+        val (missing, shown) = commandedStarts.partition { it.reportedState == null }
         for (assignment in shown) assignment.startDelivery.confirm()
         return Evidence(isTokenBehind || missing.isNotEmpty(), outlivesLease || shown.isNotEmpty())
     }
@@ -85,7 +85,7 @@
      */
     fun areMostUnreached(): Boolean {
         val up = cluster.machines.values.count { it.state == MachineState.UP && !it.isDeleting }
-        val unreached = cluster.machines.values.count { it.unreachedSince != null && !it.isDeleting }
+        val unreached = cluster.machines.values.count { it.unreachableSince != null && !it.isDeleting }
         return unreached >= MIN_MACHINES_TO_JUDGE_NODE && unreached * 2 > up
     }
 
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -339,10 +339,10 @@
         val snapshot = "snapshotUpTo ${journal.lastRecordInSnapshot} generation ${journal.snapshotGeneration}"
         val lines = arrayListOf("journal next ${journal.nextRecordNumber} $snapshot")
         for (job in leaderTerm.cluster.jobs.values.sortedBy { it.id }) {
-            lines += "job ${job.id} cancelled ${job.cancelled} done ${job.done}"
+            lines += "job ${job.id} cancelled ${job.isCancelled} done ${job.done}"
             for (it in job.preemptions.int2IntEntrySet().sortedBy { it.intKey }) lines += "evicted ${job.id}/${it.intKey} ${it.intValue}"
             for (it in job.live.values.sortedBy { it.index }) {
-                val end = "evicted ${it.preempted} stop ${it.terminationGraceS}"
+                val end = "evicted ${it.isPreempted} stop ${it.terminationGraceS}"
                 lines += "live ${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone} $end"
             }
         }
--- a/src/test/kotlin/mountmast/coordination/state/AssignmentTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/AssignmentTest.kt
@@ -24,7 +24,7 @@
     fun `a preempted task may save its progress`() {
         assignment.preempt()
 
-        assertTrue(assignment.preempted)
+        assertTrue(assignment.isPreempted)
         assertEquals(7.0, assignment.terminationGraceS)
     }
 
@@ -42,18 +42,18 @@
         assignment.markJournaled()
 
         assertEquals(Phase.COMMITTED, assignment.phase)
-        assertTrue(assignment.written)
+        assertTrue(assignment.isJournaled)
         assertFalse(assignment.isBeingJournaled)
     }
 
     @Test
     fun `a commit does not revive what ended meanwhile`() {
         assignment.beginJournaling()
-        assignment.markEnded(isCompleted = false)
+        assignment.markEnded(hasCompleted = false)
         assignment.markJournaled()
 
         assertEquals(Phase.ENDED, assignment.phase)
-        assertTrue(assignment.written)
+        assertTrue(assignment.isJournaled)
     }
 
     @Test
@@ -65,6 +65,6 @@
         assignment.recordReported(TaskState.RUNNING, MonotonicTime(300))
 
         assertEquals(MonotonicTime(200), assignment.runningSince)
-        assertEquals(TaskState.RUNNING, assignment.reported)
+        assertEquals(TaskState.RUNNING, assignment.reportedState)
     }
 }
--- a/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
@@ -121,8 +121,8 @@
         val first = add(1)
         val second = add(2, 1)
         first.cancel(WallTime(0), recorded = false)
-        assertFalse(second.cancelled)
-        assertFalse(add(3, 1).cancelled)
+        assertFalse(second.isCancelled)
+        assertFalse(add(3, 1).isCancelled)
     }
 
     @Test
--- a/src/test/kotlin/mountmast/coordination/state/MachineTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/MachineTest.kt
@@ -22,7 +22,7 @@
 
     @Test
     fun `an unanswered start is fenced off by a higher token until the worker shows that`() {
-        machine.delivery.recordUnansweredStart(task, attempt, sentWith = 3)
+        machine.delivery.recordUnansweredStart(task, attempt, requestTokenOffset = 3)
 
         machine.delivery.fenceOffStart(task, attempt)
         assertEquals(4, machine.delivery.tokenOffset)
@@ -52,7 +52,7 @@
     fun `a new incarnation holds a full lease, and nothing of it was answered`() {
         machine.beginIncarnation(WorkerIncarnation(1u), MonotonicTime(100))
         machine.worker.recordLeaseRenewal(HeartbeatSequence(7u), MonotonicTime(200))
-        machine.delivery.recordUnansweredStart(task, attempt, sentWith = 0)
+        machine.delivery.recordUnansweredStart(task, attempt, requestTokenOffset = 0)
 
         machine.beginIncarnation(WorkerIncarnation(2u), MonotonicTime(300))
 
@@ -92,14 +92,14 @@
 
     @Test
     fun `the scheduler sees each change of a reservation and of the images`() {
-        val before = machine.changes
+        val before = machine.changeCount
         machine.reserveFor(JobId("j-1"), MonotonicTime(100))
-        val reserved = machine.changes
+        val reserved = machine.changeCount
         machine.releaseReservation()
-        val released = machine.changes
-        machine.recallImages(mapOf(ImageId("a") to 1.0))
+        val released = machine.changeCount
+        machine.restoreImages(mapOf(ImageId("a") to 1.0))
 
-        assertTrue(listOf(before, reserved, released, machine.changes).zipWithNext().all { (earlier, later) -> later > earlier })
+        assertTrue(listOf(before, reserved, released, machine.changeCount).zipWithNext().all { (earlier, later) -> later > earlier })
         assertNull(machine.reservedFor)
     }
 }
