--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -10,7 +10,10 @@
 
 /** Tells faulty and slow machines from jobs that fail or run long on every machine. Guarded by the lock of the leader's term. */
 class Health(private val cluster: ClusterState) {
-    /** Records that a task of [job] failed on [machine] at [now]; quarantines the machine after [QUARANTINE_THRESHOLD] of them in a row. */
+    /**
+     * Records that a task of [job] failed on [machine] at [now]. Quarantines the machine after [QUARANTINE_THRESHOLD] consecutive
+     * failures on it.
+     */
     fun recordFailure(machine: Machine, job: Job, now: MonotonicTime) {
         // One failure may be chance, but a faulty machine is always empty and would therefore get one task after the other.
         machine.health.pausePlacementUntil(now + FAILURE_PAUSE_MS)
@@ -36,7 +39,7 @@
 
     /**
      * The jobs that fail on every machine, at most [limit] of them. They are stored for the next leader, which would otherwise start
-     * all of their tasks at once. Holds only as much as [restoreFailingJobs] needs, so that the stored record soon stops changing.
+     * all of their tasks again. Holds only as much as [restoreFailingJobs] needs, so that the stored record soon stops changing.
      */
     fun failingJobs(limit: Int): Map<JobId, FailingJob> {
         val failing = LinkedHashMap<JobId, FailingJob>()
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -30,7 +30,7 @@
     /** Whether answers to heartbeats and commands reach the worker. */
     val reachability = MachineReachability()
 
-    /** The machine's state as the cloud reports it. */
+    /** The machine's rental from the cloud, up to its deletion. */
     val rental = MachineRental()
 
     /** The task failures and the stragglers on this machine, and its quarantine. */
