--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -8,105 +8,112 @@
 
 private val log = LoggerFactory.getLogger("mountmast.health")
 
-/** Distinguishes sick and slow machines from jobs that fail or run long wherever they are. Guarded as its [ClusterState] is. */
+/** Tells faulty and slow machines from jobs that fail or run long on every machine. Guarded by the lock of the leader's term. */
 class Health(private val cluster: ClusterState) {
-    /** Records that a task of [job] failed on [machine] at [now]; quarantines a machine on which two in a row failed. */
-    fun failed(machine: Machine, job: Job, now: MonotonicTime) {
-        // One failure may be chance; but a sick machine, always empty, would draw task after task.
-        machine.health.pausePlacementUntil(now + FAILED_PAUSE_MS)
+    /**
+     * Records that a task of [job] failed on [machine] at [now]. Quarantines the machine after [QUARANTINE_THRESHOLD] consecutive
+     * failures on it.
+     */
+    fun recordFailure(machine: Machine, job: Job, now: MonotonicTime) {
+        // One failure may be chance, but a faulty machine is always empty and would therefore get one task after the other.
+        machine.health.pausePlacementUntil(now + FAILURE_PAUSE_MS)
         job.recentFailures.record(machine.id)
         if (job.isPoisoned) {
             backOff(job, now)
-            log.info("job={} failed on {} machines; next attempt in {} ms", job.id, job.failedOn.size, job.notBefore - now)
-        } else if (job.doneCount > 0 || job.id !in machine.strikes) {
-            // A machine is not blamed for a job that may fail everywhere: such a one counts once.
-            machine.health.addStrike(job.id)
+            log.info("job={} failed on {} machines; next attempt in {} ms", job.id, job.failedMachines.size, job.notBefore - now)
+        } else if (job.doneCount > 0 || job.id !in machine.consecutiveFailures) {
+            // A job without a completed task may fail on every machine, so its failures count only once against this machine.
+            machine.health.addFailure(job.id)
         }
-        if (machine.strikes.size >= SICK_STRIKES && !machine.isQuarantined) {
+        if (machine.consecutiveFailures.size >= QUARANTINE_THRESHOLD && !machine.isQuarantined) {
             machine.health.quarantine()
-            log.info("machine={} quarantined: {} tasks failed in a row", machine.id, machine.strikes.size)
+            log.info("machine={} quarantined: {} tasks failed in a row", machine.id, machine.consecutiveFailures.size)
             dropFailuresOn(machine)
         }
     }
 
     private fun backOff(job: Job, now: MonotonicTime) {
-        val doublings = minOf(job.failures - Job.POISON_MACHINES, MAX_DOUBLINGS)
-        job.recentFailures.pausePlacementUntil(now + (POISON_PAUSE_MS shl maxOf(0, doublings)))
+        val doublings = minOf(job.failures - Job.MIN_FAILED_MACHINES, MAX_DOUBLINGS)
+        job.recentFailures.pausePlacementUntil(now + (MIN_BACKOFF_MS shl maxOf(0, doublings)))
     }
 
     /**
-     * The jobs that fail wherever they run, at most [most], for the next leader: it would start all of their tasks again. Only what
-     * [recall] needs is recorded, so that the record soon changes no more.
+     * The jobs that fail on every machine, at most [limit] of them. They are stored for the next leader, which would otherwise start
+     * all of their tasks again. Holds only as much as [restoreFailingJobs] needs, so that the stored record soon stops changing.
      */
-    fun failing(most: Int): Map<JobId, FailingJob> {
+    fun failingJobs(limit: Int): Map<JobId, FailingJob> {
         val failing = LinkedHashMap<JobId, FailingJob>()
         for (job in cluster.jobs.values) {
-            if (failing.size >= most) break
-            if (!job.isPoisoned || job.cancelled) continue
-            failing[job.id] = FailingJob(job.failedOn.take(MACHINES_RECORDED), minOf(job.failures, Job.POISON_MACHINES + MAX_DOUBLINGS))
+            if (failing.size >= limit) break
+            if (!job.isPoisoned || job.isCancelled) continue
+            failing[job.id] = FailingJob(
+                job.failedMachines.take(MAX_RECORDED_MACHINES),
+                minOf(job.failures, Job.MIN_FAILED_MACHINES + MAX_DOUBLINGS),
+            )
         }
         return failing
     }
 
-    /** Continues, at [now], to back off what the leader before recorded by [failing]. Called once the completed tasks are known. */
-    fun recall(failing: Map<JobId, FailingJob>, now: MonotonicTime) {
+    /** Backs off, from [now] on, the jobs that the previous leader recorded by [failingJobs]. Completed tasks must be known already. */
+    fun restoreFailingJobs(failing: Map<JobId, FailingJob>, now: MonotonicTime) {
         for ((id, recorded) in failing) {
             val job = cluster.jobs[id] ?: continue
-            job.recentFailures.recall(recorded)
+            job.recentFailures.restore(recorded)
             if (job.isPoisoned) backOff(job, now)
         }
     }
 
-    /** What failed on a sick machine says nothing of its jobs: they are not held to fail everywhere. */
+    /** Removes [machine] from the failures of all jobs: a failure on a faulty machine is no evidence against the job. */
     private fun dropFailuresOn(machine: Machine) {
         for (job in cluster.jobs.values) {
-            if (!job.failedOn.remove(machine.id) || job.isPoisoned) continue
+            if (!job.failedMachines.remove(machine.id) || job.isPoisoned) continue
             job.recentFailures.recount()
         }
     }
 
-    /** Records that the task of [assignment] completed on [machine] after [runS] seconds. */
-    fun completedIn(machine: Machine, assignment: Assignment, runS: Double) {
+    /** Records that the task of [assignment] completed on [machine] after running for [runS] seconds. */
+    fun recordCompletion(machine: Machine, assignment: Assignment, runS: Double) {
         val job = assignment.job
         if (isSlow(job, machine.id, runS)) {
             markStraggler(machine, assignment)
         } else if (!assignment.isStraggler) {
-            machine.health.clearSlowStrikes()
+            machine.health.clearStragglers()
         }
-        // A slow machine's run says nothing of what the job takes elsewhere.
+        // The run time on a slow machine does not show how long the job's tasks take on other machines.
         if (!assignment.isStraggler) {
             job.runStatistics.recordRun(runS)
         }
     }
 
     /**
-     * Whether a run is far beyond what the job's tasks take elsewhere. The owner's estimate counts too, as a task that
-     * was seen running late seems short; and a job that finds every machine slow is simply long.
+     * Whether a run of [runS] seconds is far longer than the job's tasks take on other machines. The owner's estimate is a lower
+     * bound for the comparison, since a task that was first reported late in its run seems short. A job that was slow on
+     * [MAX_SLOW_MACHINES] machines is taken to be long, and no further machine counts as slow for it.
      */
     private fun isSlow(job: Job, machine: MachineId, runS: Double): Boolean {
-        if (job.runs < RUNS_TO_COMPARE) return false
-        if (machine !in job.slowOn && job.slowOn.size >= MAX_SLOW_MACHINES) return false
-        return runS > maxOf(job.runSumS / job.runs, job.spec.estimateS) * SLOW_FACTOR + SLOW_EXTRA_S
+        if (job.runCount < MIN_RUNS_TO_COMPARE) return false
+        if (machine !in job.slowMachines && job.slowMachines.size >= MAX_SLOW_MACHINES) return false
+        return runS > maxOf(job.totalRunS / job.runCount, job.spec.estimateS) * SLOW_FACTOR + SLOW_EXTRA_S
     }
 
     private fun markStraggler(machine: Machine, assignment: Assignment) {
         if (assignment.isStraggler) return
         assignment.markStraggler()
-        assignment.job.runStatistics.recordSlow(machine.id)
-        machine.health.addSlowStrike()
-        if (machine.slowStrikes < SICK_STRIKES || machine.isQuarantined) return
+        assignment.job.runStatistics.recordStraggler(machine.id)
+        machine.health.addStraggler()
+        if (machine.consecutiveStragglers < QUARANTINE_THRESHOLD || machine.isQuarantined) return
         machine.health.quarantine()
         log.info(
             "machine={} quarantined: {} tasks in a row ran {} times as long as elsewhere",
             machine.id,
-            machine.slowStrikes,
+            machine.consecutiveStragglers,
             SLOW_FACTOR,
         )
     }
 
     /**
-     * Marks, as of [now], tasks that run on while others of the same jobs have long completed elsewhere; quarantines a machine with
-     * several of them.
+     * Marks the tasks that have run for far longer, at [now], than completed tasks of the same job took on other machines.
+     * Quarantines a machine with [QUARANTINE_THRESHOLD] such tasks in a row.
      */
     fun detectStragglers(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
@@ -123,12 +130,12 @@
     }
 
     private companion object {
-        const val FAILED_PAUSE_MS = 2000L
-        const val POISON_PAUSE_MS = 5000L
+        const val FAILURE_PAUSE_MS = 2000L
+        const val MIN_BACKOFF_MS = 5000L
         const val MAX_DOUBLINGS = 4
-        const val MACHINES_RECORDED = 5
-        const val SICK_STRIKES = 2
-        const val RUNS_TO_COMPARE = 2
+        const val MAX_RECORDED_MACHINES = 5
+        const val QUARANTINE_THRESHOLD = 2
+        const val MIN_RUNS_TO_COMPARE = 2
         const val SLOW_FACTOR = 2.5
         const val MAX_SLOW_MACHINES = 2
         const val SLOW_EXTRA_S = 5.0
