--- a/src/main/kotlin/mountmast/coordination/election/ElectionCampaign.kt
+++ b/src/main/kotlin/mountmast/coordination/election/ElectionCampaign.kt
@@ -25,18 +25,18 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leadership")
 
-/** The outcome of one attempt to be elected. */
+/** The outcome of one attempt of this node to be elected leader. */
 internal sealed interface ElectionResult {
-    /** This node leads by [lease], whose store lease was last granted or renewed by a request made at [confirmedAt]. */
+    /** This node is leader by [lease], whose store lease was last granted or renewed by a request sent at [confirmedAt]. */
     class Elected(val lease: LeaderLease, val confirmedAt: MonotonicTime) : ElectionResult
 
-    /** Another node was faster, or the store lease expired before the election. */
+    /** The leader key or the term had changed, usually because another node was elected, or the store lease had expired. */
     data object NotElected : ElectionResult
 }
 
 /**
- * Attempts to make the process [run] of [node] the leader. The leader key is attached to a lease of the store; the term is
- * stored beside it without a lease and rises with every election.
+ * Attempts to have [node], in its process with the random identifier [run], elected leader. The leader key is attached to a
+ * lease of the store. The term is stored under a key of its own without a lease and rises with every election.
  *
  * Confined to the thread that calls [LeaderElection.step]. Every function throws [mountmast.storage.StoreException] if the store
  * does not serve.
@@ -48,55 +48,59 @@
     private val timing: LeaseTiming,
     private val clock: Clock,
 ) {
-    private class UnusedLease(val storeLease: StoreLeaseId, val requestedAt: MonotonicTime)
+    /** A store lease for an election that is not known to be won; it was last granted or renewed by a request at [requestedAt]. */
+    private class PendingLease(val storeLease: StoreLeaseId, val requestedAt: MonotonicTime)
 
-    /** Granted for an election whose outcome is in doubt or that was lost; used for the next attempt. */
-    private var unusedLease: UnusedLease? = null
+    /** The lease of an election that was lost or whose outcome is unknown, or null; the next attempt renews and uses it. */
+    private var pendingLease: PendingLease? = null
 
-    /** Attempts to become leader, provided that the leader key still has [leaderModRevision]. */
+    /** Attempts to be elected; the election succeeds only if the leader key still has [leaderModRevision]. */
     fun elect(leaderModRevision: ModRevision): ElectionResult {
         val requestedAt = clock.now()
         val since = clock.wall()
-        val storeLease = unusedLease?.storeLease?.takeIf { store.keepAlive(it) } ?: store.grantLease(timing.ttlMs)
-        val lease = UnusedLease(storeLease, requestedAt)
-        unusedLease = lease
+        val storeLease = pendingLease?.storeLease?.takeIf { store.keepAlive(it) } ?: store.grantLease(timing.ttlMs)
+        val lease = PendingLease(storeLease, requestedAt)
+        pendingLease = lease
         val termEntry = store.get(Keys.TERM)
-        val record = LeaderRecord(node, run, lastToken(termEntry).firstOfNextTerm(), since, readWatermark() ?: since)
+        val record = LeaderRecord(node, run, decodeLastToken(termEntry).firstOfNextTerm(), since, readWatermark() ?: since)
         return try {
             val transaction = electionTransaction(record, storeLease, leaderModRevision, termEntry?.modRevision ?: ModRevision.ABSENT)
             when (val result = store.commit(transaction)) {
-                is TransactionResult.Committed -> elected(record, ModRevision(result.revision.number), lease)
+                is TransactionResult.Committed -> buildElected(record, ModRevision(result.revision.number), lease)
                 is TransactionResult.CompareFailed -> {
-                    log.debug("another node was elected: {}", result.failed)
+                    log.debug("election lost, as these keys had changed: {}", result.failed)
                     ElectionResult.NotElected
                 }
             }
         } catch (e: StoreLeaseExpiredException) {
-            log.debug("lease={} expired before the election: {}", storeLease, e.message)
-            unusedLease = null
+            log.debug("lease={} expired before the election transaction: {}", storeLease, e.message)
+            pendingLease = null
             ElectionResult.NotElected
         }
     }
 
-    /** Whether [record] was written by this process. */
+    /** Whether this process, and not an earlier one of the same node, wrote [record]. */
     fun isOwn(record: LeaderRecord): Boolean = record.run == run
 
-    /** Resolves an election transaction that got no answer: [key], which this process wrote, shows that it was committed. */
+    /**
+     * Returns the outcome of an election transaction that got no answer. The leader key [key], which this process wrote, shows
+     * that the transaction was committed.
+     */
     fun resolveInDoubt(key: LeaderKey.Held): ElectionResult {
-        val lease = unusedLease ?: return ElectionResult.NotElected
-        return elected(key.record, key.modRevision, lease)
+        val lease = pendingLease ?: return ElectionResult.NotElected
+        return buildElected(key.record, key.modRevision, lease)
     }
 
-    private fun elected(record: LeaderRecord, modRevision: ModRevision, lease: UnusedLease): ElectionResult.Elected {
-        unusedLease = null
+    private fun buildElected(record: LeaderRecord, modRevision: ModRevision, lease: PendingLease): ElectionResult.Elected {
+        pendingLease = null
         val leaderLease = LeaderLease(record.token, modRevision, lease.storeLease, clock.now(), record.watermark)
         return ElectionResult.Elected(leaderLease, lease.requestedAt)
     }
 
-    private fun lastToken(termEntry: Entry?): FencingToken =
+    private fun decodeLastToken(termEntry: Entry?): FencingToken =
         termEntry?.let { WireJson.decodeFromJsonElement<TermRecord>(it.value).token } ?: FencingToken(0u)
 
-    /** Returns the low watermark of cancellations, or null if no leader has stored one: then nothing has run so far. */
+    /** Returns the low watermark of cancellations, or null if no leader has stored one, in which case no task has run yet. */
     private fun readWatermark(): WallTime? =
         store.get(Keys.WATERMARK)?.let { WireJson.decodeFromJsonElement<CancellationWatermarkRecord>(it.value).at }
 
--- a/src/main/kotlin/mountmast/coordination/election/LeaderElection.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaderElection.kt
@@ -16,8 +16,8 @@
 /**
  * Elects one node as leader, by a key of the store that is attached to a lease, and renews that lease while this node leads.
  *
- * [step], [awaitVacancy] and [resign] are called by one thread, and no lock is held while they call the store; everything else
- * is thread-safe.
+ * [step], [awaitVacancy] and [resign] are called by one thread only, and hold no lock while they call the store. All other
+ * members are thread-safe.
  */
 class LeaderElection private constructor(
     private val leadership: LeadershipState,
@@ -34,13 +34,17 @@
     private val vacancyWatch = VacancyWatch(store, leadership)
     private val delegation = RenewalDelegation(leadership, timing, clock)
 
-    // Used only by the thread that calls step().
+    // The two variables below are used only by the thread that calls step().
+
+    /** When the first of the consecutive steps failed in which the store did not serve, or null if the last step succeeded. */
     private var storeFailingSince: MonotonicTime? = null
+
+    /** After a resignation, this node attempts no election before this time. */
     private var electionBackoffUntil = MonotonicTime(Long.MIN_VALUE)
 
     /**
-     * An election in which [node] takes part. [run] is drawn at each start of the process: a node that restarts at once must not
-     * take the key of its earlier process for its own.
+     * Creates the election as seen by [node]. [run] is a random identifier of the process, drawn at each start, so that a node
+     * that restarts before its lease has expired does not take the leader key of its earlier process for its own.
      */
     constructor(store: StateStore, node: NodeId, run: String, timing: LeaseTiming, clock: Clock, metrics: Metrics = Metrics()) :
         this(
@@ -54,48 +58,58 @@
         )
 
     /**
-     * Renews the leader lease, observes another leader or attempts to be elected. Called about once a second. A store that does
-     * not serve is logged when that begins and when it ends; the exception is not passed on.
+     * Renews the leader lease if this node leads. Otherwise reads the leader key, and attempts to be elected if no node leads or
+     * an earlier process of this node wrote the key. Called about once a second. A [StoreException] is caught; the log shows when
+     * the store began to fail and when it answers again.
+     *
+     * While the store fails, this node steps down once its lease may have expired, but only if it has observed a higher term.
      */
     fun step() {
         try {
             val lease = leadership.leaderLease
             if (lease == null) observeOrElect() else renewal.renew(lease)
-            storeFailingSince?.let { log.info("the state service answers again after {} ms", clock.now() - it) }
+            storeFailingSince?.let { log.info("the state service answers this node again, after failing for {} ms", clock.now() - it) }
             storeFailingSince = null
         } catch (e: StoreException) {
-            if (storeFailingSince == null) log.info("the state service does not serve this node: {}", e.message)
+            if (storeFailingSince == null) log.info("the state service fails or refuses the requests of this node: {}", e.message)
             storeFailingSince = storeFailingSince ?: clock.now()
-            val isUnconfirmed = (leadership.renewalAgeMs ?: 0) >= timing.ttlMs
-            if (isUnconfirmed && leadership.suspectsNewerLeader) leadership.stepDown()
+            val mayLeaseHaveExpired = (leadership.renewalAgeMs ?: 0) >= timing.ttlMs
+            if (mayLeaseHaveExpired && leadership.suspectsNewerLeader) leadership.stepDown()
         }
     }
 
     /**
-     * Waits up to [waitMs] milliseconds while another node leads, and returns as soon as its key is deleted: the sooner a
-     * successor is elected, the fewer workers' leases expire.
+     * Waits while another node leads, for at most [waitMs] milliseconds, and returns as soon as the leader key changes. The
+     * sooner a successor is elected after the key is deleted, the fewer workers' leases expire. Returns at once if no other node
+     * is known to lead or if this node has resigned lately.
      */
     fun awaitVacancy(waitMs: Long): VacancyWait =
         if (clock.now() < electionBackoffUntil) VacancyWait.NOT_NEEDED else vacancyWatch.await(waitMs)
 
-    /** Ends the leadership by [lease] for [reason], so that another node can be elected; this one takes no part for a while. */
+    /**
+     * Ends this node's leadership by [lease] and revokes the store lease, so that another node can be elected at once. This node
+     * attempts no election for 20 seconds. Does nothing if this node no longer leads by [lease]. The log shows the [reason].
+     */
     fun resign(lease: LeaderLease, reason: String) {
         if (!leadership.stepDownFrom(lease, reason)) return
         resignations.add()
-        electionBackoffUntil = clock.now() + ELECTION_BACKOFF_MS
+        electionBackoffUntil = clock.now() + RESIGNATION_BACKOFF_MS
         try {
             store.revokeLease(lease.storeLease)
         } catch (e: StoreException) {
-            log.debug("lease={} was not revoked and will expire: {}", lease.storeLease, e.message)
+            log.debug("lease={} could not be revoked and is left to expire: {}", lease.storeLease, e.message)
         }
     }
 
-    /** Returns the token under which this node may renew workers' leases on behalf of a newly elected leader, or null. */
+    /**
+     * Returns the fencing token under which this node may now renew workers' leases on behalf of a newly elected leader, or null
+     * if it may not.
+     */
     fun delegatedToken(): FencingToken? = delegation.token()
 
     private fun observeOrElect() {
         when (val key = store.readLeaderKey()) {
-            LeaderKey.Unreadable -> log.warn("the leader key is unreadable")
+            LeaderKey.Unreadable -> log.warn("the value of the leader key cannot be decoded; this node attempts no election")
             LeaderKey.Vacant -> elect(ModRevision.ABSENT)
             is LeaderKey.Held -> observeHolder(key)
         }
@@ -105,9 +119,10 @@
         val record = key.record
         leadership.observeToken(record.token)
         when {
-            campaign.isOwn(record) -> conclude(campaign.resolveInDoubt(key))
+            campaign.isOwn(record) -> applyResult(campaign.resolveInDoubt(key))
 
-            // The earlier process of this node is dead, or this one would not run: it is replaced at once.
+            // An earlier process of this node wrote the key. It has ended, or this process would not run, so the key is replaced
+            // without waiting for the lease to expire.
             record.node == node -> elect(key.modRevision)
 
             else -> {
@@ -119,16 +134,16 @@
     }
 
     private fun elect(leaderModRevision: ModRevision) {
-        if (clock.now() >= electionBackoffUntil) conclude(campaign.elect(leaderModRevision))
+        if (clock.now() >= electionBackoffUntil) applyResult(campaign.elect(leaderModRevision))
     }
 
-    private fun conclude(result: ElectionResult) {
+    private fun applyResult(result: ElectionResult) {
         if (result !is ElectionResult.Elected) return
         elections.add()
         leadership.becomeLeader(result)
     }
 
     private companion object {
-        const val ELECTION_BACKOFF_MS = 20_000L
+        const val RESIGNATION_BACKOFF_MS = 20_000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/election/LeaderKey.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaderKey.kt
@@ -8,15 +8,15 @@
 import mountmast.storage.LeaderRecord
 import mountmast.storage.StateStore
 
-/** What the leader key says. It is attached to the leader's store lease and is deleted when that lease expires. */
+/** The state of the leader key, which is attached to the leader's store lease and is deleted when that lease expires. */
 internal sealed interface LeaderKey {
-    /** No node leads. */
+    /** The leader key does not exist: no node leads. */
     data object Vacant : LeaderKey
 
-    /** The value is of no known form, perhaps of a later version of this program. */
+    /** The value of the leader key cannot be decoded; a later version of this program may have written it. */
     data object Unreadable : LeaderKey
 
-    /** The process named by [record] leads; [modRevision] is that of the key. */
+    /** The process named by [record] leads; the leader key was last modified at [modRevision]. */
     data class Held(val record: LeaderRecord, val modRevision: ModRevision) : LeaderKey
 }
 
--- a/src/main/kotlin/mountmast/coordination/election/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/election/Leadership.kt
@@ -4,39 +4,45 @@
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
 
-/** What this node knows of who leads. Thread-safe; nothing here calls another system. */
+/** What this node knows about which node leads. Thread-safe; no member calls the store or another node. */
 interface Leadership {
     /** The lease by which this node leads, or null while it does not lead. */
     val leaderLease: LeaderLease?
 
-    /** The node that leads as far as this one knows, or null if it knows of none. */
+    /** The node that leads to this node's knowledge, which may be out of date, or null if this node knows of no leader. */
     val leader: NodeId?
 
-    /** The first token of the highest term that this node has observed; zero before the first. */
+    /** The first fencing token of the highest term that this node has observed, or zero if it has observed none. */
     val highestToken: FencingToken
 
-    /** Milliseconds since the last successful renewal was requested, or null while this node does not lead. */
+    /** Milliseconds since the last successful grant or renewal of the leader lease was requested, or null if this node does not lead. */
     val renewalAgeMs: Long?
 
     /**
-     * Returns whether this node may answer heartbeats with a renewal of the worker's lease. A leader that cannot renew its own
-     * lease cannot tell an outage of the store, during which no lease expires, from a partition that concerns only itself. So it
-     * keeps workers alive for the grace period, and a successor waits that long before it counts a worker's lease as expired.
+     * Returns whether this node, as leader, may answer a worker's heartbeat with a renewal of the worker's lease.
+     *
+     * A leader that cannot renew its own lease cannot tell an outage of the store, during which no store lease expires, from a
+     * network partition that affects this node alone. It therefore goes on renewing workers' leases for the grace period
+     * ([LeaseTiming.graceMs]) after its own lease may have expired, and a successor allows for that period before it treats a
+     * worker's lease as expired.
      */
     fun mayRenewWorkerLeases(): Boolean
 
     /**
-     * Returns the time up to which it is certain that no other node led, or null once this node no longer leads by [lease]. A
-     * renewal that succeeded proves it for all time before it was requested.
+     * Returns the time up to which certainly no other node has led since this node was elected, or null if this node no longer
+     * leads by [lease]. It is the time at which the last successful grant or renewal of the lease was requested.
      */
     fun confirmedUntil(lease: LeaderLease): MonotonicTime?
 
     /**
-     * Records that a worker or another node has seen [token]. A term higher than this leader's own suggests a newer leader; the
-     * next renewal asks the store whether there is one.
+     * Records that a worker or another node has seen [token]. If this node leads and the token's term is higher than its own,
+     * there may be a newer leader; after the next successful renewal this node checks the leader key in the store.
      */
     fun observeToken(token: FencingToken)
 
-    /** Ends this node's leadership, if it leads: the store showed that the leader key is no longer its own. */
+    /**
+     * Ends this node's leadership, if it leads, without revoking its store lease. Called when the leader key is no longer its own,
+     * or may not be.
+     */
     fun stepDown()
 }
--- a/src/main/kotlin/mountmast/coordination/election/LeadershipState.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeadershipState.kt
@@ -10,27 +10,29 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leadership")
 
-/** The [Leadership] of [node]. Every field is guarded by [lock], which is never held during a call to the store. */
+/** The [Leadership] as known to [node]. Every variable is guarded by [lock], which is never held during a call to the store. */
 internal class LeadershipState(private val node: NodeId, private val timing: LeaseTiming, private val clock: Clock) : Leadership {
     private val lock = ReentrantLock()
     private var ownLease: LeaderLease? = null
 
-    /** When the last successful renewal of [ownLease] was requested. */
+    /** When the last successful grant or renewal of [ownLease] was requested; meaningless while [ownLease] is null. */
     private var confirmedAt = MonotonicTime(0)
     private var otherLeader: NodeId? = null
+
+    /** The first fencing token of the highest term observed. */
     private var highestObserved = FencingToken(0u)
-    private var newerLeaderSuspected = false
+    private var isNewerLeaderSuspected = false
 
     override val leaderLease: LeaderLease? get() = lock.withLock { ownLease }
     override val leader: NodeId? get() = lock.withLock { if (ownLease != null) node else otherLeader }
     override val highestToken: FencingToken get() = lock.withLock { highestObserved }
     override val renewalAgeMs: Long? get() = lock.withLock { if (ownLease == null) null else clock.now() - confirmedAt }
 
-    /** Whether another node is known to lead. */
+    /** Whether this node does not lead and knows another node as the leader. */
     val followsOtherLeader: Boolean get() = lock.withLock { ownLease == null && otherLeader != null }
 
-    /** Whether this node leads and has observed a higher term since the store last confirmed its own. */
-    val suspectsNewerLeader: Boolean get() = lock.withLock { newerLeaderSuspected }
+    /** Whether this node leads and has observed a term higher than its own since it last checked the leader key in the store. */
+    val suspectsNewerLeader: Boolean get() = lock.withLock { isNewerLeaderSuspected }
 
     override fun mayRenewWorkerLeases(): Boolean = lock.withLock {
         ownLease != null && clock.now() - confirmedAt < timing.ttlMs + timing.graceMs
@@ -43,40 +45,40 @@
         lock.withLock {
             if (firstOfTerm > highestObserved) highestObserved = firstOfTerm
             val lease = ownLease ?: return
-            if (firstOfTerm > lease.token) newerLeaderSuspected = true
+            if (firstOfTerm > lease.token) isNewerLeaderSuspected = true
         }
     }
 
     override fun stepDown(): Unit = lock.withLock {
-        ownLease?.let { log.info("no longer leading term={}; last renewed {} ms ago", it.token, clock.now() - confirmedAt) }
+        ownLease?.let { log.info("no longer leader of term={}; its lease was last renewed {} ms ago", it.token, clock.now() - confirmedAt) }
         ownLease = null
         otherLeader = null
-        newerLeaderSuspected = false
+        isNewerLeaderSuspected = false
     }
 
-    /** Steps down for [reason] if this node leads by [lease]; returns whether it did. */
+    /** Steps down if this node leads by [lease], and logs the [reason]. Returns whether this node led by [lease]. */
     fun stepDownFrom(lease: LeaderLease, reason: String): Boolean = lock.withLock {
         val isLeading = ownLease === lease
         if (isLeading) {
-            log.info("resigning term={}: {}", lease.token, reason)
+            log.info("resigning as leader of term={}: {}", lease.token, reason)
             stepDown()
         }
         isLeading
     }
 
-    /** Records that the store named [node], which is not this node, as the leader. */
+    /** Records that the leader key in the store names [node], which is another node than this one, as the leader. */
     fun observeLeader(node: NodeId): Unit = lock.withLock { otherLeader = node }
 
-    /** Makes this node the leader by [election]. */
-    fun becomeLeader(election: ElectionResult.Elected): Unit = lock.withLock {
-        val lease = election.lease
+    /** Records that this node was elected leader with the outcome [result]. */
+    fun becomeLeader(result: ElectionResult.Elected): Unit = lock.withLock {
+        val lease = result.lease
         ownLease = lease
-        confirmedAt = election.confirmedAt
+        confirmedAt = result.confirmedAt
         otherLeader = null
-        newerLeaderSuspected = false
+        isNewerLeaderSuspected = false
         if (lease.token > highestObserved) highestObserved = lease.token
         log.info(
-            "leading term={} lease={}, requested {} ms ago for {} ms; cancellations are known up to {} ms ago",
+            "elected leader of term={} by lease={}, requested {} ms ago with a TTL of {} ms; the cancellation watermark is {} ms old",
             lease.token,
             lease.storeLease,
             clock.now() - confirmedAt,
@@ -85,9 +87,9 @@
         )
     }
 
-    /** Records that a renewal succeeded that was requested at [requestedAt]. */
-    fun confirm(requestedAt: MonotonicTime): Unit = lock.withLock { confirmedAt = requestedAt }
+    /** Records that the renewal of the leader lease that was requested at [requestedAt] succeeded. */
+    fun recordRenewal(requestedAt: MonotonicTime): Unit = lock.withLock { confirmedAt = requestedAt }
 
-    /** Records that the store named this node as the leader after all. */
-    fun dismissSuspicion(): Unit = lock.withLock { newerLeaderSuspected = false }
+    /** Records that the leader key in the store is still this node's own, so that there is no newer leader. */
+    fun dismissNewerLeader(): Unit = lock.withLock { isNewerLeaderSuspected = false }
 }
--- a/src/main/kotlin/mountmast/coordination/election/LeaseRenewal.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaseRenewal.kt
@@ -4,21 +4,21 @@
 import mountmast.storage.Keys
 import mountmast.storage.StateStore
 
-/** Renews the store lease by which this node leads. Confined to the thread that calls [LeaderElection.step]. */
+/** Renews the store lease of this node while it leads. Confined to the thread that calls [LeaderElection.step]. */
 internal class LeaseRenewal(private val store: StateStore, private val leadership: LeadershipState, private val clock: Clock) {
     /**
-     * Renews [lease], or steps down if it has expired or another node leads. Throws [mountmast.storage.StoreException] if the
-     * store does not serve; the lease may then have been renewed all the same.
+     * Renews [lease], or steps down if the lease has expired or the leader key shows another leader. Throws
+     * [mountmast.storage.StoreException] if the store does not serve; the store may have renewed the lease even then.
      */
     fun renew(lease: LeaderLease) {
         val requestedAt = clock.now()
         if (!store.keepAlive(lease.storeLease)) return leadership.stepDown()
-        leadership.confirm(requestedAt)
+        leadership.recordRenewal(requestedAt)
         if (leadership.suspectsNewerLeader) checkLeaderKey(lease)
     }
 
-    /** Only the store knows whether there is a newer leader: a forged token must not end a term. */
+    /** Steps down if the leader key has changed. A higher token alone is no reason to step down, because it may be forged. */
     private fun checkLeaderKey(lease: LeaderLease) {
-        if (store.get(Keys.LEADER)?.modRevision == lease.modRevision) leadership.dismissSuspicion() else leadership.stepDown()
+        if (store.get(Keys.LEADER)?.modRevision == lease.modRevision) leadership.dismissNewerLeader() else leadership.stepDown()
     }
 }
--- a/src/main/kotlin/mountmast/coordination/election/LeaseTiming.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaseTiming.kt
@@ -3,16 +3,16 @@
 import mountmast.protocol.WallTime
 
 /**
- * How long leaders may act without the store, derived from what workers and users are promised. All durations are in
- * milliseconds.
+ * Durations that bound how long a leader may act without an answer from the store. They are derived from the promised duration of
+ * workers' leases and the promised time to carry out a cancellation. All are in milliseconds.
  *
  * @property ttlMs time to live of the leader's store lease
- * @property graceMs for how long after its store lease may have expired a leader goes on renewing workers' leases
+ * @property graceMs how long a leader goes on renewing workers' leases after its own store lease may have expired
  * @property leaseMs duration of a worker's lease, by the worker's clock
- * @property clockOffMs bound on the difference of any node's time of day from the true one
+ * @property clockOffMs bound on the difference between any node's time of day and the true time, in either direction
  * @property heartbeatIntervalMs interval at which workers send heartbeats
- * @property informedMs for how long after the last moment up to which every cancellation is known workers' leases may be renewed: a
- *   lease that is renewed then expires before a cancellation just after that moment has to be carried out
+ * @property informedMs how old a node's knowledge of the cancellations may be while it renews workers' leases: even a lease
+ *   renewed at that age expires before the first cancellation that the node may not know has to be carried out
  */
 data class LeaseTiming(
     val ttlMs: Long,
@@ -22,64 +22,68 @@
     val heartbeatIntervalMs: Long,
     val informedMs: Long,
 ) {
-    /** After this long without an answer from a leader a worker has stopped its tasks, clock drift included. */
-    val leaseExpiryMs: Long get() = drifted(leaseMs) + MARGIN_MS
+    /** Time after the last renewal of a worker's lease by which the worker has stopped its tasks, with an allowance for clock drift. */
+    val leaseExpiryMs: Long get() = addClockDrift(leaseMs) + MARGIN_MS
 
     /**
-     * A worker that was silent for this long has missed a heartbeat: two of the longest intervals, and the pause before it tries
-     * another node. A leader that no worker reaches resigns after the same time; where leases are short, a longer one would leave
-     * its successor no time to renew them (docs/incidents/inc-4deb.md; `LeaseTimingTest`).
+     * Time without a heartbeat after which a worker counts as silent: two of the longest heartbeat intervals, and the pause before
+     * the worker tries another node. A leader that no worker reaches resigns after the same time. If workers' leases are short, a
+     * longer time would leave its successor too little to renew them (docs/incidents/inc-4deb.md; `LeaseTimingTest`).
      */
-    val quietMs: Long get() = (heartbeatIntervalMs * QUIET_HEARTBEATS).toLong() + RETRY_MS
+    val quietMs: Long get() = (heartbeatIntervalMs * SILENCE_HEARTBEAT_INTERVALS).toLong() + HEARTBEAT_RETRY_PAUSE_MS
 
-    /** How long a cancellation that another node broadcast is remembered: until all tasks of the job have certainly ended. */
+    /** How long a node retains a broadcast cancellation: until all tasks of the cancelled job have certainly ended. */
     val cancellationBroadcastMs: Long get() = 2 * (informedMs + leaseExpiryMs)
 
-    /** For this long after its election a leader must assume that the previous one still renews workers' leases. */
-    val formerLeaderMs: Long get() = drifted(graceMs) + MARGIN_MS
+    /** Time after its election during which a leader must assume that the former leader still renews workers' leases. */
+    val formerLeaderMs: Long get() = addClockDrift(graceMs) + MARGIN_MS
 
     /**
-     * For this long after its election other nodes may renew workers' leases on behalf of a leader: one that has just started is
-     * too slow for all workers at once, and their leases would expire.
+     * Time after a leader's election during which other nodes may renew workers' leases on its behalf. A newly elected leader is
+     * too slow to answer all workers at once, and without this delegation their leases would expire.
      */
     val delegationMs: Long get() = minOf(MAX_DELEGATION_MS, graceMs)
 
-    /** Returns until when, by any node's time of day, delegates may renew leases for a leader elected at [since] by its own. */
-    fun delegationUntil(since: WallTime): WallTime = WallTime(since.ms + delegationMs - 2 * clockOffMs - MARGIN_MS)
+    /**
+     * Returns the end of the delegation by the time of day of any node, for a leader whose election began at [electionStartedAt] by the
+     * leader's time of day. The clocks of the two nodes may be off in opposite directions.
+     */
+    fun delegationUntil(electionStartedAt: WallTime): WallTime = WallTime(electionStartedAt.ms + delegationMs - 2 * clockOffMs - MARGIN_MS)
 
     /**
-     * Returns until when, by any node's time of day, a node that knows no cancellation after [watermark] may renew workers' leases.
+     * Returns until when, by the time of day of any node, a node that knows no cancellation after [watermark] may renew workers'
+     * leases. The clock that set the watermark and that of the node may be off in opposite directions.
      */
     fun uninformedUntil(watermark: WallTime): WallTime = WallTime(watermark.ms + informedMs - 2 * clockOffMs - MARGIN_MS)
 
     companion object {
         private const val MARGIN_MS = 500L
         private const val MAX_DELEGATION_MS = 8000L
-        private const val RETRY_MS = 1000L
-        private const val QUIET_HEARTBEATS = 2.5
+        private const val HEARTBEAT_RETRY_PAUSE_MS = 1000L
+        private const val SILENCE_HEARTBEAT_INTERVALS = 2.5
 
-        /** A quarter was too little: one renewal that timed out ended a leader's term (docs/incidents/inc-0e16.md; `LeaseTimingTest`). */
-        private const val TTL_LEASE_SHARE = 0.35
+        /** With 0.25, a single renewal that timed out ended the leader's term (docs/incidents/inc-0e16.md; `LeaseTimingTest`). */
+        private const val TTL_PER_WORKER_LEASE = 0.35
         private const val MIN_TTL_MS = 2000L
         private const val MAX_TTL_MS = 5000L
         private const val MAX_GRACE_MS = 60_000L
         private const val MS_PER_S = 1000
 
-        /** For kills, checkpoints and the network, once the last lease has expired. */
+        /** Time for network delays, checkpoints and kills of tasks after the last worker's lease has expired. */
         private const val CANCEL_RESERVE_MS = 3000L
 
-        /** Twice the promised bound of 0.05% on clock drift, once for either clock. */
-        private fun drifted(ms: Long) = ms + ms / 1000 + 1
+        /** Returns [ms] lengthened by at least 0.1%: the promised bound on clock drift is 0.05% for each of the two clocks. */
+        private fun addClockDrift(ms: Long) = ms + ms / 1000 + 1
 
         /**
-         * Returns the timing for workers' leases of [leaseS] seconds and for cancellations that are carried out within [cancelS]
-         * seconds. The grace period ends early enough for a task that only a partitioned leader can reach to end within that time:
-         * the store lease, the grace period and the worker's lease follow one another.
+         * Returns the timing for workers' leases of [leaseS] seconds and cancellations that must be carried out within [cancelS]
+         * seconds. The grace period is limited so that the store lease, the grace period and the worker's lease, one after
+         * another, end before [cancelS]: then a task that only a partitioned leader can reach ends in time.
          */
         fun of(leaseS: Double, cancelS: Double, clockOffMs: Double, heartbeatIntervalS: Double): LeaseTiming {
             val leaseMs = (leaseS * MS_PER_S).toLong()
-            // A successor must be elected, and be found by the workers, well before their leases expire.
-            val ttlMs = (leaseMs * TTL_LEASE_SHARE).toLong().coerceIn(MIN_TTL_MS, MAX_TTL_MS)
+            // After a leader fails, a successor must be elected and found by the workers well before the workers' leases expire.
+            val ttlMs = (leaseMs * TTL_PER_WORKER_LEASE).toLong().coerceIn(MIN_TTL_MS, MAX_TTL_MS)
             val informedMs = (cancelS * MS_PER_S).toLong() - leaseMs - CANCEL_RESERVE_MS
             return LeaseTiming(
                 ttlMs = ttlMs,
--- a/src/main/kotlin/mountmast/coordination/election/RenewalDelegation.kt
+++ b/src/main/kotlin/mountmast/coordination/election/RenewalDelegation.kt
@@ -5,24 +5,26 @@
 import mountmast.protocol.WallTime
 import mountmast.storage.LeaderRecord
 
-/** Whether this node may renew workers' leases on behalf of a leader that was just elected. Thread-safe, without a lock. */
+/** Decides whether this node may renew workers' leases on behalf of a newly elected leader. Thread-safe, without a lock. */
 internal class RenewalDelegation(private val leadership: Leadership, private val timing: LeaseTiming, private val clock: Clock) {
+    /** Renewals under [token] are allowed until the time of day [until]. */
     private class Delegation(val token: FencingToken, val until: WallTime)
 
     @Volatile
     private var delegation: Delegation? = null
 
-    /** Records that another node leads, as its [record] says. */
+    /** Records that another node leads, as read from its [record] in the store. */
     fun observe(record: LeaderRecord) {
-        // Like a new leader, a delegate does not know the cancellations after the watermark.
+        // A delegate knows no cancellation after the watermark, just like a new leader that has not loaded its state.
         val until = minOf(timing.delegationUntil(record.since), timing.uninformedUntil(record.watermark))
         delegation = Delegation(record.token, until)
     }
 
-    /** Returns the token under which this node may renew workers' leases now, or null if it may not. */
+    /** Returns the fencing token under which this node may renew workers' leases now, or null if it may not. */
     fun token(): FencingToken? {
         val current = delegation ?: return null
-        // In this order: a node that becomes leader raises the highest token, so a delegation that it had before stays invalid.
+        // The highest token is compared before the leader lease is read. A node that becomes leader raises its highest token, so
+        // an earlier delegation stays invalid even after the node steps down.
         val isNewest = current.token == leadership.highestToken && current.token.number > 0u
         return current.token.takeIf { isNewest && leadership.leaderLease == null && clock.wall() < current.until }
     }
--- a/src/main/kotlin/mountmast/coordination/election/VacancyWatch.kt
+++ b/src/main/kotlin/mountmast/coordination/election/VacancyWatch.kt
@@ -10,29 +10,29 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leadership")
 
-/** How a wait for a vacancy of the leadership ended. */
+/** How a wait for the leadership to become vacant ended. */
 enum class VacancyWait {
-    /** The leader key was watched, until it changed or the time was over; the next election step is due at once. */
+    /** The leader key was watched until it changed or the wait timed out; the next election step is due at once. */
     WATCHED,
 
-    /** There is nothing to wait for: no other node is known to lead, or this node may not be elected for now. */
+    /** The leader key was not watched: no other node is known to lead, or this node has resigned lately and may not be elected. */
     NOT_NEEDED,
 
-    /** The store did not serve the watch. */
+    /** The store failed or refused the watch of the leader key. */
     FAILED,
 }
 
-/** Watches the key of another leader. Confined to the thread that calls [LeaderElection.step]. */
+/** Watches the leader key while another node leads. Confined to the thread that calls [LeaderElection.step]. */
 internal class VacancyWatch(private val store: StateStore, private val leadership: LeadershipState) {
-    /** Every change of the leader key up to this revision has been seen. */
+    /** This node has seen every change of the leader key up to this revision. */
     private var observedUpTo = Revision(0u)
 
-    /** Records that the leader key was read at [modRevision] and named another node. */
+    /** Records that the leader key was read, was last modified at [modRevision] and names another node. */
     fun observe(modRevision: ModRevision) {
         observedUpTo = maxOf(observedUpTo, Revision(modRevision.number))
     }
 
-    /** Waits up to [waitMs] milliseconds for the key of another leader to change. */
+    /** Waits for the leader key to change, for at most [waitMs] milliseconds, if another node is known to lead. */
     fun await(waitMs: Long): VacancyWait {
         if (!leadership.followsOtherLeader) return VacancyWait.NOT_NEEDED
         return try {
--- a/src/main/kotlin/mountmast/coordination/membership/FormatNegotiation.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/FormatNegotiation.kt
@@ -21,20 +21,21 @@
 private val log = LoggerFactory.getLogger("mountmast.formats")
 
 /**
- * Negotiates whether every node of the deployment reads [FORMAT_VERSION], so that records of that version may be written. During an
- * upgrade processes of two versions work on the same data, and one that ends before its upgrade restarts as the old version and
- * may lead.
+ * Determines when every node of the deployment reads [FORMAT_VERSION], so that records of that version may be written. During an
+ * upgrade, processes of two versions work on the same data, and a process that ends before its upgrade restarts as the old version
+ * and may become leader.
  *
- * Each node sends its version in its peer heartbeats. A node that has received the current version from all [members] stores
- * that, and every node reads it there, also after a restart. An upgraded process never restarts as the old version, so the
- * result holds for good.
+ * Each node sends the version that it reads in its peer heartbeats. A node that has received [FORMAT_VERSION] from all [members]
+ * stores that version, and every node reads it from the store, also after a restart. An upgraded process never restarts as the old
+ * version, so the result stays valid.
  *
  * [step] is confined to one thread; [recordVersion] and [isCurrent] are thread-safe, without a lock.
  */
 class FormatNegotiation(private val store: StateStore, private val members: List<NodeId>) {
+    /** The members that have sent [FORMAT_VERSION] or a later version. */
     private val currentMembers = ConcurrentHashMap.newKeySet<NodeId>()
 
-    /** Revision of the stored record when it was last read, or null if it must be read before it may be written. */
+    /** Revision of the stored format record when it was last read, or null if the record must be read before it may be written. */
     private var storedModRevision: ModRevision? = null
     private var stepsSinceRead = 0
 
@@ -43,29 +44,29 @@
     var isCurrent = members.isEmpty()
         private set
 
-    /** Records that a heartbeat of [member] named [formatVersion] as the version that it reads; 0 if it named none. */
+    /** Records that a heartbeat of [member] named [formatVersion] as the version that the member reads; 0 if it named none. */
     fun recordVersion(member: NodeId, formatVersion: Int) {
         if (formatVersion >= FORMAT_VERSION && member in members) currentMembers += member
     }
 
     /**
-     * Continues the negotiation until all nodes are known to be current, by at most one call to the store. Called about once a
-     * second; a store that does not serve is asked again by a later step.
+     * Reads or writes the stored version, with at most one call to the store, until every node is known to read [FORMAT_VERSION].
+     * Called about once a second. A call that fails is repeated by a later step; the exception is not passed on.
      */
     fun step() {
-        // A call that is not answered would delay what else its thread has to do.
+        // A call to an unreachable store would delay the other work of this thread until the call timed out.
         if (isCurrent || !store.isReachable) return
         try {
             val modRevision = storedModRevision
             when {
                 modRevision == null -> readStoredVersion()
                 currentMembers.containsAll(members) -> writeStoredVersion(modRevision)
-                ++stepsSinceRead >= READ_EVERY_STEPS -> readStoredVersion()
+                ++stepsSinceRead >= READ_INTERVAL_STEPS -> readStoredVersion()
             }
         } catch (e: StoreException) {
-            // A write without an answer may have been committed, or may still be.
+            // A write that got no answer may have been committed or may be committed later, so the record must be read again.
             storedModRevision = null
-            log.debug("format negotiation: {}", e.message)
+            log.debug("reading or writing the stored format version failed: {}", e.message)
         }
     }
 
@@ -74,13 +75,16 @@
         stepsSinceRead = 0
         val version = if (entry == null) 0 else decodeVersion(entry.value)
         when {
-            version == null -> log.warn("the record of the negotiated format is unreadable")
+            version == null -> log.warn("the stored record of the format version cannot be decoded")
             version >= FORMAT_VERSION -> becomeCurrent()
             else -> storedModRevision = entry?.modRevision ?: ModRevision.ABSENT
         }
     }
 
-    /** Compares the revision that was read, so that a late write cannot overwrite what a later version of the code wrote. */
+    /**
+     * Writes [FORMAT_VERSION] if the record still has [modRevision], at which it was read: a write that the store executes late
+     * cannot overwrite what a later version of this program wrote.
+     */
     private fun writeStoredVersion(modRevision: ModRevision) {
         val record = WireJson.encodeToJsonElement(FormatRecord(FORMAT_VERSION))
         val transaction = Transaction(listOf(Compare(Keys.FORMAT, modRevision)), listOf(Write.Put(Keys.FORMAT, record)))
@@ -92,10 +96,10 @@
 
     private fun becomeCurrent() {
         isCurrent = true
-        log.info("all nodes read format version={}", FORMAT_VERSION)
+        log.info("all nodes of the deployment read format version={}", FORMAT_VERSION)
     }
 
-    /** Returns null if [value] is of no known form. */
+    /** Returns the version in the stored format record [value], or null if it cannot be decoded. */
     private fun decodeVersion(value: JsonElement): Int? = try {
         WireJson.decodeFromJsonElement<FormatRecord>(value).version
     } catch (e: IllegalArgumentException) {
@@ -103,6 +107,6 @@
     }
 
     private companion object {
-        const val READ_EVERY_STEPS = 10
+        const val READ_INTERVAL_STEPS = 10
     }
 }
--- a/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
@@ -11,8 +11,8 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /**
- * Exchanges heartbeats with the other nodes, remembers their latest ones and forwards requests to a node that can serve them.
- * Thread-safe, without a lock; a peer that cannot be reached is left out, without an exception.
+ * Exchanges heartbeats with the other nodes, keeps the latest heartbeat of each, and forwards users' requests to a node that can
+ * serve them. Thread-safe, without a lock. A peer that cannot be reached is skipped; no exception is thrown.
  */
 class PeerMembership(
     private val members: List<Member>,
@@ -26,7 +26,7 @@
         /** Returns the heartbeat that this node sends now, without cancellations. */
         fun ownHeartbeat(): PeerHeartbeat
 
-        /** Called with each [peerHeartbeat] that another node sends, by itself or as a response. */
+        /** Called with each [peerHeartbeat] of another node, whether received as a request or as the response to one. */
         fun onPeerHeartbeat(peerHeartbeat: PeerHeartbeat)
     }
 
@@ -34,16 +34,16 @@
 
     private val latestHeartbeats = ConcurrentHashMap<NodeId, ReceivedHeartbeat>()
 
-    /** Whether all other nodes were sent a heartbeat once; until then it is unknown whether any of them serves. */
+    /** Whether this node has sent a heartbeat to every other node; before that, it is unknown whether any of them serves users. */
     @Volatile
     var hasExchangedHeartbeats = false
         private set
 
-    /** Returns how many other nodes serve users, by their heartbeats of the last six seconds. */
+    /** Returns how many other nodes serve users, according to their heartbeats received in the last six seconds. */
     fun countServing(): Int = freshHeartbeats().count { it.serves }
 
     private fun freshHeartbeats(): List<PeerHeartbeat> =
-        latestHeartbeats.values.filter { clock.now() - it.receivedAt < FRESH_MS }.map { it.heartbeat }
+        latestHeartbeats.values.filter { clock.now() - it.receivedAt < MAX_HEARTBEAT_AGE_MS }.map { it.heartbeat }
 
     /** Exchanges heartbeats with all other nodes, one after another. */
     fun exchangeHeartbeats() {
@@ -51,7 +51,7 @@
         hasExchangedHeartbeats = true
     }
 
-    /** Exchanges heartbeats with [node] at once, unless it has been silent lately. */
+    /** Exchanges heartbeats with [node] at once, provided that a heartbeat of it was received in the last six seconds. */
     fun exchangeHeartbeatIfAlive(node: NodeId) {
         if (freshHeartbeats().any { it.node == node.text }) members.firstOrNull { it.node == node }?.let(::exchangeHeartbeatWith)
     }
@@ -63,7 +63,7 @@
         recordHeartbeat(response)
     }
 
-    /** Records the heartbeat of another node and returns this node's own. */
+    /** Records the heartbeat [from] another node and returns this node's own as the response. */
     fun onHeartbeat(from: PeerHeartbeat): PeerHeartbeat {
         recordHeartbeat(from)
         return localNode.ownHeartbeat()
@@ -74,7 +74,7 @@
         localNode.onPeerHeartbeat(heartbeat)
     }
 
-    /** Forwards [request] to another node and returns its answer. Returns null if no node serves or that one does not answer. */
+    /** Forwards [request] to a node that serves users and returns its answer, or null if there is none or it does not answer. */
     fun forward(request: ForwardedRequest): UserAnswer? {
         val serving = freshHeartbeats().firstOrNull { it.serves } ?: return null
         val member = members.firstOrNull { it.node.text == serving.node } ?: return null
@@ -83,7 +83,7 @@
     }
 
     private companion object {
-        /** Three intervals of peer heartbeats. */
-        const val FRESH_MS = 6000L
+        /** A heartbeat up to three peer heartbeat intervals old counts as fresh. */
+        const val MAX_HEARTBEAT_AGE_MS = 6000L
     }
 }
--- a/src/test/kotlin/mountmast/coordination/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/mountmast/coordination/election/LeaderElectionTest.kt
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** One election between processes that share a store in virtual time. */
+/** Tests elections between processes that share a simulated store in virtual time. */
 class LeaderElectionTest {
     private val time = VirtualTime()
     private val standIn = StandInStore(time)
@@ -148,18 +148,18 @@
     fun `an election whose answer was lost is resolved, and counted once`() {
         for (seed in 1L..40L) {
             val faults = ProcessFaults(time).apply { lossRate = 0.5 }
-            val lossy = StandInStore(time).View(Random(seed), faults)
+            val lossyStore = StandInStore(time).View(Random(seed), faults)
             val metrics = Metrics()
-            val election = LeaderElection(lossy, NodeId("node-0"), "1", timing, time.clock(0.0, 0), metrics)
+            val election = LeaderElection(lossyStore, NodeId("node-0"), "1", timing, time.clock(0.0, 0), metrics)
             while (election.leaderLease == null) {
                 time.advance(STEP_MS)
                 election.step()
             }
             faults.lossRate = 0.0
-            val key = checkNotNull(lossy.get(Keys.LEADER))
+            val key = checkNotNull(lossyStore.get(Keys.LEADER))
             assertEquals(key.modRevision, election.leaderLease?.modRevision, "seed $seed")
             assertEquals(1, metrics.counter(MetricNames.ELECTIONS).value, "seed $seed")
-            assertEquals(FencingToken(0u).firstOfNextTerm(), election.leaderLease?.token, "seed $seed: no election was lost")
+            assertEquals(FencingToken(0u).firstOfNextTerm(), election.leaderLease?.token, "seed $seed: only one term may have begun")
         }
     }
 
--- a/src/test/kotlin/mountmast/coordination/election/LeaseTimingTest.kt
+++ b/src/test/kotlin/mountmast/coordination/election/LeaseTimingTest.kt
@@ -8,7 +8,7 @@
 class LeaseTimingTest {
     private fun timing(leaseS: Double, cancelS: Double) = LeaseTiming.of(leaseS, cancelS, clockOffMs = 29.5, heartbeatIntervalS = 1.5)
 
-    /** With a quarter of the worker's lease a single renewal that timed out ended a term: docs/incidents/inc-0e16.md. */
+    /** With 0.25 of a worker's lease, a single renewal that timed out ended a leader's term (docs/incidents/inc-0e16.md). */
     @Test
     fun `a leader lease is 0,35 of a worker's lease, between 2 and 5 seconds`() {
         assertEquals(3500, timing(leaseS = 10.0, cancelS = 40.0).ttlMs)
@@ -25,7 +25,10 @@
         }
     }
 
-    /** With a floor of 6 s a leader that no worker reached resigned too late for its successor: docs/incidents/inc-4deb.md. */
+    /**
+     * With a minimum of 6 s, a leader that no worker reached resigned too late for its successor to renew the workers' leases
+     * (docs/incidents/inc-4deb.md).
+     */
     @Test
     fun `a worker is silent after two and a half intervals and one retry`() {
         assertEquals(4750, timing(leaseS = 10.0, cancelS = 40.0).quietMs)
--- a/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The negotiation of one node with a store in virtual time; the last test has three nodes. */
+/** Tests the format negotiation of one node with a simulated store in virtual time; the last test runs three nodes. */
 class FormatNegotiationTest {
     private val time = VirtualTime()
     private val standIn = StandInStore(time)
@@ -34,7 +34,7 @@
     private val third = NodeId("node-2")
     private val members = listOf(other, third)
 
-    private fun negotiation(at: StateStore = store) = FormatNegotiation(at, members)
+    private fun negotiation(stateStore: StateStore = store) = FormatNegotiation(stateStore, members)
 
     private fun FormatNegotiation.recordAllMembersAsCurrent() = members.forEach { recordVersion(it, FORMAT_VERSION) }
 
@@ -135,45 +135,45 @@
         assertFalse(second.isCurrent)
         second.step()
         assertTrue(second.isCurrent)
-        assertEquals(1, standIn.writes - 1, "the second write must not have been carried out")
+        assertEquals(1, standIn.writes - 1, "the write of the second node must not have been executed")
     }
 
     @Test
     fun `a write whose answer is lost is read back, or repeated if it was lost itself`() {
         for (seed in 1L..40L) {
-            val lossy = ProcessFaults(time).apply { lossRate = 0.6 }
-            val viewedStore = StandInStore(time).View(Random(seed), lossy)
-            val negotiation = negotiation(viewedStore)
+            val lossFaults = ProcessFaults(time).apply { lossRate = 0.6 }
+            val faultyStore = StandInStore(time).View(Random(seed), lossFaults)
+            val negotiation = negotiation(faultyStore)
             negotiation.recordAllMembersAsCurrent()
             repeat(200) {
                 negotiation.step()
                 time.advance(1000)
             }
             assertTrue(negotiation.isCurrent, "seed $seed")
-            assertEquals(record(FORMAT_VERSION), viewedStore.get(Keys.FORMAT)?.value, "seed $seed")
+            assertEquals(record(FORMAT_VERSION), faultyStore.get(Keys.FORMAT)?.value, "seed $seed")
         }
     }
 
     @Test
     fun `late writes neither fail a negotiation nor lower a later version`() {
         for (seed in 1L..40L) {
-            val late = ProcessFaults(time).apply { lateWritesUntil = time.now + 60_000 }
-            val viewedStore = StandInStore(time).View(Random(seed), late)
-            val negotiation = negotiation(viewedStore)
+            val lateWriteFaults = ProcessFaults(time).apply { lateWritesUntil = time.now + 60_000 }
+            val faultyStore = StandInStore(time).View(Random(seed), lateWriteFaults)
+            val negotiation = negotiation(faultyStore)
             negotiation.recordAllMembersAsCurrent()
             negotiation.stepTimes(2)
-            val entry = viewedStore.get(Keys.FORMAT)
+            val entry = faultyStore.get(Keys.FORMAT)
             while (true) {
                 val compare = Compare(Keys.FORMAT, entry?.modRevision ?: ModRevision.ABSENT)
                 val write = Write.Put(Keys.FORMAT, record(FORMAT_VERSION + 1))
-                if (runCatching { viewedStore.commit(Transaction(listOf(compare), listOf(write))) }.isSuccess) break
+                if (runCatching { faultyStore.commit(Transaction(listOf(compare), listOf(write))) }.isSuccess) break
             }
             repeat(60) {
                 time.advance(1000)
                 negotiation.step()
             }
             assertTrue(negotiation.isCurrent, "seed $seed")
-            assertEquals(record(FORMAT_VERSION + 1), viewedStore.get(Keys.FORMAT)?.value, "seed $seed")
+            assertEquals(record(FORMAT_VERSION + 1), faultyStore.get(Keys.FORMAT)?.value, "seed $seed")
         }
     }
 
