--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
@@ -98,7 +98,7 @@
         }
 
     /** The worker of a machine that was running when this leader's term began sends a heartbeat within this time, or never. */
-    private val firstHeartbeatMs get() = timing.quietMs + SLOW_NODE_MARGIN_MS
+    private val firstHeartbeatMs get() = timing.silenceTimeoutMs + SLOW_NODE_MARGIN_MS
 
     private class TypedOffering(val offering: MachineOffering, val type: MachineType)
 
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -50,7 +50,7 @@
     private val invariants = Invariants(metrics)
     private val wakeLag = metrics.timing(MetricNames.WAKE_LAG)
     private val election = LeaderElection(store, settings.node, run, timing, clock, metrics)
-    private val cancellations = CancellationBroadcast(settings.members.map { it.node }, clock, timing.cancellationBroadcastMs)
+    private val cancellations = CancellationBroadcast(settings.members.map { it.node }, clock, timing.cancellationRetentionMs)
     private val leaseRenewalDelegate = LeaseRenewalDelegate(election, cancellations)
 
     /** Whether every node of the deployment reads the current forms. */
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -138,7 +138,7 @@
      * response renews must expire before the first cancellation that may be unknown has to be carried out.
      */
     fun mayRenewWorkerLeases(): Boolean = lock.withLock {
-        if (isLoaded) jobs.stalenessMs(clock.now()) < timing.informedMs else clock.wall() < timing.uninformedUntil(leaderLease.watermark)
+        if (isLoaded) jobs.stalenessMs(clock.now()) < timing.maxStalenessMs else clock.wall() < timing.renewalUntil(leaderLease.watermark)
     }
 
     /** For how long cancellations may have gone unnoticed, in milliseconds, or null before the state is loaded. */
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -65,7 +65,7 @@
         val machines = ArrayList<MachineView>(cluster.machines.size)
         for (machine in cluster.machines.values) {
             // Whoever reaches no controller loses its tasks with its lease, although direct commands may still reach it.
-            if (!machine.isUsable(now) || now - machine.lastHeartbeatAt > timing.quietMs) continue
+            if (!machine.isUsable(now) || now - machine.lastHeartbeatAt > timing.silenceTimeoutMs) continue
             machines += currentView(machine) ?: continue
         }
         if (cachedViews.size > machines.size) dropUnused()
--- a/src/main/kotlin/mountmast/coordination/election/LeaseTiming.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaseTiming.kt
@@ -8,35 +8,35 @@
  *
  * @property ttlMs time to live of the leader's store lease
  * @property graceMs how long a leader goes on renewing workers' leases after its own store lease may have expired
- * @property leaseMs duration of a worker's lease, by the worker's clock
- * @property clockOffMs bound on the difference between any node's time of day and the true time, in either direction
+ * @property workerLeaseMs duration of a worker's lease, by the worker's clock
+ * @property maxClockOffsetMs bound on the difference between any node's time of day and the true time, in either direction
  * @property heartbeatIntervalMs interval at which workers send heartbeats
- * @property informedMs how old a node's knowledge of the cancellations may be while it renews workers' leases: even a lease
+ * @property maxStalenessMs how old a node's knowledge of the cancellations may be while it renews workers' leases: even a lease
  *   renewed at that age expires before the first cancellation that the node may not know has to be carried out
  */
 data class LeaseTiming(
     val ttlMs: Long,
     val graceMs: Long,
-    val leaseMs: Long,
-    val clockOffMs: Long,
+    val workerLeaseMs: Long,
+    val maxClockOffsetMs: Long,
     val heartbeatIntervalMs: Long,
-    val informedMs: Long,
+    val maxStalenessMs: Long,
 ) {
     /** Time after the last renewal of a worker's lease by which the worker has stopped its tasks, with an allowance for clock drift. */
-    val leaseExpiryMs: Long get() = addClockDrift(leaseMs) + MARGIN_MS
+    val leaseExpiryMs: Long get() = addClockDrift(workerLeaseMs) + MARGIN_MS
 
     /**
-     * Time without a heartbeat after which a worker counts as silent: two of the longest heartbeat intervals, and the pause before
+     * Time without a heartbeat after which a worker has missed one: two of the longest heartbeat intervals, and the pause before
      * the worker tries another node. A leader that no worker reaches resigns after the same time. If workers' leases are short, a
      * longer time would leave its successor too little to renew them (docs/incidents/inc-4deb.md; `LeaseTimingTest`).
      */
-    val quietMs: Long get() = (heartbeatIntervalMs * SILENCE_HEARTBEAT_INTERVALS).toLong() + HEARTBEAT_RETRY_PAUSE_MS
+    val silenceTimeoutMs: Long get() = (heartbeatIntervalMs * SILENCE_TIMEOUT_INTERVALS).toLong() + HEARTBEAT_RETRY_PAUSE_MS
 
     /** How long a node retains a broadcast cancellation: until all tasks of the cancelled job have certainly ended. */
-    val cancellationBroadcastMs: Long get() = 2 * (informedMs + leaseExpiryMs)
+    val cancellationRetentionMs: Long get() = 2 * (maxStalenessMs + leaseExpiryMs)
 
     /** Time after its election during which a leader must assume that the former leader still renews workers' leases. */
-    val formerLeaderMs: Long get() = addClockDrift(graceMs) + MARGIN_MS
+    val formerLeaderGraceMs: Long get() = addClockDrift(graceMs) + MARGIN_MS
 
     /**
      * Time after a leader's election during which other nodes may renew workers' leases on its behalf. A newly elected leader is
@@ -45,22 +45,22 @@
     val delegationMs: Long get() = minOf(MAX_DELEGATION_MS, graceMs)
 
     /**
-     * Returns the end of the delegation by the time of day of any node, for a leader whose election began at [electionStartedAt] by the
+     * Returns the end of the delegation by the time of day of any node, for a leader whose election began at [startedAt] by the
      * leader's time of day. The clocks of the two nodes may be off in opposite directions.
      */
-    fun delegationUntil(electionStartedAt: WallTime): WallTime = WallTime(electionStartedAt.ms + delegationMs - 2 * clockOffMs - MARGIN_MS)
+    fun delegationUntil(startedAt: WallTime): WallTime = WallTime(startedAt.ms + delegationMs - 2 * maxClockOffsetMs - MARGIN_MS)
 
     /**
      * Returns until when, by the time of day of any node, a node that knows no cancellation after [watermark] may renew workers'
      * leases. The clock that set the watermark and that of the node may be off in opposite directions.
      */
-    fun uninformedUntil(watermark: WallTime): WallTime = WallTime(watermark.ms + informedMs - 2 * clockOffMs - MARGIN_MS)
+    fun renewalUntil(watermark: WallTime): WallTime = WallTime(watermark.ms + maxStalenessMs - 2 * maxClockOffsetMs - MARGIN_MS)
 
     companion object {
         private const val MARGIN_MS = 500L
         private const val MAX_DELEGATION_MS = 8000L
         private const val HEARTBEAT_RETRY_PAUSE_MS = 1000L
-        private const val SILENCE_HEARTBEAT_INTERVALS = 2.5
+        private const val SILENCE_TIMEOUT_INTERVALS = 2.5
 
         /** With 0.25, a single renewal that timed out ended the leader's term (docs/incidents/inc-0e16.md; `LeaseTimingTest`). */
         private const val TTL_PER_WORKER_LEASE = 0.35
@@ -80,18 +80,18 @@
          * seconds. The grace period is limited so that the store lease, the grace period and the worker's lease, one after
          * another, end before [cancelS]: then a task that only a partitioned leader can reach ends in time.
          */
-        fun of(leaseS: Double, cancelS: Double, clockOffMs: Double, heartbeatIntervalS: Double): LeaseTiming {
-            val leaseMs = (leaseS * MS_PER_S).toLong()
+        fun of(leaseS: Double, cancelS: Double, maxClockOffsetMs: Double, heartbeatIntervalS: Double): LeaseTiming {
+            val workerLeaseMs = (leaseS * MS_PER_S).toLong()
             // After a leader fails, a successor must be elected and found by the workers well before the workers' leases expire.
-            val ttlMs = (leaseMs * TTL_PER_WORKER_LEASE).toLong().coerceIn(MIN_TTL_MS, MAX_TTL_MS)
-            val informedMs = (cancelS * MS_PER_S).toLong() - leaseMs - CANCEL_RESERVE_MS
+            val ttlMs = (workerLeaseMs * TTL_PER_WORKER_LEASE).toLong().coerceIn(MIN_TTL_MS, MAX_TTL_MS)
+            val maxStalenessMs = (cancelS * MS_PER_S).toLong() - workerLeaseMs - CANCEL_RESERVE_MS
             return LeaseTiming(
                 ttlMs = ttlMs,
-                graceMs = (informedMs - ttlMs).coerceIn(0, MAX_GRACE_MS),
-                leaseMs = leaseMs,
-                clockOffMs = Math.ceil(clockOffMs).toLong(),
+                graceMs = (maxStalenessMs - ttlMs).coerceIn(0, MAX_GRACE_MS),
+                workerLeaseMs = workerLeaseMs,
+                maxClockOffsetMs = Math.ceil(maxClockOffsetMs).toLong(),
                 heartbeatIntervalMs = (heartbeatIntervalS * MS_PER_S).toLong(),
-                informedMs = maxOf(informedMs, ttlMs),
+                maxStalenessMs = maxOf(maxStalenessMs, ttlMs),
             )
         }
     }
--- a/src/main/kotlin/mountmast/coordination/election/RenewalDelegation.kt
+++ b/src/main/kotlin/mountmast/coordination/election/RenewalDelegation.kt
@@ -16,7 +16,7 @@
     /** Records that another node leads, as read from its [record] in the store. */
     fun observe(record: LeaderRecord) {
         // A delegate knows no cancellation after the watermark, just like a new leader that has not loaded its state.
-        val until = minOf(timing.delegationUntil(record.since), timing.uninformedUntil(record.watermark))
+        val until = minOf(timing.delegationUntil(record.since), timing.renewalUntil(record.watermark))
         delegation = Delegation(record.token, until)
     }
 
--- a/src/main/kotlin/mountmast/coordination/membership/CancellationBroadcast.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/CancellationBroadcast.kt
@@ -13,7 +13,7 @@
  * cancellation to each of [members] in its peer heartbeats until that member answers one.
  *
  * A broadcast may be lost and its sender may end, so correctness never depends on one. A broadcast only stops tasks sooner
- * than the bound on renewals by nodes that do not know the cancellation (`LeaseTiming.informedMs`).
+ * than the bound on renewals by nodes that do not know the cancellation (`LeaseTiming.maxStalenessMs`).
  *
  * Thread-safe; every collection is guarded by [lock]. A cancellation is retained for [retentionMs] milliseconds, or until [MAX_RETAINED]
  * later ones are known, and removed when the next one arrives.
--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -63,7 +63,7 @@
         // A host behind a cut occupies a sending thread until the deadline of its request, and with a fifth of the fleet cut off the
         // commands to all others waited. A silent worker gets its commands in the response to its next heartbeat. Test: `RecoveryTest`,
         // "commands are not sent to machines that are silent".
-        if (now - machine.lastContactAt > context.timing.quietMs) return null
+        if (now - machine.lastContactAt > context.timing.silenceTimeoutMs) return null
         val commands = outstanding.forDelivery(machine)
         return if (commands.isEmpty()) null else sender.begin(machine, incarnation, commands)
     }
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -94,7 +94,7 @@
     private fun lostResponses(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): Int {
         val incarnation = machine.incarnation ?: return 0
         if (heartbeat.incarnation <= incarnation || machine.answeredSequence == null) return 0
-        return if (now - machine.leaseRenewedAt < context.timing.leaseMs) ReachabilityMonitor.MAX_UNACKNOWLEDGED_HEARTBEATS else 1
+        return if (now - machine.leaseRenewedAt < context.timing.workerLeaseMs) ReachabilityMonitor.MAX_UNACKNOWLEDGED_HEARTBEATS else 1
     }
 
     /**
--- a/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
@@ -25,7 +25,7 @@
      */
     fun queueAnnouncements(readyAt: MonotonicTime, now: MonotonicTime) {
         val timing = context.timing
-        if (now - readyAt !in ANNOUNCEMENT_INTERVAL_MS..timing.formerLeaderMs + timing.leaseExpiryMs) return
+        if (now - readyAt !in ANNOUNCEMENT_INTERVAL_MS..timing.formerLeaderGraceMs + timing.leaseExpiryMs) return
         for (machine in context.cluster.machines.values) if (needsAnnouncement(machine, now)) announcementQueue += machine.id
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
@@ -40,7 +40,7 @@
         val delegatedUntil = maxOf(context.leaderLease.electedAt + timing.delegationMs, readyAt)
         if (ledUntil - maxOf(machine.leaseRenewedAt, delegatedUntil) < timing.leaseExpiryMs) return false
         // Until the worker has shown our token, the leader before us may have renewed its lease during its grace.
-        return machine.hasShownCurrentTerm || ledUntil - readyAt >= timing.formerLeaderMs + timing.leaseExpiryMs
+        return machine.hasShownCurrentTerm || ledUntil - readyAt >= timing.formerLeaderGraceMs + timing.leaseExpiryMs
     }
 
     /**
@@ -63,9 +63,9 @@
         val now = context.clock.now()
         val readyAt = context.readyAt ?: return null
         val up = cluster.machines.values.filter { it.state == MachineState.UP && !it.isDeleting }
-        if (now - readyAt < timing.quietMs || up.size < ReachabilityMonitor.MIN_MACHINES_TO_JUDGE_NODE) return null
+        if (now - readyAt < timing.silenceTimeoutMs || up.size < ReachabilityMonitor.MIN_MACHINES_TO_JUDGE_NODE) return null
         when {
-            up.count { now - it.lastContactAt < timing.quietMs } * 2 < up.size -> "most workers' heartbeats do not reach this node"
+            up.count { now - it.lastContactAt < timing.silenceTimeoutMs } * 2 < up.size -> "most workers' heartbeats do not reach this node"
             reachability.areMostUnreached() -> "this node's responses and commands do not reach most workers"
             else -> null
         }
--- a/src/test/kotlin/mountmast/coordination/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/mountmast/coordination/election/LeaderElectionTest.kt
@@ -26,7 +26,7 @@
 class LeaderElectionTest {
     private val time = VirtualTime()
     private val standIn = StandInStore(time)
-    private val timing = LeaseTiming.of(leaseS = 10.0, cancelS = 40.0, clockOffMs = 0.0, heartbeatIntervalS = 1.0)
+    private val timing = LeaseTiming.of(leaseS = 10.0, cancelS = 40.0, maxClockOffsetMs = 0.0, heartbeatIntervalS = 1.0)
 
     private inner class Participant(name: String, run: String = name, val faults: ProcessFaults = ProcessFaults(time)) {
         val store = standIn.View(Random(1), faults)
--- a/src/test/kotlin/mountmast/coordination/election/LeaseTimingTest.kt
+++ b/src/test/kotlin/mountmast/coordination/election/LeaseTimingTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test
 
 class LeaseTimingTest {
-    private fun timing(leaseS: Double, cancelS: Double) = LeaseTiming.of(leaseS, cancelS, clockOffMs = 29.5, heartbeatIntervalS = 1.5)
+    private fun timing(leaseS: Double, cancelS: Double) = LeaseTiming.of(leaseS, cancelS, maxClockOffsetMs = 29.5, heartbeatIntervalS = 1.5)
 
     /** With 0.25 of a worker's lease, a single renewal that timed out ended a leader's term (docs/incidents/inc-0e16.md). */
     @Test
@@ -20,7 +20,7 @@
     fun `the leader lease, the grace period and a worker's lease end one after another before a cancellation is due`() {
         for (cancelS in 12..200) {
             val timing = timing(leaseS = 6.0, cancelS = cancelS.toDouble())
-            assertTrue(timing.ttlMs + timing.graceMs + timing.leaseMs < cancelS * 1000, "cancel_s $cancelS")
+            assertTrue(timing.ttlMs + timing.graceMs + timing.workerLeaseMs < cancelS * 1000, "cancel_s $cancelS")
             assertTrue(timing.graceMs >= 0, "cancel_s $cancelS")
         }
     }
@@ -31,14 +31,14 @@
      */
     @Test
     fun `a worker is silent after two and a half intervals and one retry`() {
-        assertEquals(4750, timing(leaseS = 10.0, cancelS = 40.0).quietMs)
+        assertEquals(4750, timing(leaseS = 10.0, cancelS = 40.0).silenceTimeoutMs)
     }
 
     @Test
     fun `times of day allow for the clocks of both nodes`() {
         val timing = timing(leaseS = 10.0, cancelS = 40.0)
-        assertEquals(30, timing.clockOffMs)
-        assertEquals(WallTime(1000 + timing.informedMs - 60 - 500), timing.uninformedUntil(WallTime(1000)))
+        assertEquals(30, timing.maxClockOffsetMs)
+        assertEquals(WallTime(1000 + timing.maxStalenessMs - 60 - 500), timing.renewalUntil(WallTime(1000)))
         assertEquals(WallTime(1000 + timing.delegationMs - 60 - 500), timing.delegationUntil(WallTime(1000)))
     }
 }
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -327,7 +327,7 @@
     private fun loaded(store: StateStore): LeaderTerm {
         val clock = time.clock(0.0, 0)
         val leaderLease = LeaderLease(FencingToken(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
-        val timing = LeaseTiming.of(leaseS = 6.0, cancelS = 24.0, clockOffMs = 30.0, heartbeatIntervalS = 1.0)
+        val timing = LeaseTiming.of(leaseS = 6.0, cancelS = 24.0, maxClockOffsetMs = 30.0, heartbeatIntervalS = 1.0)
         val lists = PrerequisiteLists(store, StateLimits(80.0, 30.0, 8.0, 16))
         val environment = LeaderTermEnvironment(store, NoWorkerClient, timing, clock, lists)
         return LeaderTerm(leaderLease, environment, emptyMap(), SchedulingPolicy()).apply { load() }
