--- a/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
@@ -34,7 +34,7 @@
 
     private val latestHeartbeats = ConcurrentHashMap<NodeId, ReceivedHeartbeat>()
 
-    /** Whether this node has sent a heartbeat to every other node; before that, it is unknown whether any of them serves users. */
+    /** Whether this node has tried to send a heartbeat to every other node; before that, it is unknown whether any of them serves users. */
     @Volatile
     var hasExchangedHeartbeats = false
         private set
