--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -63,7 +63,7 @@
         // A request to a partitioned machine occupies a delivery thread until it times out: with a fifth of the machines partitioned,
         // the commands to all others were delayed. A silent worker gets its commands in the response to its next heartbeat. Test:
         // `RecoveryTest`, "commands are not sent to machines that are silent".
-        if (now - machine.lastContactAt > context.timing.quietMs) return null
+        if (now - machine.lastContactAt > context.timing.silenceTimeoutMs) return null
         val commands = outstanding.collectForDelivery(machine)
         return if (commands.isEmpty()) null else sender.prepareRequest(machine, incarnation, commands)
     }
--- a/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
@@ -45,7 +45,7 @@
         val unrecordedRenewalsUntil = maxOf(context.leaderLease.electedAt + timing.delegationMs, readyAt)
         if (confirmedUntil - maxOf(machine.leaseRenewedAt, unrecordedRenewalsUntil) < timing.leaseExpiryMs) return false
         // Until the worker has shown this term's token, the previous leader may have renewed the worker's lease in its own grace period.
-        return machine.hasShownCurrentTerm || confirmedUntil - readyAt >= timing.formerLeaderMs + timing.leaseExpiryMs
+        return machine.hasShownCurrentTerm || confirmedUntil - readyAt >= timing.formerLeaderGraceMs + timing.leaseExpiryMs
     }
 
     /**
@@ -70,9 +70,9 @@
         val now = context.clock.now()
         val readyAt = context.readyAt ?: return null
         val up = cluster.machines.values.filter { it.state == MachineState.UP && !it.isDeleting }
-        if (now - readyAt < timing.quietMs || up.size < ReachabilityMonitor.MIN_MACHINES_TO_JUDGE_NODE) return null
+        if (now - readyAt < timing.silenceTimeoutMs || up.size < ReachabilityMonitor.MIN_MACHINES_TO_JUDGE_NODE) return null
         when {
-            up.count { now - it.lastContactAt < timing.quietMs } * 2 < up.size -> "most workers' heartbeats do not reach this node"
+            up.count { now - it.lastContactAt < timing.silenceTimeoutMs } * 2 < up.size -> "most workers' heartbeats do not reach this node"
             reachability.areMostUnreached() -> "this node's responses and commands do not reach most workers"
             else -> null
         }
