--- a/src/main/kotlin/mountmast/coordination/persistence/AdaptiveWriteLimits.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/AdaptiveWriteLimits.kt
@@ -5,28 +5,28 @@
 import mountmast.protocol.StateLimits
 
 /**
- * The write limits of this term, which fall each time the store rejects a transaction as too large: its limits may be lower than
- * the settings say, and the same transaction would be rejected again. Used by the committing thread only.
+ * The write limits of this term. They are halved each time the store rejects a transaction as too large: the store's limits may be
+ * lower than the settings say, and the same transaction would be rejected again. Used by the committing thread only.
  *
  * Test: `FallingLimitsTest`, "a leader that meets lower limits by surprise writes less at a time and goes on".
  */
 internal class AdaptiveWriteLimits(stateLimits: StateLimits, private val clock: Clock) {
     private var pausedUntil = MonotonicTime(Long.MIN_VALUE / 2)
 
-    /** The limits to keep to now. */
+    /** The limits that the next batch has to keep to. */
     var current = WriteLimits.of(stateLimits)
         private set
 
-    /** Whether the store rejected a transaction in this term. */
-    var wasRejected = false
+    /** Whether the store rejected a transaction as too large in this term. */
+    var wasTransactionRejected = false
         private set
 
-    /** Whether to send nothing for now, since the store rejected a transaction within the smallest limits. */
+    /** Whether no transaction may be sent now, since the store rejected one that was within the minimum limits. */
     fun isPaused(): Boolean = clock.now() < pausedUntil
 
-    /** Halves the limits after a rejection; where they are at their minimum, pauses for [REJECTED_PAUSE_MS]. */
+    /** Halves the limits after a rejection. If they are at their minimum already, pauses all commits for [REJECTED_PAUSE_MS]. */
     fun reduce() {
-        wasRejected = true
+        wasTransactionRejected = true
         if (current.isMinimum) pausedUntil = clock.now() + REJECTED_PAUSE_MS
         current = current.halved()
     }
--- a/src/main/kotlin/mountmast/coordination/persistence/BatchCollector.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/BatchCollector.kt
@@ -10,7 +10,7 @@
 
 /**
  * Collects what the leader has to write into batches, within the store's limits and the leader's write budget. Called by the
- * committing thread; takes the lock of [PersistenceContext], but not during a call to the store.
+ * committing thread. Takes the lock of [PersistenceContext], but never holds it during a call to the store.
  */
 internal class BatchCollector(
     private val context: PersistenceContext,
@@ -19,32 +19,32 @@
     private val writers: BatchWriters,
     private val areCompactFormsAgreed: () -> Boolean,
 ) {
-    private val largeJournal = JournalSize.forValuesOf(limits.current.valueBytes)
+    private val largeJournalSize = JournalSize.forValuesOf(limits.current.valueBytes)
 
-    /** Returns the next batch, or null if there is nothing to write, or nothing may be written yet. */
+    /** Returns the next batch, or null if there is nothing to write, the write budget is used up, or the store cannot be read. */
     fun collect(): WriteBatch? {
         val budget = store.writeBudget()
         if (budget.available <= 0) return null
         if (!writers.progress.areStoredPartsKnown && !loadStoredProgressParts()) return null
         return context.lock.withLock {
             val batch = WriteBatch(context.leaderModRevision, minOf(budget.available, limits.current.transactionOps))
-            writers.fill(batch, options(budget.isScarce))
+            writers.fill(batch, createOptions(budget.isScarce))
             batch.takeUnless { it.isEmpty }
         }
     }
 
-    private fun options(isScarce: Boolean): BatchOptions {
+    private fun createOptions(isScarce: Boolean): BatchOptions {
         val isCompact = areCompactFormsAgreed()
-        val journalSize = if (isCompact) largeJournal else JournalSize.MINIMUM
-        return BatchOptions(limits.current, journalSize, isCompact, isScarce, maySplitTypes = isCompact || limits.wasRejected)
+        val journalSize = if (isCompact) largeJournalSize else JournalSize.MINIMUM
+        return BatchOptions(limits.current, journalSize, isCompact, isScarce, maySplitTypes = isCompact || limits.wasTransactionRejected)
     }
 
-    /** Returns whether the store could be read. */
+    /** Reads which parts of the progress record earlier leaders stored; returns whether the store could be read. */
     private fun loadStoredProgressParts(): Boolean = try {
         writers.progress.setStoredParts(store.listAll(Keys.PROGRESS).first.map { it.key })
         true
     } catch (e: StoreException) {
-        log.debug("listing the parts of the progress: {}", e.message)
+        log.debug("the stored parts of the progress record cannot be listed: {}", e.message)
         false
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/BatchContributor.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/BatchContributor.kt
@@ -3,12 +3,12 @@
 import mountmast.protocol.ModRevision
 
 /**
- * How a batch is filled.
+ * Limits and forms that apply to one batch.
  *
- * @property limits sizes up to which values are filled
+ * @property limits sizes up to which values and the transaction are filled
  * @property journalSize how many slots the journal may use
  * @property isCompact whether every node reads the compressed forms
- * @property isScarce whether the leader's share of the store's writes is nearly used up, so that what can wait should
+ * @property isScarce whether the leader's quota of the store's writes is nearly used up, so that writes that can wait are put off
  * @property maySplitTypes whether machine types that do not fit into one value may be written in parts
  */
 internal class BatchOptions(
@@ -19,12 +19,15 @@
     val maySplitTypes: Boolean,
 )
 
-/** Writes one kind of value in the leader's transactions. Called with the lock of [PersistenceContext] held; does no I/O. */
+/** Adds one kind of value to the leader's batches. Called with the lock of [PersistenceContext] held; does no I/O. */
 internal interface BatchContributor {
-    /** Adds what is due to [batch], as far as it has operations left. */
+    /** Adds the values that are due to [batch], as far as it has operations left. */
     fun contribute(batch: WriteBatch, options: BatchOptions)
 
-    /** Makes the contributor write again what it added last, which may not be in the store. Does nothing for values that can be lost. */
+    /**
+     * Makes the contributor add its latest values again, since the batch that held them may not be in the store. Does nothing where a
+     * value is added anew until it is committed.
+     */
     fun requeue() = Unit
 
     /** Updates the contributor's state once [batch] was committed at [modRevision]. */
--- a/src/main/kotlin/mountmast/coordination/persistence/CancellationWatermarkWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CancellationWatermarkWriter.kt
@@ -9,8 +9,8 @@
 import mountmast.storage.Keys
 
 /**
- * Writes from when on there may be cancellations that no worker knows of, for the next leader and for the nodes that renew
- * worker leases on its behalf. Guarded by the lock of [PersistenceContext].
+ * Writes the low watermark of cancellations: tasks of jobs whose cancellation was committed before it no longer run. The next leader
+ * reads it, and so do the nodes that renew worker leases on that leader's behalf. Guarded by the lock of [PersistenceContext].
  */
 internal class CancellationWatermarkWriter(private val context: PersistenceContext, private val clock: Clock) : BatchContributor {
     private var notBefore = MonotonicTime(0)
--- a/src/main/kotlin/mountmast/coordination/persistence/CommitAttempt.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CommitAttempt.kt
@@ -9,36 +9,37 @@
 import mountmast.storage.Transaction
 import mountmast.storage.Write
 
-/** An attempt to get [batch] into the store, or to make sure that it never will be. */
+/** One attempt to commit [batch], or to make sure that no earlier attempt can commit it any more. */
 internal sealed interface CommitAttempt {
     val batch: WriteBatch
 
-    /** Nothing of [batch] was sent before. */
+    /** [batch] is sent for the first time. */
     class First(override val batch: WriteBatch) : CommitAttempt
 
-    /** [batch] is in doubt: it got no answer, and is sent word for word until its outcome is known. */
+    /** [batch] is in doubt, since an earlier attempt got no answer. The same transaction is sent until its outcome is known. */
     class Repeated(override val batch: WriteBatch) : CommitAttempt
 
     /**
-     * [batch] is in doubt, but is rejected as too large by now. An earlier attempt may still be executed, so a tombstone record, which
-     * is empty, is written into the first slot that the batch depends on.
+     * [batch] is in doubt, and the store now rejects it as too large. An earlier attempt may have been executed, or may still be. So a
+     * tombstone, a journal record without entries, is written to the slot of the batch's first record under that record's number.
+     * Once the tombstone is committed, the compare of that slot fails for every earlier attempt.
      *
      * Test: `FallingLimitsTest`, "failures of every kind meet falling limits".
      */
     class Tombstone(override val batch: WriteBatch) : CommitAttempt {
-        private val slotted = batch.journalRecords.first().let { SlottedRecord(it.slot, JournalRecord(it.number, "")) }
-        private val value = WireJson.encodeToJsonElement(slotted.record)
+        private val tombstone = batch.journalRecords.first().let { SlottedRecord(it.slot, JournalRecord(it.number, "")) }
+        private val value = WireJson.encodeToJsonElement(tombstone.record)
 
-        /** Whether [entry] holds the tombstone record. */
-        fun isStoredAs(entry: Entry): Boolean = entry.value == value
+        /** Whether [entry] holds the tombstone. */
+        fun isStoredIn(entry: Entry): Boolean = entry.value == value
 
-        /** The transaction that writes the tombstone record; the caller holds the lock of [context]. */
-        fun transaction(context: PersistenceContext) = Transaction(
+        /** Creates the transaction that writes the tombstone; the caller holds the lock of [context]. */
+        fun createTransaction(context: PersistenceContext) = Transaction(
             listOf(
                 Compare(Keys.LEADER, context.leaderModRevision),
-                Compare(slotted.key, context.journal.modRevisionOf(slotted.slot)),
+                Compare(tombstone.key, context.journal.modRevisionOf(tombstone.slot)),
             ),
-            listOf(Write.Put(slotted.key, value)),
+            listOf(Write.Put(tombstone.key, value)),
         )
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/CommittedBatchApplier.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CommittedBatchApplier.kt
@@ -11,17 +11,17 @@
 private val log = LoggerFactory.getLogger("mountmast.writer")
 
 /**
- * Applies what a committed transaction means to the cluster state: starts may be sent, ended tasks are released, finished jobs are
- * removed. Takes the lock of [PersistenceContext].
+ * Applies a committed batch to the cluster state: journaled starts may be sent to workers, assignments whose end is journaled are
+ * released, finished jobs are removed. Takes the lock of [PersistenceContext].
  */
 internal class CommittedBatchApplier(
     private val context: PersistenceContext,
     private val writers: BatchWriters,
     private val clock: Clock,
 ) {
-    /** Applies [batch], which was committed at [modRevision]. */
+    /** Applies [batch], whose transaction was committed at [modRevision]. */
     fun apply(batch: WriteBatch, modRevision: ModRevision) = context.lock.withLock {
-        context.journal.setWrittenAt(clock.now())
+        context.journal.recordCommit(clock.now())
         context.journal.append(batch.journalRecords, modRevision)
         batch.journaledChanges.forEach(::applyChange)
         if (batch.journaledChanges.any { it is PendingChange.Ended }) context.signals.requestSchedulingCycle()
@@ -32,9 +32,12 @@
         }
     }
 
-    /** Applies the tombstone record in the first slot of [batch], after which [batch] cannot be committed any more. */
+    /**
+     * Applies the tombstone that was committed at [modRevision] in the slot of the first record of [batch]. No attempt at [batch] was
+     * or can be committed, so its contents are queued again.
+     */
     fun applyTombstone(batch: WriteBatch, modRevision: ModRevision) = context.lock.withLock {
-        context.journal.setWrittenAt(clock.now())
+        context.journal.recordCommit(clock.now())
         context.journal.append(listOf(batch.journalRecords.first()), modRevision)
         writers.requeue(batch)
     }
@@ -50,7 +53,7 @@
     private fun applyStart(assignment: Assignment) {
         val wasIntended = assignment.phase == Phase.INTENDED
         assignment.markJournaled()
-        // One that ended meanwhile is never sent: its end is queued for the journal.
+        // An assignment that ended before the commit is not sent to its worker: its end is among the pending changes.
         if (wasIntended) context.onStartCommitted(assignment.machine)
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
@@ -14,8 +14,8 @@
 private val log = LoggerFactory.getLogger("mountmast.writer")
 
 /**
- * Reads keys whose compare failed and adopts what the store has there, instead of what the leader expected. Takes the lock of
- * [PersistenceContext], but not during a call to the store.
+ * Reads keys whose compare failed and replaces the leader's view of them by what the store holds. Takes the lock of
+ * [PersistenceContext], but never holds it during a call to the store.
  */
 internal class ConflictResolver(
     private val context: PersistenceContext,
@@ -23,13 +23,13 @@
     private val snapshots: SnapshotWriter,
 ) {
     /**
-     * Adopts what the store has under [key]. Throws `StoreException` if it cannot be read, and `IllegalArgumentException` if the
-     * record is unreadable.
+     * Adopts what the store holds under [key]. Throws `StoreException` if the store cannot be read, and `IllegalArgumentException` if
+     * the record cannot be decoded.
      */
     fun resolve(key: String) {
         when {
             key.startsWith(Keys.JOBS) -> Keys.jobOfKey(key)?.let { resolveJob(it, key) }
-            // A snapshot's pointer may have been committed without an answer.
+            // An earlier transaction with a snapshot's pointer may have been committed without an answer.
             key == Keys.SNAPSHOT -> resolveSnapshot()
             else -> log.error("key={} was changed by another writer", key)
         }
@@ -43,7 +43,7 @@
             when {
                 live != null -> context.jobs.applyRecord(WireJson.decodeFromJsonElement<JobRecord>(live.value), live.modRevision)
                 finished != null -> context.jobs.finished(job, WireJson.decodeFromJsonElement<FinishedJobRecord>(finished.value))
-                else -> log.error("job={} is missing from the store", id)
+                else -> log.error("job={} has neither a live nor a finished record in the store", id)
             }
         }
     }
--- a/src/main/kotlin/mountmast/coordination/persistence/FailingJobsWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/FailingJobsWriter.kt
@@ -12,9 +12,9 @@
 import mountmast.storage.jsonSize
 
 /**
- * Writes which jobs fail on every machine, as a hint. Without it each new leader started all tasks of such jobs again, and
- * preempted others for them (incident 10c7; test: `CombinedFailuresTest`, "a job that fails on every machine is not started whole
- * again by each new leader"). Guarded as its [ClusterState] is.
+ * Writes which jobs fail on every machine, as a hint for the next leader. Without the hint each new leader started all tasks of such
+ * jobs again, and preempted other tasks for them (incident 10c7; test: `CombinedFailuresTest`, "a job that fails on every machine is
+ * not started whole again by each new leader"). Guarded as its [ClusterState] is.
  */
 internal class FailingJobsWriter(private val cluster: ClusterState, private val clock: Clock) : BatchContributor {
     private var notBefore = MonotonicTime(Long.MIN_VALUE / 2)
@@ -41,7 +41,7 @@
     private companion object {
         const val INTERVAL_MS = 1000L
 
-        /** About what a job takes in the record. */
+        /** Approximate size of one job in the record, as JSON. */
         const val BYTES_PER_JOB = 200
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/FinishedJobsWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/FinishedJobsWriter.kt
@@ -6,23 +6,23 @@
 import mountmast.protocol.Shape
 import mountmast.storage.FinishedJobRecord
 
-/** Moves jobs that have finished from the live jobs to the finished ones. Guarded by the lock of [PersistenceContext]. */
+/** Replaces the live record of each finished job by its final record. Guarded by the lock of [PersistenceContext]. */
 internal class FinishedJobsWriter(private val context: PersistenceContext, private val clock: Clock) {
-    /** The completed and cancelled jobs of which nothing runs any more. */
-    fun finishedJobs(): List<Job> = context.cluster.finishing.filter { it.hasNoLiveAssignments() }
+    /** Returns the completed and cancelled jobs of which no task runs any more. */
+    fun findFinishedJobs(): List<Job> = context.cluster.finishing.filter { it.hasNoLiveAssignments() }
 
     /** Adds as many of [jobs] to [batch] as it has operations left for. */
     fun contribute(batch: WriteBatch, jobs: List<Job>) {
-        for (job in jobs) if (batch.remainingOps >= OPS_PER_JOB) batch.addFinishedJob(FinishedJob(job, finalRecord(job)))
+        for (job in jobs) if (batch.remainingOps >= OPS_PER_JOB) batch.addFinishedJob(FinishedJob(job, createFinalRecord(job)))
     }
 
-    private fun finalRecord(job: Job): FinishedJobRecord {
+    private fun createFinalRecord(job: Job): FinishedJobRecord {
         val status = if (job.isCancellationRecorded) JobStatus.CANCELLED else JobStatus.DONE
         return FinishedJobRecord(status, job.spec.tasks, clock.wall(), job.spec.shape == Shape.SERVICE)
     }
 
     companion object {
-        /** A finished job takes one put and one delete. */
+        /** A finished job takes one put of its final record and one delete of its live record. */
         const val OPS_PER_JOB = 2
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/InDoubtResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/InDoubtResolver.kt
@@ -6,26 +6,29 @@
 import mountmast.storage.JournalRecord
 import mountmast.storage.StateStore
 
-/** What became of the earlier attempts of a transaction whose compares fail now. */
+/** Outcome of the earlier attempts at a batch, as found after a compare of the latest attempt failed. */
 internal sealed interface EarlierOutcome {
-    /** One of them committed the batch, at [modRevision]. */
+    /** An earlier attempt committed the batch, at [modRevision]. */
     class BatchCommitted(val modRevision: ModRevision) : EarlierOutcome
 
-    /** One of them wrote the tombstone record, at [modRevision]: the batch was not committed and cannot be any more. */
+    /** An earlier attempt committed the tombstone, at [modRevision]: the batch was not committed and cannot be any more. */
     class TombstoneCommitted(val modRevision: ModRevision) : EarlierOutcome
 
-    /** None of them was committed, nor will be. */
+    /**
+     * No earlier attempt wrote the batch's journal records, nor will one: the compare that failed cannot hold again. A batch without
+     * journal records may have been committed all the same; then its contents are written again, or its failed compares are resolved.
+     */
     data object NotCommitted : EarlierOutcome
 }
 
 /**
- * Finds out what became of a transaction that got no answer: only this leader writes in its term, so the slot of the journal that the
- * transaction depends on shows whether it was committed.
+ * Determines the outcome of a batch in doubt, that is, one whose transaction got no answer. Only the leader writes to the journal in its
+ * term, so the slot of the batch's first journal record shows whether the batch was committed.
  */
 internal class InDoubtResolver(private val store: StateStore) {
     /**
-     * Returns what became of the attempts before [attempt], whose compares failed. Throws `StoreException` if the store cannot be
-     * read, and `IllegalArgumentException` if the journal record is unreadable.
+     * Returns the outcome of the attempts before [attempt], of which a compare failed. Throws `StoreException` if the store cannot be
+     * read, and `IllegalArgumentException` if the journal record cannot be decoded.
      */
     fun resolve(attempt: CommitAttempt): EarlierOutcome {
         if (attempt is CommitAttempt.First) return EarlierOutcome.NotCommitted
@@ -34,7 +37,7 @@
         val stored = WireJson.decodeFromJsonElement<JournalRecord>(entry.value)
         return when {
             stored.number != first.number -> EarlierOutcome.NotCommitted
-            attempt is CommitAttempt.Tombstone && attempt.isStoredAs(entry) -> EarlierOutcome.TombstoneCommitted(entry.modRevision)
+            attempt is CommitAttempt.Tombstone && attempt.isStoredIn(entry) -> EarlierOutcome.TombstoneCommitted(entry.modRevision)
             else -> EarlierOutcome.BatchCommitted(entry.modRevision)
         }
     }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalCommitter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalCommitter.kt
@@ -16,17 +16,17 @@
 private val log = LoggerFactory.getLogger("mountmast.writer")
 
 /**
- * Commits the changes of the cluster state to the store: group commit into a journal of few, large records, since the store
- * counts writes. Now and then a snapshot of the whole cluster state is written, in parts, and the journal's slots are used
- * again from then on.
+ * Commits the changes of the cluster state to the store by group commit into a write-ahead journal. Its records are few and large,
+ * since the store limits the number of writes. From time to time a snapshot of the whole cluster state is written, in parts; once its
+ * pointer is committed, the slots of all records that the snapshot contains are free for new records.
  *
- * Every transaction depends on the leader's key, and on the slot that it writes: one that is executed late, by this
- * leader or a former one, changes nothing that was written since.
+ * Every transaction compares the leader's key, and the key of each journal slot that it writes. So a transaction that the store executes
+ * late is not committed if the leader's key was deleted or written since, or if any of these slots was.
  *
- * Called by one thread; takes the lock of [PersistenceContext], but not during a call to the store.
+ * Called by one thread. Takes the lock of [PersistenceContext], but never holds it during a call to the store.
  *
  * @param areCompactFormsAgreed whether every node reads the compressed forms; called with the lock held
- * @param onDeposed called, without the lock, once the store shows that this node leads no more
+ * @param onLeadershipLost called, without the lock, when the compare of the leader's key fails: this node no longer leads
  */
 class JournalCommitter(
     private val context: PersistenceContext,
@@ -34,7 +34,7 @@
     stateLimits: StateLimits,
     clock: Clock,
     areCompactFormsAgreed: () -> Boolean = { false },
-    private val onDeposed: () -> Unit,
+    private val onLeadershipLost: () -> Unit,
 ) {
     private val limits = AdaptiveWriteLimits(stateLimits, clock)
     private val writers = BatchWriters(context, clock)
@@ -43,18 +43,18 @@
     private val inDoubtResolver = InDoubtResolver(store)
     private val conflicts = ConflictResolver(context, store, writers.snapshots)
 
-    /** The attempt to send next, whose batch may be in the store; null where no batch is in doubt. */
-    private var inDoubt: CommitAttempt? = null
+    /** The next attempt at the batch in doubt, which may or may not be in the store; null if no batch is in doubt. */
+    private var inDoubtAttempt: CommitAttempt? = null
 
-    /** Commits one transaction, if there is anything to write. Failures of the store are part of the result. */
+    /** Sends one transaction, if there is anything to write. Returns [CommitStep.Failed] if the store fails; throws no `StoreException`. */
     fun commitNext(): CommitStep {
         if (limits.isPaused()) return CommitStep.NothingToWrite
-        val attempt = inDoubt ?: collector.collect()?.let(CommitAttempt::First) ?: return CommitStep.NothingToWrite
+        val attempt = inDoubtAttempt ?: collector.collect()?.let(CommitAttempt::First) ?: return CommitStep.NothingToWrite
         return commit(attempt)
     }
 
     private fun commit(attempt: CommitAttempt): CommitStep {
-        val transaction = transactionOf(attempt)
+        val transaction = createTransaction(attempt)
         val result = try {
             store.commit(transaction)
         } catch (e: StoreException) {
@@ -66,13 +66,13 @@
         }
     }
 
-    private fun transactionOf(attempt: CommitAttempt): Transaction = when (attempt) {
-        is CommitAttempt.First, is CommitAttempt.Repeated -> attempt.batch.transaction()
-        is CommitAttempt.Tombstone -> context.lock.withLock { attempt.transaction(context) }
+    private fun createTransaction(attempt: CommitAttempt): Transaction = when (attempt) {
+        is CommitAttempt.First, is CommitAttempt.Repeated -> attempt.batch.toTransaction()
+        is CommitAttempt.Tombstone -> context.lock.withLock { attempt.createTransaction(context) }
     }
 
     private fun onCommitted(attempt: CommitAttempt, modRevision: ModRevision): CommitStep {
-        inDoubt = null
+        inDoubtAttempt = null
         when (attempt) {
             is CommitAttempt.First, is CommitAttempt.Repeated -> applier.apply(attempt.batch, modRevision)
             is CommitAttempt.Tombstone -> applier.applyTombstone(attempt.batch, modRevision)
@@ -84,46 +84,46 @@
         when (failure) {
             is StoreRequestRejectedException -> onRejected(attempt, failure)
             is StoreTimeoutException -> {
-                log.debug("commit of {} writes: {}", transaction.writes.size, failure.message)
-                if (attempt is CommitAttempt.First) inDoubt = CommitAttempt.Repeated(attempt.batch)
+                log.debug("the outcome of a transaction of {} writes is unknown: {}", transaction.writes.size, failure.message)
+                if (attempt is CommitAttempt.First) inDoubtAttempt = CommitAttempt.Repeated(attempt.batch)
             }
             else -> {
-                log.debug("commit of {} writes: {}", transaction.writes.size, failure.message)
-                // This attempt was not executed; but an earlier one of the same batch may have been.
+                log.debug("a transaction of {} writes was not executed: {}", transaction.writes.size, failure.message)
+                // An earlier attempt at the same batch may have been executed: only the batch of a first attempt is not in doubt.
                 if (attempt is CommitAttempt.First) requeue(attempt.batch)
             }
         }
         return CommitStep.Failed
     }
 
-    /** Writes less at a time from here on: the same transaction would be rejected again. */
+    /** Reduces the write limits after [rejection]: the same transaction would be rejected again. */
     private fun onRejected(attempt: CommitAttempt, rejection: StoreRequestRejectedException) {
-        log.debug("{}", rejection.message)
+        log.debug("transaction {}", rejection.message)
         limits.reduce()
         if (attempt is CommitAttempt.First || attempt.batch.journalRecords.isEmpty()) {
             requeue(attempt.batch)
         } else {
-            inDoubt = CommitAttempt.Tombstone(attempt.batch)
+            inDoubtAttempt = CommitAttempt.Tombstone(attempt.batch)
         }
     }
 
     private fun onCompareFailed(attempt: CommitAttempt, failedKeys: List<String>): CommitStep {
         if (Keys.LEADER in failedKeys) {
-            onDeposed()
+            onLeadershipLost()
             return CommitStep.Failed
         }
         return try {
             resolve(attempt, failedKeys)
         } catch (e: StoreException) {
-            log.debug("reading the keys of failed compares: {}", e.message)
+            log.debug("the keys of failed compares cannot be read: {}", e.message)
             CommitStep.Failed
         } catch (e: IllegalArgumentException) {
-            log.error("unreadable record among {}: {}", failedKeys, e.message)
+            log.error("unreadable record among the keys of failed compares {}: {}", failedKeys, e.message)
             CommitStep.Failed
         }
     }
 
-    /** Learns what the store has instead of what was expected, which may be an earlier attempt of the same batch. */
+    /** Finds out why compares of [attempt] failed: by an earlier attempt at the same batch, or by a change that the leader has to adopt. */
     private fun resolve(attempt: CommitAttempt, failedKeys: List<String>): CommitStep {
         when (val earlier = inDoubtResolver.resolve(attempt)) {
             is EarlierOutcome.BatchCommitted -> return onCommitted(CommitAttempt.Repeated(attempt.batch), earlier.modRevision)
@@ -134,9 +134,9 @@
         return CommitStep.Failed
     }
 
-    /** Ends the doubt about [batch], which is not in the store and will not be, and makes its contents be written again. */
+    /** Gives up [batch], which is then no longer in doubt, and makes later batches write its contents again. */
     private fun requeue(batch: WriteBatch) {
-        inDoubt = null
+        inDoubtAttempt = null
         context.lock.withLock { writers.requeue(batch) }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
@@ -18,16 +18,16 @@
 private val log = LoggerFactory.getLogger("mountmast.ledger")
 
 /**
- * Rebuilds [cluster] from the snapshot and the journal of earlier leaders, entry by entry. An earlier leader may have heard and
- * answered the machines that are named there until [now]. Guarded as [cluster] is.
+ * Rebuilds [cluster] from the snapshot and the journal of earlier leaders, entry by entry. Up to [now], an earlier leader may have
+ * received and answered heartbeats of the machines that the entries name. Guarded as [cluster] is.
  */
 class JournalReplay(private val cluster: ClusterState, private val now: MonotonicTime) : JournalReader {
     override fun done(job: JobId, ranges: String) {
-        val known = cluster.jobs[job] ?: return
+        val knownJob = cluster.jobs[job] ?: return
         val completed = BitSet()
-        if (!Ranges.decodeInto(ranges, completed, known.spec.tasks)) log.error("unreadable ranges of job={}: {}", job, ranges)
-        completed.stream().forEach(known::setDone)
-        cluster.finishIfComplete(known)
+        if (!Ranges.decodeInto(ranges, completed, knownJob.spec.tasks)) log.error("unreadable ranges of tasks of job={}: {}", job, ranges)
+        completed.stream().forEach(knownJob::setDone)
+        cluster.finishIfComplete(knownJob)
     }
 
     override fun preemptedBefore(task: TaskId, times: Int) {
@@ -35,11 +35,11 @@
     }
 
     override fun started(task: TaskId, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone) {
-        // A job that has finished since has no record any more, and nothing of it runs.
+        // A job that is not known finished after the entry was written: its live record is deleted, and none of its tasks runs.
         val job = cluster.jobs[task.job] ?: return
         if (task.index >= job.spec.tasks || job.done.get(task.index)) return
         job.live.get(task.index)?.let { older ->
-            log.error("task={} is listed twice: machine={} and machine={}", task, older.machine, machine)
+            log.error("task={} has two live assignments: machine={} and machine={}", task, older.machine, machine)
             cluster.assignments.release(older, now)
         }
         cluster.assignments.restore(job, task.index, Placement(machine, incarnation, zone), attempt, now)
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalState.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalState.kt
@@ -4,7 +4,7 @@
 import mountmast.protocol.MonotonicTime
 import mountmast.storage.SnapshotRecord
 
-/** Which journal records and which snapshot the store holds, as this leader knows it. Guarded by the lock of [PersistenceContext]. */
+/** Which journal records and which snapshot the store holds, as far as this leader knows. Guarded by the lock of [PersistenceContext]. */
 class JournalState {
     private class Slot(val modRevision: ModRevision, val recordNumber: Long)
 
@@ -30,21 +30,21 @@
     var snapshotModRevision = ModRevision.ABSENT
         private set
 
-    /** How many records a new leader would replay. */
+    /** Number of records that are not in the latest complete snapshot: a new leader would replay them. */
     val recordsSinceSnapshot: Long get() = nextRecordNumber - 1 - lastRecordInSnapshot
 
-    /** Modification revision of the key of [slot]. */
+    /** Modification revision of the key of [slot], on which the next write to the slot depends. */
     fun modRevisionOf(slot: Int): ModRevision = slots[slot]?.modRevision ?: ModRevision.ABSENT
 
     /** Whether [slot] holds no record that a new leader would have to replay. */
     fun isFree(slot: Int): Boolean = (slots[slot]?.recordNumber ?: 0) <= lastRecordInSnapshot
 
-    /** Sets that the store holds record [recordNumber] in [slot]; 0 stands for a record that cannot be read. */
+    /** Records that the store holds record [recordNumber] in [slot]; 0 stands for a record that cannot be read. */
     fun setSlot(slot: Int, recordNumber: Long, modRevision: ModRevision) {
         slots[slot] = Slot(modRevision, recordNumber)
     }
 
-    /** Sets that [pointer], or where it is null no readable pointer to a snapshot, is in the store at [modRevision]. */
+    /** Records that the store holds [pointer] at [modRevision]; null stands for a missing or unreadable pointer. */
     fun setSnapshot(pointer: SnapshotRecord?, modRevision: ModRevision) {
         snapshotModRevision = modRevision
         if (pointer == null) return
@@ -52,19 +52,19 @@
         snapshotGeneration = pointer.generation
     }
 
-    /** Continues the numbers after [lastRecordNumber], the highest one in any slot, and after the snapshot's. */
-    fun continueAfter(lastRecordNumber: Long) {
+    /** Numbers the next record above both [lastRecordNumber], the highest one in any slot, and the last record in the snapshot. */
+    fun continueNumberingAfter(lastRecordNumber: Long) {
         nextRecordNumber = maxOf(lastRecordInSnapshot, lastRecordNumber) + 1
     }
 
-    /** Sets that the store holds [records], which continue the journal, written at [modRevision]. */
+    /** Records that [records], whose numbers continue those of the journal, were committed at [modRevision]. */
     internal fun append(records: List<SlottedRecord>, modRevision: ModRevision) {
         for (slotted in records) setSlot(slotted.slot, slotted.number, modRevision)
         nextRecordNumber += records.size
     }
 
-    /** Sets when the last transaction was committed. */
-    fun setWrittenAt(now: MonotonicTime) {
+    /** Records that a transaction was committed at [now]. */
+    fun recordCommit(now: MonotonicTime) {
         writtenAt = now
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -11,25 +11,25 @@
 import mountmast.storage.TextCodec
 
 /**
- * Appends the pending changes of the cluster state to the journal, as many in each record as a value takes. Guarded by the lock of
- * [PersistenceContext].
+ * Writes the pending changes of the cluster state to the journal, with as many changes in each record as fit into a value. Guarded by
+ * the lock of [PersistenceContext].
  */
 internal class JournalWriter(private val context: PersistenceContext, private val clock: Clock) {
     private val cluster get() = context.cluster
     private val journal get() = context.journal
     private var lastAddedAt = MonotonicTime(Long.MIN_VALUE / 2)
 
-    /** The text of some changes, one entry for each. */
+    /** Changes taken from the queue of pending changes, and their [text] with one journal entry for each. */
     private class JournalEntries(val text: String, val changes: List<PendingChange>)
 
     /** Adds pending changes to [batch] in the order in which they happened, in at most [maxRecords] records. */
     fun contribute(batch: WriteBatch, options: BatchOptions, maxRecords: Int) {
         val now = clock.now()
-        if (options.isScarce && now - lastAddedAt < SCARCE_INTERVAL_MS && cluster.pendingChanges.size < MANY_CHANGES) return
-        val records = freeSlots(options.journalSize, minOf(maxRecords, batch.remainingOps))
-        if (records <= 0) return
-        val maxChars = records * options.limits.valueBytes * if (options.isCompact) USUAL_RATIO else 1
-        addRecords(batch, options, dequeueEntries(maxChars), records)
+        if (options.isScarce && now - lastAddedAt < SCARCE_INTERVAL_MS && cluster.pendingChanges.size < MANY_PENDING_CHANGES) return
+        val maxFreeRecords = countFreeSlots(options.journalSize, minOf(maxRecords, batch.remainingOps))
+        if (maxFreeRecords <= 0) return
+        val maxChars = maxFreeRecords * options.limits.valueBytes * if (options.isCompact) USUAL_COMPRESSION_RATIO else 1
+        addRecords(batch, options, dequeueEntries(maxChars), maxFreeRecords)
         if (batch.journalRecords.isNotEmpty()) lastAddedAt = now
     }
 
@@ -40,30 +40,30 @@
             val piece = TextCodec.packNext(text, from, options.limits.valueBytes, options.isCompact)
             val record = JournalRecord(journal.nextRecordNumber + batch.journalRecords.size, piece.plain, piece.compressed)
             val slot = options.journalSize.slotOf(record.number)
-            val added = batch.journaledChanges.size
-            val changes = entries.changes.subList(added, added + piece.entries)
+            val addedCount = batch.journaledChanges.size
+            val changes = entries.changes.subList(addedCount, addedCount + piece.entries)
             batch.addJournalRecord(SlottedRecord(slot, record), journal.modRevisionOf(slot), changes)
             from = piece.end
         }
         requeue(entries.changes.drop(batch.journaledChanges.size))
     }
 
-    /** How many of the next slots are free, up to [max]; one always stays free. */
-    private fun freeSlots(size: JournalSize, max: Int): Int {
-        val left = minOf(max.toLong(), size.slotCount - 1 - journal.recordsSinceSnapshot).toInt()
+    /** Returns how many of the next slots are free, up to [max]; one slot of the journal always stays free. */
+    private fun countFreeSlots(size: JournalSize, max: Int): Int {
+        val maxUsable = minOf(max.toLong(), size.slotCount - 1 - journal.recordsSinceSnapshot).toInt()
         var free = 0
-        while (free < left && journal.isFree(size.slotOf(journal.nextRecordNumber + free))) free++
+        while (free < maxUsable && journal.isFree(size.slotOf(journal.nextRecordNumber + free))) free++
         return free
     }
 
-    /** Removes the first pending changes from their queue and returns their entries, about [maxChars] characters in all. */
+    /** Removes the first pending changes from their queue and returns their entries, of about [maxChars] characters in total. */
     private fun dequeueEntries(maxChars: Int): JournalEntries {
         val text = JournalText()
         val changes = ArrayList<PendingChange>()
         while (text.length < maxChars) {
             val change = cluster.pendingChanges.removeFirstOrNull() ?: break
-            // Ended or cancelled before its start was journaled: it was never sent, nor will be.
-            if (change is PendingChange.Started && isVoid(change.assignment)) {
+            // The assignment ended, or its job was cancelled, before the start was journaled: the start was not sent and is not journaled.
+            if (change is PendingChange.Started && isObsoleteStart(change.assignment)) {
                 cluster.assignments.release(change.assignment, clock.now())
             } else {
                 append(change, text)
@@ -73,7 +73,7 @@
         return JournalEntries(text.take(), changes)
     }
 
-    private fun isVoid(assignment: Assignment): Boolean = assignment.phase != Phase.INTENDED || assignment.job.cancelled
+    private fun isObsoleteStart(assignment: Assignment): Boolean = assignment.phase != Phase.INTENDED || assignment.job.cancelled
 
     private fun append(change: PendingChange, text: JournalText) {
         when (change) {
@@ -82,32 +82,32 @@
                 assignment.beginJournaling()
                 text.started(assignment.taskName, assignment.machine, assignment.incarnation, assignment.attempt, assignment.zone)
             }
-            is PendingChange.Ended -> text.ended(change.assignment.taskName, endOf(change.assignment))
+            is PendingChange.Ended -> text.ended(change.assignment.taskName, classifyEnd(change.assignment))
             is PendingChange.Reserved -> text.reserved(change.machine, change.job, change.victims)
         }
     }
 
-    private fun endOf(assignment: Assignment): TaskEnd = when {
+    private fun classifyEnd(assignment: Assignment): TaskEnd = when {
         assignment.completed -> TaskEnd.DONE
         assignment.preempted -> TaskEnd.PREEMPTED
         else -> TaskEnd.UNDONE
     }
 
-    /** Puts [changes] at the head of the pending changes, before all that came after them. */
+    /** Puts [changes] back at the head of the queue of pending changes, in their order, so that they precede later changes. */
     fun requeue(changes: List<PendingChange>) {
         for (change in changes.asReversed()) {
             if (change is PendingChange.Started) change.assignment.abandonJournaling()
-            // An end that was noticed meanwhile is queued behind its start, which is then dropped as void.
+            // If the assignment has ended since, its end follows in the queue, and the start is dropped as obsolete.
             cluster.pendingChanges.addFirst(change)
         }
     }
 
     private companion object {
-        /** While writes are scarce a record waits this long for more changes, unless [MANY_CHANGES] are pending. */
+        /** While writes are scarce, minimum time between batches with journal records, unless [MANY_PENDING_CHANGES] are pending. */
         const val SCARCE_INTERVAL_MS = 400L
-        const val MANY_CHANGES = 100
+        const val MANY_PENDING_CHANGES = 100
 
-        /** How many times shorter a text usually gets by compression. */
-        const val USUAL_RATIO = 5
+        /** Usual ratio of the length of a journal text to its compressed length. */
+        const val USUAL_COMPRESSION_RATIO = 5
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/TypesWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/MachineTypesWriter.kt
@@ -5,10 +5,10 @@
 import mountmast.storage.TypesForm
 import mountmast.storage.Write
 
-/** Writes the machine types until the store has them. Guarded by the lock of [PersistenceContext]. */
-internal class TypesWriter(private val context: PersistenceContext) : BatchContributor {
-    /** Values still to be written for [types], the one that names the others last. */
-    private var remaining: List<Write.Put> = emptyList()
+/** Adds the machine types to batches until the store holds all of them. Guarded by the lock of [PersistenceContext]. */
+internal class MachineTypesWriter(private val context: PersistenceContext) : BatchContributor {
+    /** Puts of [types] that are not committed yet; the value that names the other parts comes last. */
+    private var remainingPuts: List<Write.Put> = emptyList()
     private var types: MachineTypes? = null
     private var limits: WriteLimits? = null
 
@@ -18,18 +18,18 @@
         if (types !== pending || this.limits != limits) {
             types = pending
             this.limits = limits
-            remaining = if (options.maySplitTypes) TypesForm.writes(pending, limits.valueBytes) else listOf(TypesForm.whole(pending))
+            remainingPuts = if (options.maySplitTypes) TypesForm.writes(pending, limits.valueBytes) else listOf(TypesForm.whole(pending))
         }
-        for (value in remaining) {
+        for (put in remainingPuts) {
             if (batch.remainingOps <= 0) return
-            batch.addMachineTypes(pending, value)
+            batch.addMachineTypes(pending, put)
         }
     }
 
     override fun onCommitted(batch: WriteBatch, modRevision: ModRevision) {
         if (batch.machineTypes == null || batch.machineTypes !== types) return
-        remaining = remaining.drop(batch.machineTypesWriteCount)
-        if (remaining.isNotEmpty()) return
+        remainingPuts = remainingPuts.drop(batch.machineTypesWriteCount)
+        if (remainingPuts.isNotEmpty()) return
         if (context.pendingTypes === types) context.pendingTypes = null
         types = null
     }
--- a/src/main/kotlin/mountmast/coordination/persistence/PersistenceContext.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/PersistenceContext.kt
@@ -8,29 +8,29 @@
 import mountmast.protocol.ModRevision
 import java.util.concurrent.locks.ReentrantLock
 
-/** The leader's term, as far as the classes that persist its cluster state need it. Guarded by [lock]. */
+/** What the persistence classes need of the leader's term. Guarded by [lock]. */
 interface PersistenceContext {
-    /** Guards all that is named here. Held for moments; never during I/O. */
+    /** Guards all properties of this interface. Held only briefly, and never during I/O. */
     val lock: ReentrantLock
 
-    /** Modification revision of the leader's key, on which every transaction of the term depends. */
+    /** Modification revision of the leader's key, which every transaction of the term compares. */
     val leaderModRevision: ModRevision
 
-    /** The state to persist. */
+    /** The cluster state to persist. */
     val cluster: ClusterState
 
-    /** What the store holds of it. */
+    /** Which part of the cluster state the journal and the snapshot in the store hold. */
     val journal: JournalState
 
     /** The live jobs as the leader knows them. */
     val jobs: JobInformer
 
-    /** Wakes the scheduler once capacity is free. */
+    /** Requests a scheduling cycle when committed changes have freed capacity. */
     val signals: TermSignals
 
-    /** Machine types that the store does not hold yet; null once it does. */
+    /** Machine types that the store does not hold yet; null once it holds the current ones. */
     var pendingTypes: MachineTypes?
 
-    /** Called, with [lock] held, once the start of a task on [machine] is in the store, so that it may be sent. */
+    /** Called, with [lock] held, when the start of a task on [machine] is committed: it may now be sent to the worker. */
     fun onStartCommitted(machine: MachineId)
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
@@ -9,17 +9,18 @@
 import mountmast.storage.TextCodec
 
 /**
- * Writes a snapshot of the cluster state now and then, in parts, so that the journal's slots can be used again. While writes are
- * scarce, the parts are spread over the slots that are left. Guarded by the lock of [PersistenceContext].
+ * Writes snapshots of the cluster state, in parts, so that journal slots whose records a snapshot contains become free. While writes are
+ * scarce, the parts are spread over the time in which the journal's remaining slots fill up. Guarded by the lock of
+ * [PersistenceContext].
  */
 internal class SnapshotWriter(private val context: PersistenceContext) : BatchContributor {
     /**
-     * The snapshot being written. Its [text] is packed part by part, as packing all at once would hold the lock for long.
+     * The snapshot being written. Its [text] is packed part by part, since packing all of it at once would hold the lock for too long.
      *
      * @property lastRecord number of the last journal record whose changes the text contains
-     * @property recordsAtBegin how many records the journal had when the snapshot was begun
-     * @property position how much of the text is in the store, in characters
-     * @property parts how many parts are in the store
+     * @property recordsAtBegin number of journal records since the previous snapshot at the time this one was begun
+     * @property position length of the text that committed parts hold, in characters
+     * @property parts number of committed parts
      */
     private data class Draft(
         val text: String,
@@ -30,23 +31,24 @@
         val parts: Int = 0,
     ) {
         val areAllPartsStored: Boolean get() = position == text.length
-        fun pointer() = SnapshotRecord(generation, lastRecord, parts)
+        fun toPointer() = SnapshotRecord(generation, lastRecord, parts)
     }
 
     private var draft: Draft? = null
 
     override fun contribute(batch: WriteBatch, options: BatchOptions) {
         val current = draft ?: begin(options.journalSize) ?: return
-        // Parts are written while the pointer still names the snapshot before: late ones then change nothing.
+        // Parts are committed only while the pointer still names the previous snapshot: a transaction executed late changes no part of a
+        // complete snapshot.
         batch.addCompare(Keys.SNAPSHOT, context.journal.snapshotModRevision)
         addParts(batch, current, options)
-        if (current.areAllPartsStored && batch.remainingOps > 0) batch.addSnapshotPointer(current.pointer())
+        if (current.areAllPartsStored && batch.remainingOps > 0) batch.addSnapshotPointer(current.toPointer())
     }
 
     private fun addParts(batch: WriteBatch, current: Draft, options: BatchOptions) {
-        val due = if (options.isScarce) dueEnd(current, options.journalSize) else current.text.length
+        val dueEnd = if (options.isScarce) computeDueEnd(current, options.journalSize) else current.text.length
         var position = current.position
-        while (batch.remainingOps > 0 && batch.snapshotPartCount < PARTS_PER_BATCH && position < due) {
+        while (batch.remainingOps > 0 && batch.snapshotPartCount < PARTS_PER_BATCH && position < dueEnd) {
             val piece = TextCodec.packNext(current.text, position, options.limits.valueBytes, options.isCompact)
             val key = Keys.snapshotPart(current.generation, current.parts + batch.snapshotPartCount)
             batch.addSnapshotPart(key, WireJson.encodeToJsonElement(SnapshotPart(piece.plain, piece.compressed)), piece.end)
@@ -61,24 +63,24 @@
         batch.completedSnapshot?.let { onPointerStored(it, modRevision) }
     }
 
-    /** Ends the snapshot being written, since the store has [pointer] at [modRevision]. */
+    /** Records that the store holds [pointer] at [modRevision], and discards the draft: the snapshot is complete. */
     fun onPointerStored(pointer: SnapshotRecord, modRevision: ModRevision) {
         context.journal.setSnapshot(pointer, modRevision)
         draft = null
     }
 
-    /** Begins a snapshot of what the journal contains by now, if one is due; records that follow are replayed on top of it. */
+    /** Begins a snapshot of all changes in the journal so far, if one is due. Later records are replayed after the snapshot. */
     private fun begin(size: JournalSize): Draft? {
         val journal = context.journal
-        // A leader before may have used another size, so that the next slot is taken although few are.
+        // The next slot may be taken although few are, if a former leader used another journal size.
         val isDue = journal.recordsSinceSnapshot >= size.beginSnapshotAfter || !journal.isFree(size.slotOf(journal.nextRecordNumber))
         if (!isDue) return null
         val text = context.cluster.describe()
         return Draft(text, journal.snapshotGeneration + 1, journal.nextRecordNumber - 1, journal.recordsSinceSnapshot).also { draft = it }
     }
 
-    /** How far the text should be written by now, for it to be complete before the slots run out. */
-    private fun dueEnd(current: Draft, size: JournalSize): Int {
+    /** Returns up to which character the text should be written now, for the snapshot to be complete before the free slots run out. */
+    private fun computeDueEnd(current: Draft, size: JournalSize): Int {
         val recordsSinceBegin = context.journal.recordsSinceSnapshot - current.recordsAtBegin
         val available = maxOf(size.completeSnapshotBefore, current.recordsAtBegin + 1) - current.recordsAtBegin
         val share = (recordsSinceBegin + 1).toDouble() / available
--- a/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
@@ -23,18 +23,19 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
-/** What a call of [StateLoader.loadHints] did. */
+/** Result of [StateLoader.loadHints]. */
 enum class HintsLoad {
     /** The hints were read and restored. */
     LOADED,
 
-    /** They were loaded before; nothing was read. */
+    /** The hints were loaded before in this term; nothing was read. */
     ALREADY_LOADED,
 }
 
 /**
- * Rebuilds a leader's state from what the leaders before it wrote. Only a leader changes what is read here, and the one before
- * no longer can. Called by one thread; takes [lock], but not during a call to the store.
+ * Rebuilds the leader's state from what earlier leaders wrote. Apart from the records of live jobs, whose later changes a watch delivers,
+ * only leaders write what is read here, and no transaction of an earlier leader can be committed any more. Called by one thread. Takes
+ * [lock], but never holds it during a call to the store.
  */
 class StateLoader(
     private val lock: ReentrantLock,
@@ -47,13 +48,13 @@
     private val reader = StoredStateReader(store)
     private var areHintsLoaded = false
 
-    /** Reads and restores what a leader needs to continue. Throws `StoreException` if the store cannot be read. */
+    /** Reads and restores the state that the leader needs to continue. Throws `StoreException` if the store cannot be read. */
     fun loadState() {
-        val asked = clock.now()
-        val askedWall = clock.wall()
+        val requestedAt = clock.now()
+        val requestedAtWall = clock.wall()
         val stored = reader.readState()
-        val read = clock.now()
-        lock.withLock { restore(stored, asked, askedWall) }
+        val readAt = clock.now()
+        lock.withLock { restore(stored, requestedAt, requestedAtWall) }
         log.info(
             "read {} jobs up to revision {}, {} parts of snapshot {} and {} slots of the journal in {} ms, replayed in {} ms",
             stored.liveJobs.size,
@@ -61,12 +62,12 @@
             stored.snapshot.parts.size,
             stored.snapshot.record?.generation ?: 0,
             stored.journalSlots.size,
-            read - asked,
-            clock.now() - read,
+            readAt - requestedAt,
+            clock.now() - readAt,
         )
     }
 
-    /** Reads and restores hints, once in a term. Throws `StoreException` if the store cannot be read. */
+    /** Reads and restores the hints, once in each term. Throws `StoreException` if the store cannot be read. */
     fun loadHints(): HintsLoad {
         if (areHintsLoaded) return HintsLoad.ALREADY_LOADED
         val images = reader.readImages()
@@ -75,12 +76,12 @@
         return HintsLoad.LOADED
     }
 
-    private fun restore(stored: StoredState, asked: MonotonicTime, askedWall: WallTime) {
+    private fun restore(stored: StoredState, requestedAt: MonotonicTime, requestedAtWall: WallTime) {
         stored.types?.let(cluster::replaceTypes)
-        jobs.applyAll(stored.liveJobs, stored.revision, asked, askedWall)
+        jobs.applyAll(stored.liveJobs, stored.revision, requestedAt, requestedAtWall)
         val replay = JournalReplay(cluster, clock.now())
         val unreadable = replaySnapshot(stored.snapshot, replay) + replayJournal(stored.journalSlots, replay)
-        if (unreadable > 0) log.error("{} entries of the journal cannot be read", unreadable)
+        if (unreadable > 0) log.error("{} entries of the snapshot and the journal cannot be read", unreadable)
         stored.failingJobs?.let(::restoreFailingJobs)
     }
 
@@ -92,7 +93,7 @@
         for ((id, images) in record.images) cluster.recallImages(id, images)
     }
 
-    /** Returns how many entries could not be read. */
+    /** Replays the latest complete snapshot. Returns how many of its entries could not be read. */
     private fun replaySnapshot(snapshot: StoredSnapshot, replay: JournalReader): Int {
         journal.setSnapshot(snapshot.record, snapshot.pointer?.modRevision ?: ModRevision.ABSENT)
         return snapshot.parts.take(snapshot.record?.parts ?: 0).sumOf { entry ->
@@ -100,14 +101,14 @@
         }
     }
 
-    /** Returns how many entries could not be read. */
+    /** Replays the journal records that the snapshot does not contain. Returns how many of their entries could not be read. */
     private fun replayJournal(slots: List<Entry>, replay: JournalReader): Int {
         val records = slots.mapNotNull(::restoreSlot).sortedBy { it.number }
-        journal.continueAfter(records.lastOrNull()?.number ?: 0)
+        journal.continueNumberingAfter(records.lastOrNull()?.number ?: 0)
         return records.filter { it.number > journal.lastRecordInSnapshot }.sumOf { replayText("record ${it.number}", replay, it::text) }
     }
 
-    /** Returns the record in a slot of the journal, or null if it is unreadable; such a slot is free. */
+    /** Returns the journal record in the slot of [entry], or null if it is unreadable; the slot of an unreadable record counts as free. */
     private fun restoreSlot(entry: Entry): JournalRecord? {
         val slot = Keys.slotOfKey(entry.key) ?: return null
         val record = RecordDecoder.decode<JournalRecord>(entry.key, entry.value)
@@ -115,7 +116,7 @@
         return record
     }
 
-    /** Returns how many entries could not be read. */
+    /** Replays the entries in [text]. Returns how many of them could not be read, or 1 if the whole text is unreadable. */
     private fun replayText(name: String, replay: JournalReader, text: () -> String): Int = try {
         JournalText.read(text(), replay)
     } catch (e: UnreadableText) {
--- a/src/main/kotlin/mountmast/coordination/persistence/StoredState.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/StoredState.kt
@@ -15,20 +15,20 @@
 /**
  * The latest complete snapshot in the store.
  *
- * @property pointer the entry that names it, or null without one
+ * @property pointer the entry that points to the snapshot, or null without one
  * @property record what [pointer] holds, or null if it is unreadable
- * @property parts all parts under its generation's keys, which may be more than it has
+ * @property parts all parts under the keys of the snapshot's generation; surplus ones are left over from another snapshot
  */
 internal class StoredSnapshot(val pointer: Entry?, val record: SnapshotRecord?, val parts: List<Entry>)
 
 /**
- * What earlier leaders left in the store, as far as a leader needs it to continue.
+ * The part of what earlier leaders wrote to the store that a new leader needs to continue.
  *
- * @property types the machine types, or null if there are none or they are unreadable
+ * @property types the machine types, or null if the store holds none or they are incomplete or unreadable
  * @property liveJobs records of the jobs that have not finished
- * @property revision from which on a watch sees all later changes of [liveJobs]
+ * @property revision the revision from which a watch sees all later changes of [liveJobs]
  * @property journalSlots all slots of the journal, in the order of their keys
- * @property failingJobs the hint which jobs fail on every machine, or null without one
+ * @property failingJobs the hint that lists jobs that fail on every machine, or null without one
  */
 internal class StoredState(
     val types: MachineTypes?,
@@ -39,9 +39,9 @@
     val failingJobs: Entry?,
 )
 
-/** Reads what earlier leaders left in [store]. Takes no lock. */
+/** Reads what earlier leaders wrote to [store]. Takes no lock. */
 internal class StoredStateReader(private val store: StateStore) {
-    /** Reads what a leader needs to continue. Throws `StoreException` if the store cannot be read. */
+    /** Reads the state that a new leader needs to continue. Throws `StoreException` if the store cannot be read. */
     fun readState(): StoredState {
         val types = readTypes()
         val (liveJobs, revision) = store.listAll(Keys.JOBS)
@@ -50,7 +50,7 @@
         return StoredState(types, liveJobs, revision, snapshot, journalSlots, store.get(Keys.FAILING))
     }
 
-    /** Reads the hints which images the machines have cached. Throws `StoreException` if the store cannot be read. */
+    /** Reads the hints that list the images cached on the machines. Throws `StoreException` if the store cannot be read. */
     fun readImages(): List<Entry> = store.listAll(Keys.IMAGES).first
 
     private fun readTypes(): MachineTypes? = try {
--- a/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
@@ -15,13 +15,13 @@
 import mountmast.storage.Write
 import mountmast.storage.jsonSize
 
-/** A job that a transaction moves to its final state. */
+/** A finished job, whose live record a transaction replaces by its final [record]. */
 internal class FinishedJob(val job: Job, val record: FinishedJobRecord)
 
 /**
- * One transaction of the leader while it is collected, and what it means for the cluster state once it is committed.
- * It holds at most [maxOps] puts and deletes. It compares the leader's key, the snapshot's and at most one key for each put or
- * delete, which is no more than a transaction takes.
+ * One transaction of the leader while it is filled, and the changes to apply to the cluster state once it is committed. It holds at most
+ * [maxOps] puts and deletes. It compares the leader's key, the key of the snapshot's pointer, and at most one key for each put or
+ * delete, which is within the limit of compares in a transaction.
  *
  * Filled under the lock of [PersistenceContext] and not changed afterwards.
  */
@@ -33,16 +33,16 @@
     private val collectedRecords = ArrayList<SlottedRecord>()
     private val collectedJobs = ArrayList<FinishedJob>()
 
-    /** Changes of the cluster state that [journalRecords] contain, in their order. */
+    /** Changes of the cluster state that [journalRecords] contain, in the order of their entries. */
     val journaledChanges: List<PendingChange> get() = collectedChanges
 
     /** Records that the batch appends to the journal. */
     val journalRecords: List<SlottedRecord> get() = collectedRecords
 
-    /** Jobs that the batch moves to their final state. */
+    /** Finished jobs whose live records the batch replaces by final ones. */
     val finishedJobs: List<FinishedJob> get() = collectedJobs
 
-    /** Machine types of which the batch writes at least a part, or null. */
+    /** Machine types of which the batch writes at least a part, or null if it writes none. */
     var machineTypes: MachineTypes? = null
         private set
 
@@ -54,15 +54,15 @@
     var snapshotPartCount = 0
         private set
 
-    /** Where the last of the snapshot's parts ends in the snapshot's text, in characters; 0 without parts. */
+    /** Position in the snapshot's text, in characters, where the last snapshot part of the batch ends; 0 without parts. */
     var snapshotTextEnd = 0
         private set
 
-    /** The pointer to a snapshot that the batch completes, or null. */
+    /** The pointer to the snapshot that the batch completes, or null if it completes none. */
     var completedSnapshot: SnapshotRecord? = null
         private set
 
-    /** How many puts and deletes may still be added. */
+    /** How many puts and deletes may still be added; 0 once the values take [MAX_BYTES]. */
     val remainingOps: Int get() = if (bytes >= MAX_BYTES) 0 else maxOps - writes.size
 
     /** Whether there is nothing to write. */
@@ -76,7 +76,7 @@
     /** Adds a put of [value] under [key]. */
     fun put(key: String, value: JsonElement) = put(Write.Put(key, value))
 
-    /** Appends [slotted], which contains [changes], to the journal; its slot has to be at [slotModRevision]. */
+    /** Adds the journal record [slotted], which contains [changes], and the compare of its slot's key with [slotModRevision]. */
     fun addJournalRecord(slotted: SlottedRecord, slotModRevision: ModRevision, changes: List<PendingChange>) {
         addCompare(slotted.key, slotModRevision)
         put(slotted.key, WireJson.encodeToJsonElement(slotted.record))
@@ -84,7 +84,7 @@
         collectedChanges += changes
     }
 
-    /** Moves [finished] from the live jobs to the finished ones. */
+    /** Adds the put of the job's final record, the delete of its live record, and the compare of the live record's key. */
     fun addFinishedJob(finished: FinishedJob) {
         val job = finished.job
         addCompare(Keys.job(job.id), job.modRevision)
@@ -93,7 +93,7 @@
         collectedJobs += finished
     }
 
-    /** Adds [value], which holds all or some of [types]. */
+    /** Adds [value], which writes all or some of [types]. */
     fun addMachineTypes(types: MachineTypes, value: Write.Put) {
         machineTypes = types
         machineTypesWriteCount++
@@ -107,14 +107,14 @@
         snapshotTextEnd = textEnd
     }
 
-    /** Adds [pointer] to a snapshot all of whose parts are in the store. */
+    /** Adds the put of [pointer], to a snapshot of which all parts are in the store. */
     fun addSnapshotPointer(pointer: SnapshotRecord) {
         put(Keys.SNAPSHOT, WireJson.encodeToJsonElement(pointer))
         completedSnapshot = pointer
     }
 
-    /** The batch as the store takes it; the same each time. */
-    fun transaction() = Transaction(compares, writes)
+    /** Creates the transaction that writes the batch; equal on each call once the batch is filled. */
+    fun toTransaction() = Transaction(compares, writes)
 
     private fun put(write: Write.Put) {
         writes += write
@@ -122,7 +122,7 @@
     }
 
     private companion object {
-        /** Below the 64 KiB that a transaction may have, so that compares, keys and one more value fit. */
+        /** Less than the 64 KiB that a transaction may have, so that the compares, the keys and one more value still fit. */
         const val MAX_BYTES = 40 * 1024
     }
 }
