--- a/src/main/kotlin/mountmast/coordination/persistence/CommitAttempt.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CommitAttempt.kt
@@ -27,8 +27,8 @@
      * Test: `FallingLimitsTest`, "failures of every kind meet falling limits".
      */
     class Tombstone(override val batch: WriteBatch) : CommitAttempt {
-        private val tombstone = batch.journalRecords.first().let { SlottedRecord(it.slot, JournalRecord(it.number, "")) }
-        private val value = WireJson.encodeToJsonElement(tombstone.record)
+        private val tombstoneInSlot = batch.journalRecords.first().let { SlottedRecord(it.slot, JournalRecord(it.number, "")) }
+        private val value = WireJson.encodeToJsonElement(tombstoneInSlot.record)
 
         /** Whether [entry] holds the tombstone. */
         fun isStoredIn(entry: Entry): Boolean = entry.value == value
@@ -37,9 +37,9 @@
         fun createTransaction(context: PersistenceContext) = Transaction(
             listOf(
                 Compare(Keys.LEADER, context.leaderModRevision),
-                Compare(tombstone.key, context.journal.modRevisionOf(tombstone.slot)),
+                Compare(tombstoneInSlot.key, context.journal.modRevisionOf(tombstoneInSlot.slot)),
             ),
-            listOf(Write.Put(tombstone.key, value)),
+            listOf(Write.Put(tombstoneInSlot.key, value)),
         )
     }
 }
--- a/src/test/kotlin/mountmast/coordination/persistence/FallingLimitsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/FallingLimitsTest.kt
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The store's limits fall at some moment, with and without the settings announcing it. */
+/** The store's limits fall while leaders commit, with and without an announcement of the lower limits in the settings. */
 class FallingLimitsTest {
-    private fun world(
+    private fun createWorld(
         seed: Long,
         fallsAtMs: Long,
         isAnnounced: Boolean,
@@ -34,12 +34,12 @@
         assertEquals(emptyList<Any>(), world.unfinished().filter { world.poll(it)?.isFinal != true }, "jobs that never finished")
     }
 
-    private fun leaderSeats(world: World) = world.hosts.filter { it.controller?.leaderTerm() != null }
+    private fun findLeaderHosts(world: World) = world.hosts.filter { it.controller?.leaderTerm() != null }
 
     @Test
     fun `no transaction is rejected where the lower limits are announced`() {
         for (compact in listOf(false, true)) {
-            val world = world(171, fallsAtMs = 30_000, isAnnounced = true, compact = compact)
+            val world = createWorld(171, fallsAtMs = 30_000, isAnnounced = true, compact = compact)
             world.run(70_000, busy = true)
             runUntilAllJobsFinish(world)
             assertEquals(0, world.store.tooLarge)
@@ -50,7 +50,7 @@
     @Test
     fun `a leader that meets lower limits by surprise writes less at a time and goes on`() {
         for (seed in 172L..176L) {
-            val world = world(seed, fallsAtMs = 30_000, isAnnounced = false, perOffer = 30)
+            val world = createWorld(seed, fallsAtMs = 30_000, isAnnounced = false, perOffer = 30)
             world.run(20_000, busy = true)
             repeat(30) { number -> world.accept(world.plainJob(5000 + number) { it.copy(team = TeamId("free"), tasks = 40) }) }
             world.run(40_000, busy = true)
@@ -62,13 +62,13 @@
     @Test
     fun `limits fall during a failover`() {
         for (seed in 181L..188L) {
-            val world = world(seed, fallsAtMs = 30_000, isAnnounced = seed % 2 == 0L, compact = seed % 3 == 0L, quiet = false)
+            val world = createWorld(seed, fallsAtMs = 30_000, isAnnounced = seed % 2 == 0L, compact = seed % 3 == 0L, quiet = false)
             world.run(28_500, busy = true)
-            leaderSeats(world).forEach { it.faults.lateWritesUntil = world.time.now + 20_000 }
+            findLeaderHosts(world).forEach { it.faults.lateWritesUntil = world.time.now + 20_000 }
             world.run(1000, busy = true)
-            leaderSeats(world).forEach { it.crash(1000) }
+            findLeaderHosts(world).forEach { it.crash(1000) }
             world.run(40_000, busy = true)
-            leaderSeats(world).forEach { it.crash(200) }
+            findLeaderHosts(world).forEach { it.crash(200) }
             world.run(20_000, busy = true)
             runUntilAllJobsFinish(world)
             assertTrue(world.store.tooLarge <= 60, "seed $seed: ${world.store.tooLarge} rejected")
@@ -77,9 +77,9 @@
 
     @Test
     fun `the smallest transactions and values suffice`() {
-        val least = FallingLimits(StateLimits(80.0, 16.0, 1.0, 2), enforcesRates = true)
+        val minimumLimits = FallingLimits(StateLimits(80.0, 16.0, 1.0, 2), enforcesRates = true)
         for (compact in listOf(false, true)) {
-            val world = World(190, quietNetwork = true, limits = least, agreesOnForms = compact)
+            val world = World(190, quietNetwork = true, limits = minimumLimits, agreesOnForms = compact)
             world.run(40_000, busy = true)
             runUntilAllJobsFinish(world)
             assertEquals(0, world.store.tooLarge)
@@ -90,7 +90,7 @@
     @Test
     fun `failures of every kind meet falling limits`() {
         for (seed in 1L..24L) {
-            val world = world(seed + 17_000, 40_000, isAnnounced = seed % 2 == 0L, compact = seed % 3 != 0L, quiet = false)
+            val world = createWorld(seed + 17_000, 40_000, isAnnounced = seed % 2 == 0L, compact = seed % 3 != 0L, quiet = false)
             try {
                 world.run(20_000, busy = true)
                 repeat(6) {
--- a/src/test/kotlin/mountmast/coordination/persistence/InDoubtResolverTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/InDoubtResolverTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** What the first slot of a batch tells of its earlier attempts. */
+/** The outcome of earlier attempts at a batch, as the journal slot of the batch's first record shows it. */
 class InDoubtResolverTest {
     private val time = VirtualTime()
     private val standIn = StandInStore(time)
@@ -24,7 +24,7 @@
     private val slotted = SlottedRecord(3, JournalRecord(131, "-j-000001/0;"))
     private val batch = WriteBatch(ModRevision(1u), maxOps = 16).apply { addJournalRecord(slotted, ModRevision.ABSENT, emptyList()) }
 
-    /** Stores [record] in the batch's first slot and returns the slot's revision. */
+    /** Stores [record] in the slot of the batch's first record and returns the modification revision of the slot's key. */
     private fun storeInSlot(record: JournalRecord): ModRevision {
         val put = Write.Put(slotted.key, WireJson.encodeToJsonElement(record))
         val result = store.commit(Transaction(emptyList(), listOf(put)))
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -77,7 +77,7 @@
 import mountmast.standin.production.RelayAnswer as ProductionRelayAnswer
 import mountmast.standin.production.RelayRequest as ProductionRelayRequest
 
-/** The contract between versions: this one reads what production wrote, and production what this one writes. */
+/** Compatibility during an upgrade: this version reads what the release in production wrote, and that release what this one writes. */
 @OptIn(ExperimentalSerializationApi::class)
 class ProductionFormsTest {
     private fun lines(file: String): List<String> =
@@ -89,7 +89,7 @@
 
     private inline fun <reified T> stored(key: String): T = WireJson.decodeFromJsonElement(entries.getValue(key))
 
-    /** What is read says all that was written, under the same names: nothing is lost on the way. */
+    /** Decoding [value] as a [T] and encoding it again gives the same JSON: no field is lost or renamed. */
     private inline fun <reified T> assertWhole(key: String, value: JsonElement) =
         assertEquals(value, WireJson.encodeToJsonElement(WireJson.decodeFromJsonElement<T>(value)), key)
 
@@ -169,7 +169,7 @@
 
     @Test
     fun `every kind of entry that production wrote into the journal has the same effect`() {
-        // Without the snapshot all of it is replayed, and has to come to the same.
+        // Without the snapshot the whole journal is replayed, and must give the same cluster state.
         val journalAlone = entries.filterKeys { it != Keys.SNAPSHOT && !it.startsWith(Keys.SNAPSHOT_PARTS) }
         val marks = journalAlone.filterKeys { it.startsWith(Keys.JOURNAL) }
             .flatMap { (key, _) -> stored<JournalRecord>(key).text().split(';').mapNotNull { it.firstOrNull() } }
@@ -226,7 +226,7 @@
     fun `until all nodes are current, production reads everything that this version stores`() {
         for (seed in 1L..8L) {
             val world = World(seed, quietNetwork = true)
-            // One node is never heard, so nobody knows that it is current.
+            // One node stays down, so no other node learns that it reads the current forms.
             world.hosts.last().downUntil = Long.MAX_VALUE
             repeat(8) { round ->
                 world.run(8000, busy = true)
@@ -237,43 +237,46 @@
         }
     }
 
-    /** Production's classes lose no field of [written], and its journal reader finds the same tasks on the same machines. */
+    /**
+     * Checks that production's classes decode every value of [written], with each field that they know as it was written, and that
+     * production's journal reader finds the same tasks done and the same assignments as this version.
+     */
     private fun assertReadByProduction(written: List<Entry>, world: World) {
         for (entry in written) {
             val read = ProductionForms.pass(entry.key, entry.value)
             assertTrue(isPartOf(read, entry.value), "${entry.key}: $read of ${entry.value}")
         }
         val leaderTerm = loaded(world.store.View(Random(1), ProcessFaults(world.time)))
-        val byProduction = replayedByProduction(written)
-        val ours = leaderTerm.cluster.jobs.values.flatMap { job ->
+        val productionLedger = replayedByProduction(written)
+        val currentAssignments = leaderTerm.cluster.jobs.values.flatMap { job ->
             job.live.values.map { "${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone}" }
         }
-        val theirs = byProduction.placed.filterKeys { JobId(it.job.text) in leaderTerm.cluster.jobs }
+        val productionAssignments = productionLedger.placed.filterKeys { JobId(it.job.text) in leaderTerm.cluster.jobs }
             .map { (task, at) -> "$task ${at.machine} ${at.session} ${at.attempt} ${at.zone}" }
-        assertEquals(theirs.sorted(), ours.sorted())
+        assertEquals(productionAssignments.sorted(), currentAssignments.sorted())
         for (job in leaderTerm.cluster.jobs.values) {
-            assertEquals(byProduction.done[mountmast.standin.production.JobId(job.id.text)] ?: java.util.BitSet(), job.done)
+            assertEquals(productionLedger.done[mountmast.standin.production.JobId(job.id.text)] ?: java.util.BitSet(), job.done)
         }
     }
 
     private fun replayedByProduction(written: List<Entry>): ProductionLedger {
-        val cluster = ProductionLedger()
+        val ledger = ProductionLedger()
         val snapshot = written.firstOrNull { it.key == "snapshot" }
             ?.let { WireJson.decodeFromJsonElement<mountmast.standin.production.SnapshotRecord>(it.value) }
         if (snapshot != null) {
             val parts = written.filter { it.key.startsWith("s/${snapshot.generation % 2}/") }.take(snapshot.parts)
             for (part in parts) {
-                cluster.read(part.key, WireJson.decodeFromJsonElement<mountmast.standin.production.SnapshotPart>(part.value).text)
+                ledger.read(part.key, WireJson.decodeFromJsonElement<mountmast.standin.production.SnapshotPart>(part.value).text)
             }
         }
         written.filter { it.key.startsWith("l/") }
             .map { WireJson.decodeFromJsonElement<mountmast.standin.production.JournalRecord>(it.value) }
             .filter { it.number > (snapshot?.upTo ?: 0) }.sortedBy { it.number }
-            .forEach { cluster.read("record ${it.number}", it.text) }
-        return cluster
+            .forEach { ledger.read("record ${it.number}", it.text) }
+        return ledger
     }
 
-    /** Whether [whole] holds all that [part] does; it may hold more fields. */
+    /** Whether [whole] holds every field and value of [part]; its objects may have further fields. */
     private fun isPartOf(part: JsonElement, whole: JsonElement): Boolean = when {
         part is JsonObject && whole is JsonObject -> part.all { (name, value) -> whole[name]?.let { isPartOf(value, it) } == true }
         part is JsonArray && whole is JsonArray -> part.size == whole.size && part.indices.all { isPartOf(part[it], whole[it]) }
@@ -323,7 +326,7 @@
         override fun send(address: String, message: CommandRequest): CommandOutcome = CommandOutcome.NotSent
     }
 
-    /** What a leader reads from [store]. */
+    /** Returns the term of a new leader that has loaded its state from [store]. */
     private fun loaded(store: StateStore): LeaderTerm {
         val clock = time.clock(0.0, 0)
         val leaderLease = LeaderLease(FencingToken(1u shl 30), ModRevision(1u), StoreLeaseId(1u), clock.now(), WallTime(0))
@@ -333,7 +336,7 @@
         return LeaderTerm(leaderLease, environment, emptyMap(), SchedulingPolicy()).apply { load() }
     }
 
-    /** In the form in which production's code described its own. */
+    /** Describes the state of [leaderTerm] in the form of `ledger.txt`, in which production's code described its own state. */
     private fun describe(leaderTerm: LeaderTerm): List<String> {
         val journal = leaderTerm.journal
         val snapshot = "snapshotUpTo ${journal.lastRecordInSnapshot} generation ${journal.snapshotGeneration}"
--- a/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
@@ -14,20 +14,20 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What the leader of a full fleet writes where the store allows few writes a second. */
+/** Writes per second of the leader of a fully used fleet, with a store that allows few writes per second. */
 class WriteBudgetTest {
-    /** A fleet of [machines] on which [perSecond] tasks start and end each second, in jobs of [TASKS_PER_JOB] tasks. */
-    private class FullFleet(private val name: String, machines: Int, private val perSecond: Int, compact: Boolean) {
+    /** A fleet of [machines] on which [tasksPerSecond] tasks start and end each second, in jobs of [TASKS_PER_JOB] tasks. */
+    private class FullFleet(private val name: String, machines: Int, private val tasksPerSecond: Int, compact: Boolean) {
         val world = World(
             91,
             quietNetwork = true,
-            perOffer = machines / OFFERS,
+            perOffer = machines / OFFERING_COUNT,
             limits = FallingLimits(LIMITS, enforcesRates = true),
             agreesOnForms = compact,
         )
         private var submitted = 0
         private var refused = 0
-        private val everySubmissionMs = 1000L * TASKS_PER_JOB / perSecond
+        private val submissionIntervalMs = 1000L * TASKS_PER_JOB / tasksPerSecond
         private var nextSubmissionAt = 5000L
 
         private fun submitNext() {
@@ -35,13 +35,13 @@
                 it.copy(
                     team = TeamId("free"), shape = Shape.ARRAY, urgency = Urgency.NORMAL, tasks = TASKS_PER_JOB, cpus = 1.2, memoryGb = 2.0,
                     image = ImageId("i"), imageGb = 0.2, types = null, zone = null, singleZone = false, spreadAcrossZones = false,
-                    spotAllowed = true, estimateS = RUN_S, checkpointEveryS = 0.0, deadlineS = null,
+                    spotAllowed = true, estimateS = TASK_DURATION_S, checkpointEveryS = 0.0, deadlineS = null,
                 )
             }
             submit(spec)
         }
 
-        /** Submits as users do, who repeat the submission a second later if it is refused. */
+        /** Submits [spec]; if the submission is refused, repeats it one second later, as users do. */
         private fun submit(spec: JobSpec) {
             if (world.submit(spec) in 200..201) return
             refused++
@@ -53,21 +53,21 @@
             while (world.time.now < until) {
                 while (nextSubmissionAt <= world.time.now) {
                     submitNext()
-                    nextSubmissionAt += everySubmissionMs
+                    nextSubmissionAt += submissionIntervalMs
                 }
                 world.run(200, busy = false)
             }
         }
 
-        /** Runs until the load is steady, and then for [MEASURED_MS]; checks what was written meanwhile. */
+        /** Runs for [RAMP_UP_MS], until the load is steady, then for [MEASURED_MS], and checks the writes of that second period. */
         fun measure() {
-            run(RAMP_MS)
+            run(RAMP_UP_MS)
             val writesBefore = HashMap(world.store.writesByKind)
             val startedBefore = world.rules.started
             val refusedBefore = refused
-            val beganAt = world.time.now
+            val measuredFrom = world.time.now
             run(MEASURED_MS)
-            val seconds = (world.time.now - beganAt) / 1000.0
+            val seconds = (world.time.now - measuredFrom) / 1000.0
             val perKind = world.store.writesByKind.mapValues { (kind, count) -> (count - (writesBefore[kind] ?: 0)) / seconds }
             println("$name: ${perKind.entries.joinToString { "${it.key} %.2f".format(it.value) }}")
             println("$name: ${refused - refusedBefore} refused submissions, 429: ${world.store.overRate}")
@@ -78,17 +78,17 @@
 
         private fun assertKeepsUp(startedPerSecond: Double) {
             println("$name: %.1f starts a second, %d changes pending".format(startedPerSecond, pendingChanges()))
-            assertTrue(startedPerSecond > perSecond * 0.85, "$startedPerSecond starts a second")
-            assertTrue(pendingChanges() < perSecond * 5, "${pendingChanges()} changes pending")
+            assertTrue(startedPerSecond > tasksPerSecond * 0.85, "$startedPerSecond starts a second")
+            assertTrue(pendingChanges() < tasksPerSecond * 5, "${pendingChanges()} changes pending")
         }
 
         private fun assertWritten(perKind: Map<WriteKind, Double>) {
             val quota = StoreRateQuota.writes(LIMITS, 3, isLeader = true)
-            val ofLeader = perKind.filterKeys { it != WriteKind.USERS }.values.sum()
-            println("$name: leader %.2f of %.2f writes a second".format(ofLeader, quota))
+            val leaderWritesPerSecond = perKind.filterKeys { it != WriteKind.USERS }.values.sum()
+            println("$name: leader %.2f of %.2f writes a second".format(leaderWritesPerSecond, quota))
             assertEquals(0, world.store.overRate, "requests over the rates")
             assertEquals(0, world.store.tooLarge, "transactions over the limits")
-            assertTrue(ofLeader <= quota, "$ofLeader of $quota")
+            assertTrue(leaderWritesPerSecond <= quota, "$leaderWritesPerSecond of $quota")
             assertTrue((perKind[WriteKind.PROGRESS] ?: 0.0) >= 0.3, "the progress of jobs is written")
             assertTrue((perKind[WriteKind.WATERMARK] ?: 0.0) >= 0.3, "the watermark is written")
             assertTrue((perKind[WriteKind.SNAPSHOT] ?: 0.0) > 0, "snapshots are written")
@@ -116,10 +116,10 @@
 
     private companion object {
         val LIMITS = StateLimits(250.0, 21.0, 2.0, 5)
-        const val OFFERS = 8
+        const val OFFERING_COUNT = 8
         const val TASKS_PER_JOB = 40
-        const val RUN_S = 78.0
-        const val RAMP_MS = 110_000L
+        const val TASK_DURATION_S = 78.0
+        const val RAMP_UP_MS = 110_000L
         const val MEASURED_MS = 60_000L
     }
 }
