--- a/src/main/kotlin/mountmast/coordination/persistence/JournalCommitter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalCommitter.kt
@@ -21,7 +21,7 @@
  * pointer is committed, the slots of all records that the snapshot contains are free for new records.
  *
  * Every transaction compares the leader's key, and the key of each journal slot that it writes. So a transaction that the store executes
- * late is not committed if the leader's key was deleted or written since, or if any of these slots was.
+ * late is not committed if the leader's key was deleted or written since its batch was collected, or if any of these slots was written.
  *
  * Called by one thread. Takes the lock of [PersistenceContext], but never holds it during a call to the store.
  *
@@ -46,7 +46,7 @@
     /** The next attempt at the batch in doubt, which may or may not be in the store; null if no batch is in doubt. */
     private var inDoubtAttempt: CommitAttempt? = null
 
-    /** Sends one transaction, if there is anything to write. Returns [CommitStep.Failed] if the store fails; throws no `StoreException`. */
+    /** Sends one transaction, if there is anything to write. A failure of the store is part of the result, and is not thrown. */
     fun commitNext(): CommitStep {
         if (limits.isPaused()) return CommitStep.NothingToWrite
         val attempt = inDoubtAttempt ?: collector.collect()?.let(CommitAttempt::First) ?: return CommitStep.NothingToWrite
@@ -89,7 +89,7 @@
             }
             else -> {
                 log.debug("a transaction of {} writes was not executed: {}", transaction.writes.size, failure.message)
-                // An earlier attempt at the same batch may have been executed: only the batch of a first attempt is not in doubt.
+                // A batch that was sent before stays in doubt, since an earlier attempt at it may have been executed.
                 if (attempt is CommitAttempt.First) requeue(attempt.batch)
             }
         }
--- a/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
@@ -72,7 +72,7 @@
     /** Begins a snapshot of all changes in the journal so far, if one is due. Later records are replayed after the snapshot. */
     private fun begin(size: JournalSize): Draft? {
         val journal = context.journal
-        // The next slot may be taken although few are, if a former leader used another journal size.
+        // If a former leader used another journal size, the next slot may hold a record that is still needed, although few slots do.
         val isDue = journal.recordsSinceSnapshot >= size.beginSnapshotAfter || !journal.isFree(size.slotOf(journal.nextRecordNumber))
         if (!isDue) return null
         val text = context.cluster.describe()
