--- a/src/main/kotlin/mountmast/coordination/controller/CancellationAnnouncer.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/CancellationAnnouncer.kt
@@ -5,20 +5,21 @@
 import mountmast.coordination.membership.PeerMembership
 import mountmast.protocol.JobId
 
-/** Announces cancellations that this node committed to the leader and to all peers. Thread-safe. */
+/** Announces cancellations that this node has committed: to the leader at once, to all peers with the next heartbeats. Thread-safe. */
 internal class CancellationAnnouncer(
     private val cancellations: CancellationBroadcast,
-    private val leader: CurrentLeaderComponents,
+    private val leaderComponents: CurrentLeaderComponents,
     private val election: LeaderElection,
     private val membership: PeerMembership,
 ) {
     /**
-     * Announces that the cancellation of job [id] is committed. The leader learns of it before the user does, if it can be
-     * reached, so that no task of the job starts after the user was told.
+     * Queues the committed cancellation of job [id] for all peers, and applies it at once if this node leads; otherwise sends it to
+     * the leader, if that is known and has sent a heartbeat lately. Called before the user gets the answer, so that a leader that can be
+     * reached starts no task of the job afterwards.
      */
     fun announce(id: JobId) {
         cancellations.broadcast(id)
-        val leaderTerm = leader.get()?.leaderTerm
+        val leaderTerm = leaderComponents.get()?.leaderTerm
         if (leaderTerm != null) return leaderTerm.jobs.cancelByBroadcast(listOf(id))
         val leadingNode = election.leader ?: return
         membership.exchangeHeartbeatIfAlive(leadingNode)
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -29,16 +29,20 @@
 import mountmast.transport.UserService
 
 /**
- * All that one controller node does, as steps that somebody else calls: [Node] from threads, tests in virtual time.
- * This class only composes the parts. Thread-safe where each step is called by one thread at a time; those of [leaderWork] that
- * announce and deliver may run on several. Each step returns after at most one exchange with each of the systems around the node.
+ * One controller node, as steps that a caller repeats: [Node] on threads, tests in virtual time. This class only composes the
+ * parts.
+ *
+ * Different steps may run concurrently, but each step is called by one thread at a time; only [LeaderWork.deliverCommands] and
+ * [LeaderWork.announceLeader] may be called by several. [electionStep] and [awaitVacancy] are called by the same thread.
+ * [onHeartbeat], [onPeerHeartbeat] and [users] are called by any thread. Each step returns after at most one exchange with each
+ * external system.
  */
 class Controller(
     settings: Settings,
-    operators: OperatorSettings,
+    operatorSettings: OperatorSettings,
     systems: ExternalSystems,
     clock: Clock,
-    /** Drawn at each start, so that no two processes are ever taken for one another. */
+    /** Identifies this process; drawn at each start, so that a restarted node is not taken for its earlier process. */
     run: String,
     metrics: Metrics = Metrics(),
 ) : HeartbeatService,
@@ -53,13 +57,13 @@
     private val cancellations = CancellationBroadcast(settings.members.map { it.node }, clock, timing.cancellationBroadcastMs)
     private val leaseRenewalDelegate = LeaseRenewalDelegate(election, cancellations)
 
-    /** Whether every node of the deployment reads the current forms. */
+    /** Negotiates whether every node of the deployment reads the current format. */
     val formats = FormatNegotiation(store, settings.members.map { it.node })
-    private val leader = CurrentLeaderComponents()
-    private val localState = LocalPeerState(settings.node, election, cancellations, formats, leader, ::canServe)
+    private val leaderComponents = CurrentLeaderComponents()
+    private val localState = LocalPeerState(settings.node, election, cancellations, formats, leaderComponents, ::canServe)
     private val membership = PeerMembership(settings.members, peers, cancellations, clock, localState)
     private val readiness = ReadinessMonitor(election, membership, settings.members.size, wakeLag, clock, ::canServe)
-    private val announcer = CancellationAnnouncer(cancellations, leader, election, membership)
+    private val announcer = CancellationAnnouncer(cancellations, leaderComponents, election, membership)
     private val prerequisiteLists = PrerequisiteLists(store, settings.stateLimits)
     private val jobService = JobService(
         store,
@@ -69,11 +73,11 @@
         HostNode.of(membership::forward, readiness::isReady, announcer::announce) { formats.isCurrent },
     )
 
-    /** What users may ask of this node. */
+    /** Serves the requests of users. */
     val users: UserService get() = jobService
 
     private val jobPrefetcher = JobRecordPrefetcher(store, jobService::cacheRecord)
-    private val heartbeatRouter = HeartbeatRouter(election, leader, leaseRenewalDelegate, clock)
+    private val heartbeatRouter = HeartbeatRouter(election, leaderComponents, leaseRenewalDelegate, clock)
     private val refresh = PeriodicRefresh(jobService, formats)
     private val environment = LeaderTermEnvironment(
         store,
@@ -81,39 +85,39 @@
         timing,
         clock,
         prerequisiteLists,
-        JobKnowledge(),
+        BroadcastJobCache(),
         LeaderTermEnvironment.Diagnostics(losses, invariants),
     )
-    private val components = LeaderComponentsFactory(settings, operators, run, systems.cloud, environment, election, formats)
+    private val componentsFactory = LeaderComponentsFactory(settings, operatorSettings, run, systems.cloud, environment, election, formats)
     private val electionLoop =
-        ElectionLoop(election, membership, leader, components, ResignationCheck(election, timing, clock), readiness, store)
+        ElectionLoop(election, membership, leaderComponents, componentsFactory, ResignationCheck(election, timing, clock), readiness, store)
 
-    /** The steps that only a leader does. */
-    val leaderWork = LeaderWork(leader, election, clock)
+    /** The steps that do nothing unless this node leads. */
+    val leaderWork = LeaderWork(leaderComponents, election, clock)
 
-    /** What this node measures of its own load. */
+    /** Measures and logs the load of this node. */
     internal val loadMonitor = LoadMonitor(metrics, losses, election, leaderWork::leaderTerm, clock)
 
-    /** The term to work in, or null while this node does not lead or has not loaded its state. */
+    /** Returns the current term, or null while this node does not lead or has not loaded the cluster state. */
     fun leaderTerm(): LeaderTerm? = leaderWork.leaderTerm()
 
-    /** Renews the lease, observes the leader or tries to be elected; about once a second. */
+    /** Renews the leader lease, observes another leader or attempts to be elected; about once a second. */
     fun electionStep() = electionLoop.step()
 
-    /** Waits up to [waitMs] for the leader's key to fall vacant, while another node leads; idle if there is nothing to wait for. */
+    /** Waits up to [waitMs] while another node leads, until the leader key is deleted; [StepResult.IDLE] if it was not watched. */
     fun awaitVacancy(waitMs: Long): StepResult = StepResult.of(election.awaitVacancy(waitMs) == VacancyWait.WATCHED)
 
-    /** Reads from the store what seldom changes; about once a second. */
+    /** Refreshes the machine types and the negotiated format from the store; about once a second. */
     fun refreshSharedData() = refresh.step()
 
-    /** Records that a sleep took [ms] longer than asked for: the process gets less of the processor than it needs. */
+    /** Records that a sleep ended [ms] late, a sign that the process gets too little processor time. */
     fun recordWakeLag(ms: Long) = readiness.recordWakeLag(ms)
 
-    /** Prefetches the records of jobs that other nodes accept, while this node does not lead; waits up to [waitMs] for the next. */
+    /** Prefetches the records of jobs that other nodes accept, unless this node leads; waits up to [waitMs] for the next change. */
     fun prefetchJobs(waitMs: Long): StepResult =
-        StepResult.of(leader.get() == null && jobPrefetcher.prefetch(waitMs) == PrefetchResult.WATCHED)
+        StepResult.of(leaderComponents.get() == null && jobPrefetcher.prefetch(waitMs) == PrefetchResult.WATCHED)
 
-    /** Exchanges heartbeats with each of the other nodes. */
+    /** Exchanges heartbeats with each of the other nodes, one after another. */
     fun exchangePeerHeartbeats() = membership.exchangeHeartbeats()
 
     override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome = heartbeatRouter.onHeartbeat(heartbeat)
@@ -122,7 +126,7 @@
 
     private fun canServe(): Boolean = jobService.knowsTypes && store.isReachable
 
-    private inner class JobKnowledge : NodeJobKnowledge {
+    private inner class BroadcastJobCache : NodeJobCache {
         override fun isCancelled(id: JobId) = id in cancellations
 
         override fun onJobRecord(record: JobRecord, modRevision: ModRevision) = jobService.cacheRecord(record, modRevision)
--- a/src/main/kotlin/mountmast/coordination/controller/ElectionLoop.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ElectionLoop.kt
@@ -4,44 +4,48 @@
 import mountmast.coordination.membership.PeerMembership
 import mountmast.storage.StateStore
 
-/** The election's step, and what follows from its outcome on this node. Called by one thread. */
+/** Takes part in the election, and starts or ends this node's term by its result. Confined to one thread. */
 internal class ElectionLoop(
     private val election: LeaderElection,
     private val membership: PeerMembership,
-    private val leader: CurrentLeaderComponents,
-    private val components: LeaderComponentsFactory,
+    private val leaderComponents: CurrentLeaderComponents,
+    private val componentsFactory: LeaderComponentsFactory,
     private val resignation: ResignationCheck,
     private val readiness: ReadinessMonitor,
     private val store: StateStore,
 ) {
     /**
-     * Renews the lease, observes the leader or tries to be elected; about once a second. Nothing else is asked of the store
-     * here: on a cold node, with all workers and users upon it, each call took a second, and the lease expired between two
-     * renewals.
+     * Renews the leader lease, observes another leader or attempts to be elected; then checks whether this node should resign,
+     * replaces the components of the term and updates [readiness]. Called about once a second. Apart from the election and a
+     * resignation no call to the store belongs here: on a cold node that all workers and users call, each call to the store took a
+     * second, and the lease expired between two renewals.
      */
     fun step() {
         election.step()
-        val leaderTerm = leader.get()?.leaderTerm
-        // Cut off from the workers alone, in either direction, this node would renew for ever while their leases expire.
+        val leaderTerm = leaderComponents.get()?.leaderTerm
+        // A leader that only the workers cannot reach, or that cannot reach them, would renew its own lease for ever while theirs expire.
         val reason = leaderTerm?.let(resignation::reasonToResign)
         if (leaderTerm != null && reason != null && membership.countServing() > 0) election.resign(leaderTerm.leaderLease, reason)
         replaceComponents()
         readiness.updateAdmission()
     }
 
-    /** Makes the leader's components those of the lease that this node holds by now. */
+    /**
+     * Replaces the components of the term if this node has been elected, has resigned or was deposed since the last call. Steps in
+     * progress on other threads are not interrupted and finish with the components of the former term.
+     */
     private fun replaceComponents() {
         val leaderLease = election.leaderLease
-        val current = leader.get()
+        val current = leaderComponents.get()
         if (leaderLease == null) {
             if (current != null) {
-                leader.set(null)
+                leaderComponents.set(null)
                 store.setRole(leader = false)
             }
             return
         }
         if (current?.leaderTerm?.leaderLease === leaderLease) return
         store.setRole(leader = true)
-        leader.set(components.create(leaderLease))
+        leaderComponents.set(componentsFactory.create(leaderLease))
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/ExternalSystems.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ExternalSystems.kt
@@ -5,5 +5,5 @@
 import mountmast.transport.PeerClient
 import mountmast.transport.WorkerClient
 
-/** Clients of all systems that a controller node calls. Each must be thread-safe. */
+/** Clients of all systems that a controller node calls. Each client must be thread-safe. */
 class ExternalSystems(val store: StateStore, val cloud: Cloud, val workers: WorkerClient, val peers: PeerClient)
--- a/src/main/kotlin/mountmast/coordination/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/HeartbeatRouter.kt
@@ -10,20 +10,20 @@
 import mountmast.transport.HeartbeatService
 
 /**
- * Answers a worker's heartbeat as the leader or in the name of one just elected, and sends the worker elsewhere if this
- * node may do neither. Thread-safe.
+ * Answers a worker's heartbeat as the leader or on behalf of a leader that was just elected, and refers the worker to another node
+ * if this one may do neither. Thread-safe; takes the lock of the leader's term.
  */
 internal class HeartbeatRouter(
     private val election: LeaderElection,
-    private val leader: CurrentLeaderComponents,
+    private val leaderComponents: CurrentLeaderComponents,
     private val leaseRenewalDelegate: LeaseRenewalDelegate,
     private val clock: Clock,
 ) : HeartbeatService {
     override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome {
         election.observeToken(heartbeat.token)
         val leaderLease = election.leaderLease ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat)
-        // The components follow the lease a moment later, and until then belong to no term or a former one.
-        val leaderTerm = leader.get()?.leaderTerm?.takeIf { it.leaderLease === leaderLease }
+        // The election loop sets the components shortly after the lease: until then there are none, or those of a former term.
+        val leaderTerm = leaderComponents.get()?.leaderTerm?.takeIf { it.leaderLease === leaderLease }
         val isSuperseded = !election.mayRenewWorkerLeases() || heartbeat.token.term > leaderLease.token.term
         if (isSuperseded || leaderTerm == null || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Elsewhere(null)
         return HeartbeatOutcome.Accepted(respond(heartbeat, leaderTerm, leaderLease))
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderComponents.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderComponents.kt
@@ -4,19 +4,19 @@
 import mountmast.coordination.persistence.JournalCommitter
 import java.util.concurrent.atomic.AtomicReference
 
-/** What exists on the leader alone, made anew for each term. */
+/** The components that exist on the leader only, created for each term. */
 internal class LeaderComponents(val leaderTerm: LeaderTerm, val committer: JournalCommitter, val autoscaler: Autoscaler)
 
-/** The components of the term in which this node leads. Set by the election's thread, read by any. */
+/** Holds the components of the term in which this node leads. Set by the thread of the election loop, read by any thread. */
 internal class CurrentLeaderComponents {
     private val components = AtomicReference<LeaderComponents?>()
 
-    /** The components of the current term, which may not be loaded yet, or null while this node does not lead. */
+    /** Returns the components of the current term, whose state may not be loaded yet, or null while this node does not lead. */
     fun get(): LeaderComponents? = components.get()
 
-    /** The components of the current term once its state is loaded, or null before and while this node does not lead. */
+    /** Returns the components of the current term, or null while this node does not lead or has not loaded the cluster state. */
     fun loaded(): LeaderComponents? = components.get()?.takeIf { it.leaderTerm.isLoaded }
 
-    /** Replaces the components; null once this node leads no more. */
+    /** Replaces the components; [current] is null when this node stops leading. */
     fun set(current: LeaderComponents?) = components.set(current)
 }
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderComponentsFactory.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderComponentsFactory.kt
@@ -8,26 +8,26 @@
 import mountmast.protocol.Settings
 import mountmast.transport.Cloud
 
-/** Creates the [LeaderComponents] of each term that this node is elected for; everything they share outlives the term. */
+/** Creates the [LeaderComponents] of each term that this node is elected for. What is passed to this class outlives a term. */
 internal class LeaderComponentsFactory(
     private val settings: Settings,
-    private val operators: OperatorSettings,
-    /** Identifies this process; part of the names under which its terms scale out. */
+    private val operatorSettings: OperatorSettings,
+    /** Identifies this process; part of the prefix of the request names with which its terms scale out. */
     private val run: String,
     private val cloud: Cloud,
     private val environment: LeaderTermEnvironment,
     private val election: LeaderElection,
     private val formats: FormatNegotiation,
 ) {
-    /** Creates the components of the term that [leaderLease] stands for. Nothing is read from the store yet. */
+    /** Creates the components of the term of [leaderLease], without a call to the store. */
     fun create(leaderLease: LeaderLease): LeaderComponents {
         val store = environment.store
         val clock = environment.clock
-        val leaderTerm = LeaderTerm(leaderLease, environment, settings.teams, operators.scheduling)
-        val writer = JournalCommitter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { election.stepDown() }
+        val leaderTerm = LeaderTerm(leaderLease, environment, settings.teams, operatorSettings.scheduling)
+        val committer = JournalCommitter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { election.stepDown() }
         val requestPrefix = "${settings.node}-$run-${leaderLease.token}"
         val autoscaler =
-            Autoscaler(leaderTerm, cloud, clock, requestPrefix, operators.autoscaling, environment.timing, settings.cloudRps)
-        return LeaderComponents(leaderTerm, writer, autoscaler)
+            Autoscaler(leaderTerm, cloud, clock, requestPrefix, operatorSettings.autoscaling, environment.timing, settings.cloudRps)
+        return LeaderComponents(leaderTerm, committer, autoscaler)
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -37,11 +37,13 @@
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
 /**
- * The state and the parts of one leader's term. All of it is rebuilt by the next leader from the store and from the
- * workers' heartbeats.
+ * The state and the components of one leader's term. The next leader rebuilds all of them from the store and from the workers'
+ * heartbeats. Nothing is closed when the term ends: steps in progress finish, and each transaction of the journal compares the
+ * revision of the leader key, so that one executed after a successor's election changes nothing.
+ * Thread-safe, except where a member needs [lock].
  */
 class LeaderTerm(
-    /** The lease that stands for the term. */
+    /** The lease by which this node leads for the term. */
     val leaderLease: LeaderLease,
     environment: LeaderTermEnvironment,
     teams: Map<TeamId, TeamQuota>,
@@ -53,24 +55,24 @@
     private val timing = environment.timing
     private val clock = environment.clock
     private val prerequisiteLists = environment.prerequisiteLists
-    private val jobKnowledge = environment.jobKnowledge
+    private val jobCache = environment.jobCache
     private val losses = environment.diagnostics.losses
     private val invariants = environment.diagnostics.invariants
 
-    /** Guards [cluster] and all parts of the term. Held for moments; never during I/O. */
+    /** Guards [cluster] and the components of the term. Held briefly, and never during I/O. */
     override val lock = ReentrantLock()
 
-    /** The cluster as this leader knows it; guarded by [lock]. */
+    /** The cluster state as this leader knows it; guarded by [lock]. */
     override val cluster = ClusterState(policy.runDecay, losses).apply { assignments.beginTerm(leaderLease.token) }
 
-    /** Where the journal stands in the store. */
+    /** The journal and the snapshot as the store holds them; guarded by [lock]. */
     override val journal = JournalState()
 
-    /** Wakes the threads that place tasks and commit changes; guarded by [lock]. */
+    /** Wakes the threads that run scheduling cycles and commit changes; its conditions are those of [lock]. */
     override val signals = TermSignals(lock)
     private val reachability = ReachabilityMonitor(cluster, leaderLease, timing)
 
-    /** Machine types that the store does not hold yet. */
+    /** Machine types that the store does not hold yet, or null; guarded by [lock]. */
     override var pendingTypes: MachineTypes? = null
 
     private val dependencies = JobDependencies(cluster)
@@ -88,33 +90,33 @@
     private val workerContext = WorkerContext(lock, cluster, leaderLease, signals, timing, clock, invariants)
     private val outstandingCommands = OutstandingCommands(workerContext) { now -> jobs.stalenessMs(now) < timing.ttlMs }
 
-    /** What the workers' heartbeats change, and the responses to them. */
+    /** Applies the workers' heartbeats to the cluster state and creates the responses. */
     val heartbeats = HeartbeatHandler(workerContext, outstandingCommands, reachability)
 
-    /** Lease expiry, and whether the workers' heartbeats reach this node. */
+    /** Expires the workers' leases, and detects that this node and the workers cannot reach one another. */
     val liveness = WorkerLivenessMonitor(workerContext, reachability)
 
-    /** Delivers commands to the workers. */
+    /** Delivers commands to the workers, and announces this leader to them. */
     val dispatch = CommandDispatcher(workerContext, outstandingCommands, workers, heartbeats)
 
     private val snapshots = SnapshotCache(cluster, dependencies, teams, timing, clock)
     private val schedulingCycle = SchedulingCycle(cluster, snapshots, dispatch, signals, policy, clock)
     private val loader = StateLoader(lock, cluster, journal, jobs, store, clock)
 
-    /** Whether the state that earlier leaders wrote is read, so that this one may act on it. */
+    /** Whether the cluster state that earlier leaders wrote is loaded; until then this leader neither schedules nor writes. */
     val isLoaded: Boolean get() = workerContext.readyAt != null
 
-    /** Open tasks that found no machine in the last scheduling cycle; the caller holds [lock]. */
+    /** Open tasks that the last scheduling cycle could not place; the caller holds [lock]. */
     override val unplacedTasks: List<UnplacedTasks> get() = schedulingCycle.unplacedTasks
 
-    /** How long a machine may go unreached before it is scaled in, in milliseconds. */
+    /** How long a worker may be unreachable before its machine is scaled in, in milliseconds. */
     override val unreachableTimeoutMs: Long get() = 2 * timing.leaseExpiryMs
 
     /**
-     * Reads what earlier leaders wrote, in two steps: first the state that is needed to go on, then hints. Returns false once
-     * everything is read.
+     * Loads what earlier leaders wrote: the first call that succeeds loads the cluster state, the next one hints. Returns whether
+     * anything was loaded; false once there is nothing left to load. Called by one thread, which does not hold [lock].
      *
-     * @throws StoreException if the store fails; the step is then to be repeated.
+     * @throws StoreException if the store fails; the call is then to be repeated.
      */
     fun load(): Boolean {
         if (isLoaded) return loader.loadHints() == HintsLoad.LOADED
@@ -133,18 +135,18 @@
     }
 
     /**
-     * Whether workers' leases may be renewed, as far as cancellations go. A renewal of the leader's lease shows who leads, not
-     * what users were told: a node that the store refuses, or whose watch hangs, learns of no cancellation. Each lease that a
-     * response renews must expire before the first cancellation that may be unknown has to be carried out.
+     * Returns whether this leader knows of cancellations that are recent enough for it to renew workers' leases. Renewing the leader
+     * lease does not show that: a leader that the store refuses, or whose watch hangs, learns of no cancellation. A worker's lease
+     * that is renewed must expire before the first cancellation that may be unknown has to be carried out. Takes [lock].
      */
     fun mayRenewWorkerLeases(): Boolean = lock.withLock {
         if (isLoaded) jobs.stalenessMs(clock.now()) < timing.informedMs else clock.wall() < timing.uninformedUntil(leaderLease.watermark)
     }
 
-    /** For how long cancellations may have gone unnoticed, in milliseconds, or null before the state is loaded. */
-    fun uninformedMs(): Long? = lock.withLock { if (isLoaded) jobs.stalenessMs(clock.now()) else null }
+    /** Returns for how long cancellations may have gone unknown, in milliseconds, or null before the state is loaded. Takes [lock]. */
+    fun cancellationStalenessMs(): Long? = lock.withLock { if (isLoaded) jobs.stalenessMs(clock.now()) else null }
 
-    /** Runs one scheduling cycle, unless the state is not loaded yet. */
+    /** Runs one scheduling cycle if the cluster state is loaded. Holds [lock] throughout. */
     fun runSchedulingCycle() = lock.withLock {
         workerContext.readyAt?.let(schedulingCycle::run)
     }
@@ -156,9 +158,9 @@
     override fun areMostUnreached(): Boolean = reachability.areMostUnreached()
 
     private inner class JobsListener : JobInformerListener {
-        override fun isCancelledElsewhere(id: JobId) = jobKnowledge.isCancelled(id)
+        override fun isCancelledElsewhere(id: JobId) = jobCache.isCancelled(id)
 
-        override fun onRecord(record: JobRecord, modRevision: ModRevision) = jobKnowledge.onJobRecord(record, modRevision)
+        override fun onRecord(record: JobRecord, modRevision: ModRevision) = jobCache.onJobRecord(record, modRevision)
 
         override fun onCommandsDue(assignment: Assignment) = dispatch.queue(assignment.machine)
     }
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTermEnvironment.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTermEnvironment.kt
@@ -11,30 +11,30 @@
 import mountmast.storage.StateStore
 import mountmast.transport.WorkerClient
 
-/** What all terms of one process share: the systems around it, its clock and bounds, and what it counts and knows of jobs. */
+/** Everything that all terms of one process share: external systems, the clock and timing, caches of jobs, and counters. */
 class LeaderTermEnvironment(
     val store: StateStore,
     val workers: WorkerClient,
     val timing: LeaseTiming,
     val clock: Clock,
     val prerequisiteLists: PrerequisiteLists,
-    val jobKnowledge: NodeJobKnowledge = NodeJobKnowledge.None,
+    val jobCache: NodeJobCache = NodeJobCache.Empty,
     val diagnostics: Diagnostics = Diagnostics(),
 ) {
-    /** Counters that outlive a term: why tasks were lost, and which invariants were found violated. */
+    /** Counters that outlive a term: lost tasks by cause, and violations of invariants. */
     class Diagnostics(val losses: TaskLosses = TaskLosses(), val invariants: Invariants = Invariants())
 }
 
-/** What a node knows of jobs whether it leads or not. Called with the term's lock held, so implementations do no I/O. */
-interface NodeJobKnowledge {
-    /** Whether some node announced that job [id] is cancelled. */
+/** The jobs and cancellations that a node caches even while it does not lead. Called with the term's lock held: must not do I/O. */
+interface NodeJobCache {
+    /** Returns whether any node has broadcast the cancellation of job [id]. */
     fun isCancelled(id: JobId): Boolean
 
-    /** Called with each record of a live job that the leader reads. */
+    /** Caches the [record] of a live job that the leader has read at [modRevision]. */
     fun onJobRecord(record: JobRecord, modRevision: ModRevision)
 
-    /** Knows of no job. */
-    object None : NodeJobKnowledge {
+    /** A cache that stays empty. */
+    object Empty : NodeJobCache {
         override fun isCancelled(id: JobId) = false
 
         override fun onJobRecord(record: JobRecord, modRevision: ModRevision) = Unit
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
@@ -10,74 +10,78 @@
 private val log = LoggerFactory.getLogger("mountmast.controller")
 
 /**
- * The steps that only a leader does; on any other node each of them returns [StepResult.IDLE] at once. Each returns after
- * at most one exchange with each of the systems around the node, and may be called from a thread of its own.
+ * The steps of a leader. On any other node they do nothing: those that return a result return [StepResult.IDLE] at once. Each step
+ * returns after at most one exchange with each external system, and may be called by a thread of its own; the caller does not hold
+ * the lock of the leader's term. A step whose term ends meanwhile finishes with the components of that term.
  */
 class LeaderWork internal constructor(
-    private val leader: CurrentLeaderComponents,
+    private val leaderComponents: CurrentLeaderComponents,
     private val election: LeaderElection,
     private val clock: Clock,
 ) {
-    /** The term to work in, or null while this node does not lead or has not loaded its state. */
-    fun leaderTerm(): LeaderTerm? = leader.loaded()?.leaderTerm
+    /** Returns the current term, or null while this node does not lead or has not loaded the cluster state. */
+    fun leaderTerm(): LeaderTerm? = leaderComponents.loaded()?.leaderTerm
 
     /**
-     * Reads part of what earlier leaders wrote, if this node has just been elected. Not part of the election's step: reading
-     * takes seconds after a start, and the lease must be renewed meanwhile.
+     * Loads a part of what earlier leaders wrote, if this node leads and has not loaded all of it. Not part of the election's step:
+     * after a start loading takes seconds, during which the leader lease must be renewed.
      */
     fun load(): StepResult {
-        val leaderTerm = leader.get()?.leaderTerm ?: return StepResult.IDLE
+        val leaderTerm = leaderComponents.get()?.leaderTerm ?: return StepResult.IDLE
         return try {
             StepResult.of(leaderTerm.load())
         } catch (e: StoreException) {
-            log.debug("term={} cannot be loaded: {}", leaderTerm.leaderLease.token, e.message)
+            log.debug("cannot load the cluster state for term={}: {}", leaderTerm.leaderLease.token, e.message)
             StepResult.FAILED
         }
     }
 
-    /** Runs one scheduling cycle, then expires the leases of workers that are silent for too long. */
+    /** Runs one scheduling cycle; then, if this node still leads, expires the leases of workers that were silent for too long. */
     fun runSchedulingCycle() {
         val leaderTerm = leaderTerm() ?: return
         leaderTerm.runSchedulingCycle()
         election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.liveness.expireLeases(it) }
     }
 
-    /** Commits one batch of pending changes. */
-    fun commitPendingChanges(): StepResult = StepResult.of(leader.loaded()?.committer?.commitNext() == CommitStep.Written)
+    /** Commits one batch of pending changes; [StepResult.IDLE] also if there was none or the store failed. */
+    fun commitPendingChanges(): StepResult = StepResult.of(leaderComponents.loaded()?.committer?.commitNext() == CommitStep.Written)
 
-    /** Reads new and cancelled jobs from the store, waiting up to [waitMs] for the next. */
+    /** Watches the jobs in the store: waits up to [waitMs] for new or cancelled jobs and applies them to the cluster state. */
     fun watchJobs(waitMs: Long): StepResult {
         val leaderTerm = leaderTerm() ?: return StepResult.IDLE
         return try {
             leaderTerm.jobs.watch(waitMs)
             StepResult.DID_WORK
         } catch (e: StoreException) {
-            log.debug("jobs cannot be watched: {}", e.message)
+            log.debug("cannot watch the jobs: {}", e.message)
             StepResult.FAILED
         }
     }
 
-    /** Reads the outcome of jobs that others depend on. */
+    /** Reads the results of jobs that are prerequisites of others. */
     fun resolvePrerequisites(): StepResult {
         val leaderTerm = leaderTerm() ?: return StepResult.IDLE
         return try {
             StepResult.of(leaderTerm.jobs.resolvePrerequisites())
         } catch (e: StoreException) {
-            log.debug("prerequisites cannot be resolved: {}", e.message)
+            log.debug("cannot resolve prerequisites: {}", e.message)
             StepResult.FAILED
         }
     }
 
-    /** Scales out or in. Neither can be undone, so only a leader whose lease was confirmed a moment ago does either. */
+    /**
+     * Scales out or in, if the leader lease was confirmed in the last [RECENTLY_CONFIRMED_MS]: neither can be undone, so a leader that
+     * may have a successor must do neither.
+     */
     fun autoscale() {
-        val current = leader.loaded() ?: return
+        val current = leaderComponents.loaded() ?: return
         val confirmed = election.confirmedUntil(current.leaderTerm.leaderLease) ?: return
         if (clock.now() - confirmed < RECENTLY_CONFIRMED_MS) current.autoscaler.runRound()
     }
 
-    /** Delivers the commands due to one worker, waiting up to [waitMs] for some. */
+    /** Delivers the outstanding commands of one worker; waits up to [waitMs] if no worker is queued. May run on several threads. */
     fun deliverCommands(waitMs: Long): StepResult = StepResult.of(leaderTerm()?.dispatch?.deliverNext(waitMs) == DeliveryStep.DONE)
 
-    /** Announces this leader to one worker that may still follow a former one. */
+    /** Announces this leader to one worker that has not shown the token of this term yet. May run on several threads. */
     fun announceLeader(): StepResult = StepResult.of(leaderTerm()?.dispatch?.announceNext() == DeliveryStep.DONE)
 }
--- a/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
@@ -14,8 +14,8 @@
 private val log = LoggerFactory.getLogger("mountmast.load")
 
 /**
- * Measures a node's own load: as gauges on the operators' page, and every few seconds in one line of the log while it
- * leads. [logLoad] is called by one thread; the gauges are read by any.
+ * Measures the load of this node. Registers gauges for the metrics page, and logs one line at each call of [logLoad], which is
+ * confined to one thread. The gauges are read by any thread; those of the term take its lock.
  */
 internal class LoadMonitor(
     private val metrics: Metrics,
@@ -31,75 +31,75 @@
     private val storeCalls = metrics.timing(MetricNames.STORE_CALLS)
     private val storeFailures = metrics.counter(MetricNames.STORE_FAILURES)
     private val wakeLag = metrics.timing(MetricNames.WAKE_LAG)
-    private var loggedAt = clock.now()
-    private var logged = Totals(0, 0, 0, 0)
+    private var lastLoggedAt = clock.now()
+    private var lastTotals = Totals(0, 0, 0, 0)
 
-    /** Counters as they stood at some moment. */
+    /** Values of the counters at one moment. */
     private class Totals(val answered: Long, val refused: Long, val storeCalls: Long, val storeFailures: Long)
 
     init {
-        metrics.gauge(MetricNames.RENEWAL_AGE) { election.renewalAgeMs ?: NOT_LEADING }
+        metrics.gauge(MetricNames.RENEWAL_AGE) { election.renewalAgeMs ?: NO_VALUE }
         metrics.gauge(MetricNames.PENDING_CHANGES) { readTerm { it.cluster.pendingChanges.size } }
-        metrics.gauge(MetricNames.LAST_WRITE_AGE) { readTerm { term -> term.journal.writtenAt?.let { clock.now() - it } ?: NOT_LEADING } }
+        metrics.gauge(MetricNames.LAST_WRITE_AGE) { readTerm { term -> term.journal.writtenAt?.let { clock.now() - it } ?: NO_VALUE } }
         metrics.gauge(MetricNames.MACHINES_UP) { readTerm { term -> term.cluster.machines.values.count { it.state == MachineState.UP } } }
         metrics.gauge(MetricNames.ASSIGNMENTS) { readTerm { term -> term.cluster.machines.values.sumOf { it.live.size } } }
         metrics.gauge(MetricNames.JOBS) { readTerm { it.cluster.jobs.size } }
         metrics.gauge(MetricNames.HEAP_USED) { heapUsedMb() }
-        // Read for the page alone: loading the beans costs a cold node processor time.
+        // Not part of the log line: loading the garbage collector beans costs a cold node processor time.
         metrics.gauge(MetricNames.COLLECTIONS) { ManagementFactory.getGarbageCollectorMXBeans().sumOf { it.collectionCount } }
         metrics.gauge(MetricNames.COLLECTION_TIME) { ManagementFactory.getGarbageCollectorMXBeans().sumOf { it.collectionTime } }
     }
 
     private fun readTerm(read: (LeaderTerm) -> Number): Number {
-        val term = leaderTerm() ?: return NOT_LEADING
+        val term = leaderTerm() ?: return NO_VALUE
         return term.lock.withLock { read(term) }
     }
 
     private fun heapUsedMb(): Long = Runtime.getRuntime().let { (it.totalMemory() - it.freeMemory()) / BYTES_PER_MB }
 
-    /** Logs the load since the last call, at `info` while this node leads and at `debug` otherwise. */
+    /** Logs the load since the last call, at `info` while this node leads and has loaded its state, and at `debug` otherwise. */
     fun logLoad() {
         val now = clock.now()
         val totals = Totals(answeredHeartbeats.value, refusedHeartbeats.value, storeCalls.count, storeFailures.value)
-        val seconds = maxOf(1L, (now - loggedAt) / MS_PER_S)
-        val parts = listOf(workLine(), heartbeatsLine(totals, seconds), storeLine(totals, seconds), processLine())
+        val seconds = maxOf(1L, (now - lastLoggedAt) / MS_PER_S)
+        val parts = listOf(formatWork(), formatHeartbeats(totals, seconds), formatStore(totals, seconds), formatProcess())
         val load = "load: " + parts.joinToString("; ")
-        loggedAt = now
-        logged = totals
+        lastLoggedAt = now
+        lastTotals = totals
         if (leaderTerm() != null) log.info(load) else log.debug(load)
     }
 
-    private fun workLine(): String {
+    private fun formatWork(): String {
         val machines = metrics.gaugeValue(MetricNames.MACHINES_UP)
         val assignments = metrics.gaugeValue(MetricNames.ASSIGNMENTS)
         return "$machines machines up, $assignments assignments, ${metrics.gaugeValue(MetricNames.JOBS)} jobs"
     }
 
-    private fun heartbeatsLine(totals: Totals, seconds: Long): String {
-        val rate = (totals.answered - logged.answered) / seconds
+    private fun formatHeartbeats(totals: Totals, seconds: Long): String {
+        val rate = (totals.answered - lastTotals.answered) / seconds
         val waiting = metrics.gaugeValue(MetricNames.HEARTBEATS_WAITING)
-        val refused = totals.refused - logged.refused
-        return "$rate reports/s waited up to ${heartbeatWait.readAndResetLongestMs()} ms, $refused refused, $waiting wait; " +
-            "requests waited up to ${requestWait.readAndResetLongestMs()} ms, ${metrics.gaugeValue(MetricNames.REQUESTS_WAITING)} wait"
+        val refused = totals.refused - lastTotals.refused
+        return "$rate heartbeats/s waited up to ${heartbeatWait.readAndResetLongestMs()} ms, $refused refused, $waiting waiting; " +
+            "requests waited up to ${requestWait.readAndResetLongestMs()} ms, ${metrics.gaugeValue(MetricNames.REQUESTS_WAITING)} waiting"
     }
 
-    private fun storeLine(totals: Totals, seconds: Long): String {
-        val rate = (totals.storeCalls - logged.storeCalls) / seconds
-        val failed = totals.storeFailures - logged.storeFailures
+    private fun formatStore(totals: Totals, seconds: Long): String {
+        val rate = (totals.storeCalls - lastTotals.storeCalls) / seconds
+        val failed = totals.storeFailures - lastTotals.storeFailures
         return "state service $rate calls/s up to ${storeCalls.readAndResetLongestMs()} ms, $failed failed; " +
-            "renewed ${metrics.gaugeValue(MetricNames.RENEWAL_AGE)} ms ago, " +
-            "${metrics.gaugeValue(MetricNames.PENDING_CHANGES)} changes unwritten, " +
+            "lease renewed ${metrics.gaugeValue(MetricNames.RENEWAL_AGE)} ms ago, " +
+            "${metrics.gaugeValue(MetricNames.PENDING_CHANGES)} pending changes, " +
             "last write ${metrics.gaugeValue(MetricNames.LAST_WRITE_AGE)} ms ago"
     }
 
-    private fun processLine(): String {
+    private fun formatProcess(): String {
         val lost = LossCause.entries.joinToString { "${losses.of(it)} ${it.label}" }
-        return "woke up to ${wakeLag.readAndResetLongestMs()} ms late, heap ${heapUsedMb()} MB; tasks lost so far: $lost"
+        return "sleeps ended up to ${wakeLag.readAndResetLongestMs()} ms late, heap ${heapUsedMb()} MB; tasks lost so far: $lost"
     }
 
     private companion object {
-        /** Value of a gauge that only a leader has, on any other node. */
-        const val NOT_LEADING = -1L
+        /** Value of a gauge of the term while this node does not lead, and of the age of the last write before the first one. */
+        const val NO_VALUE = -1L
         const val MS_PER_S = 1000L
         const val BYTES_PER_MB = 1024L * 1024
     }
--- a/src/main/kotlin/mountmast/coordination/controller/LocalPeerState.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LocalPeerState.kt
@@ -10,14 +10,14 @@
 import mountmast.protocol.PeerHeartbeat
 import mountmast.storage.FORMAT_VERSION
 
-/** What this node tells its peers of itself, and what it does with their heartbeats. Thread-safe. */
+/** Creates the peer heartbeats of this node, and applies those of other nodes. Thread-safe. */
 internal class LocalPeerState(
     private val node: NodeId,
     private val election: LeaderElection,
     private val cancellations: CancellationBroadcast,
     private val formats: FormatNegotiation,
-    private val leader: CurrentLeaderComponents,
-    /** Whether this node can answer users by itself. */
+    private val leaderComponents: CurrentLeaderComponents,
+    /** Returns whether this node can serve users without forwarding their requests. */
     private val canServe: () -> Boolean,
 ) : PeerMembership.LocalNode {
     override fun ownHeartbeat() = PeerHeartbeat(
@@ -34,6 +34,6 @@
         val cancelled = peerHeartbeat.cancelled.mapNotNull(JobId::parse)
         if (cancelled.isEmpty()) return
         cancellations.receive(cancelled)
-        leader.get()?.leaderTerm?.jobs?.cancelByBroadcast(cancelled)
+        leaderComponents.get()?.leaderTerm?.jobs?.cancelByBroadcast(cancelled)
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -15,29 +15,30 @@
 
 private val log = LoggerFactory.getLogger("mountmast.node")
 
-/** Runs a [Controller]: its servers, and a thread for each kind of step. */
+/** Runs a [Controller]: its HTTP servers, and the threads that repeat its steps (see [NodeLoops]). */
 internal class Node(
     private val settings: Settings,
-    private val operators: OperatorSettings,
+    private val operatorSettings: OperatorSettings,
     private val controller: Controller,
     private val metrics: Metrics = Metrics(),
 ) {
     /**
-     * Starts the servers, then the threads; they run until the process ends.
+     * Starts the servers, then the threads. Both run until the process ends.
      *
      * @throws java.io.IOException if one of the addresses cannot be bound.
      */
     fun start() {
         val connectionBudget = ConnectionBudget.of(settings.maxConnections)
         startServers(connectionBudget)
-        NodeLoops(controller, operators.scheduling.cycleMs, connectionBudget.deliveryThreads).all().forEach { it.start() }
-        log.info("node={} serves on {}", settings.node, settings.serveOn)
+        NodeLoops(controller, operatorSettings.scheduling.cycleMs, connectionBudget.deliveryThreads).createAll().forEach { it.start() }
+        log.info("node={} is serving on {}", settings.node, settings.serveOn)
     }
 
     private fun startServers(connectionBudget: ConnectionBudget) {
-        // Submissions are shed first: polls have a limit of their own, and both leave threads to the workers.
-        val admission = AdmissionLimits(operators.admission.limit(), operators.admission.limit())
-        // When all workers connect at once, after an election, users would wait behind hundreds of heartbeats.
+        // Submissions and polls have a limit each, so that submissions are rejected before polls. Both limits leave threads to the
+        // workers' requests.
+        val admission = AdmissionLimits(operatorSettings.admission.createLimit(), operatorSettings.admission.createLimit())
+        // Without a bulkhead of their own, heartbeats of all workers, which arrive at once after an election, would delay users.
         val bulkheads = listOf(
             RequestBulkhead.forHeartbeats(heartbeatQueueMetrics()),
             RequestBulkhead.forOthers(USER_THREADS, connectionBudget.waiting, requestQueueMetrics()),
@@ -46,7 +47,7 @@
             .asServer(BoundedServer(settings.serveOn, "serve", BoundedServer.PUBLIC_READERS, connectionBudget.accepted, bulkheads))
             .start()
         peerRoutes(controller.users, controller)
-            .asServer(BoundedServer(settings.peerListen, "peer", PEER_THREADS, PEER_WAITING)).start()
+            .asServer(BoundedServer(settings.peerListen, "peer", PEER_THREADS, MAX_PEER_REQUESTS_WAITING)).start()
     }
 
     private fun heartbeatQueueMetrics() =
@@ -62,6 +63,6 @@
     private companion object {
         const val USER_THREADS = 56
         const val PEER_THREADS = 4
-        const val PEER_WAITING = 256
+        const val MAX_PEER_REQUESTS_WAITING = 256
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/NodeLoops.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/NodeLoops.kt
@@ -4,71 +4,75 @@
 import java.util.concurrent.TimeUnit.MILLISECONDS
 import java.util.concurrent.TimeUnit.NANOSECONDS
 
-/** The threads of a [Node]: which step of its [controller] each repeats, and with which pauses. */
+/** Creates the loops of a [Node]: each runs on a thread of its own, and repeats a step of [controller] with a pause after each run. */
 internal class NodeLoops(
     private val controller: Controller,
-    /** The longest wait between two scheduling cycles, in milliseconds. */
+    /** The longest time to wait for a request before the next scheduling cycle, in milliseconds. */
     private val cycleMs: Long,
     /** How many threads deliver commands. */
     private val deliveryThreads: Int,
 ) {
     private val leaderWork = controller.leaderWork
 
-    /** All loops, in the order in which their threads start. Operators see the names in thread dumps and in the log. */
-    fun all(): List<StepLoop> = loopsOfEveryNode() + loopsOfLeader()
+    /** Creates all loops, in the order in which their threads are to be started. Operators see the names in thread dumps and the log. */
+    fun createAll(): List<StepLoop> = createNodeLoops() + createLeaderLoops()
 
-    private fun loopsOfEveryNode(): List<StepLoop> = listOf(
-        repeating("election", Pauses(afterWorkMs = 50, otherwiseMs = ELECTION_STEP_MS)) {
+    private fun createNodeLoops(): List<StepLoop> = listOf(
+        createLoop("election", Pauses(afterWorkMs = 50, otherwiseMs = ELECTION_INTERVAL_MS)) {
             controller.electionStep()
-            controller.awaitVacancy(ELECTION_STEP_MS)
+            controller.awaitVacancy(ELECTION_INTERVAL_MS)
         },
-        wakeLagLoop(),
-        repeating("loader", Pauses(afterWorkMs = 0, otherwiseMs = IDLE_MS)) { leaderWork.load() },
-        every("refresh", pauseMs = 1000) { controller.refreshSharedData() },
-        repeating("job-prefetch", Pauses(afterWorkMs = 250, otherwiseMs = FAILED_MS)) { controller.prefetchJobs(PREFETCH_WAIT_MS) },
-        every("load-monitor", pauseMs = 10_000) { controller.loadMonitor.logLoad() },
-        every("peer-heartbeat", pauseMs = 2000) { controller.exchangePeerHeartbeats() },
+        createWakeLagLoop(),
+        createLoop("loader", Pauses(afterWorkMs = 0, otherwiseMs = IDLE_PAUSE_MS)) { leaderWork.load() },
+        createPeriodicLoop("refresh", pauseMs = 1000) { controller.refreshSharedData() },
+        createLoop("job-prefetch", Pauses(afterWorkMs = 250, otherwiseMs = FAILURE_PAUSE_MS)) { controller.prefetchJobs(PREFETCH_WAIT_MS) },
+        createPeriodicLoop("load-monitor", pauseMs = 10_000) { controller.loadMonitor.logLoad() },
+        createPeriodicLoop("peer-heartbeat", pauseMs = 2000) { controller.exchangePeerHeartbeats() },
     )
 
-    /** Measures how late a sleep ends. */
-    private fun wakeLagLoop(): StepLoop {
-        var sleptAt = System.nanoTime()
-        return every("wake-lag", WAKE_LAG_STEP_MS) {
-            val now = System.nanoTime()
-            controller.recordWakeLag(maxOf(0, NANOSECONDS.toMillis(now - sleptAt) - WAKE_LAG_STEP_MS))
-            sleptAt = now
+    /** Creates the loop that measures how late sleeps end. */
+    private fun createWakeLagLoop(): StepLoop {
+        var lastRunNs = System.nanoTime()
+        return createPeriodicLoop("wake-lag", WAKE_LAG_INTERVAL_MS) {
+            val nowNs = System.nanoTime()
+            controller.recordWakeLag(maxOf(0, NANOSECONDS.toMillis(nowNs - lastRunNs) - WAKE_LAG_INTERVAL_MS))
+            lastRunNs = nowNs
         }
     }
 
-    /** What only a leader does; these threads idle on any other node. */
-    private fun loopsOfLeader(): List<StepLoop> {
+    /** Creates the loops whose threads idle while this node does not lead or has not loaded the cluster state. */
+    private fun createLeaderLoops(): List<StepLoop> {
         val loops = arrayListOf(
-            whileLeading("scheduler", Pauses.NONE, ::runCycleAndWait),
-            whileLeading("committer", Pauses.always(ms = 120), ::commitOrWait),
-            whileLeading("job-informer", Pauses(afterWorkMs = 150, otherwiseMs = FAILED_MS)) { leaderWork.watchJobs(WATCH_WAIT_MS) },
-            whileLeading("prerequisites", Pauses(afterWorkMs = 0, otherwiseMs = 200)) { leaderWork.resolvePrerequisites() },
-            whileLeading("autoscaler", Pauses.always(ms = 1000)) {
+            createLeaderLoop("scheduler", Pauses.NONE, ::runCycleAndWait),
+            createLeaderLoop("committer", Pauses.always(ms = 120), ::commitOrWait),
+            createLeaderLoop("job-informer", Pauses(afterWorkMs = 150, otherwiseMs = FAILURE_PAUSE_MS)) {
+                leaderWork.watchJobs(WATCH_WAIT_MS)
+            },
+            createLeaderLoop("prerequisites", Pauses(afterWorkMs = 0, otherwiseMs = 200)) { leaderWork.resolvePrerequisites() },
+            createLeaderLoop("autoscaler", Pauses.always(ms = 1000)) {
                 leaderWork.autoscale()
                 DID_WORK
             },
         )
-        val announcing = Pauses(afterWorkMs = 0, otherwiseMs = 500)
-        repeat(ANNOUNCER_THREADS) { number -> loops += whileLeading("announcer-$number", announcing) { leaderWork.announceLeader() } }
-        val delivering = Pauses(afterWorkMs = 0, otherwiseMs = 50)
+        val announcerPauses = Pauses(afterWorkMs = 0, otherwiseMs = 500)
+        repeat(ANNOUNCER_THREADS) { number ->
+            loops += createLeaderLoop("announcer-$number", announcerPauses) { leaderWork.announceLeader() }
+        }
+        val deliveryPauses = Pauses(afterWorkMs = 0, otherwiseMs = 50)
         repeat(deliveryThreads) { number ->
-            loops += whileLeading("delivery-$number", delivering) { leaderWork.deliverCommands(DELIVERY_WAIT_MS) }
+            loops += createLeaderLoop("delivery-$number", deliveryPauses) { leaderWork.deliverCommands(DELIVERY_WAIT_MS) }
         }
         return loops
     }
 
-    /** Runs a scheduling cycle, then waits until the next is due or asked for, and for some time at least. */
+    /** Runs a scheduling cycle, waits until the next is requested or [cycleMs] have passed, then pauses. */
     private fun runCycleAndWait(leaderTerm: LeaderTerm): StepResult {
-        val began = System.nanoTime()
+        val startedAtNs = System.nanoTime()
         leaderWork.runSchedulingCycle()
-        val tookMs = NANOSECONDS.toMillis(System.nanoTime() - began)
+        val tookMs = NANOSECONDS.toMillis(System.nanoTime() - startedAtNs)
         leaderTerm.signals.awaitCycleRequest(cycleMs)
-        // However large the cluster, cycles leave most of the processor to the workers' heartbeats.
-        MILLISECONDS.sleep(maxOf(CYCLE_GAP_MS, tookMs * CYCLE_SHARE))
+        // The pause grows with the cycle, so that in a cluster of any size most processor time is left to the workers' heartbeats.
+        MILLISECONDS.sleep(maxOf(MIN_CYCLE_PAUSE_MS, tookMs * CYCLE_PAUSE_FACTOR))
         return DID_WORK
     }
 
@@ -78,31 +82,31 @@
         return result
     }
 
-    private fun repeating(name: String, pauses: Pauses, step: () -> StepResult) = StepLoop(name) { pauses.after(step()) }
+    private fun createLoop(name: String, pauses: Pauses, step: () -> StepResult) = StepLoop(name) { pauses.after(step()) }
 
-    private fun every(name: String, pauseMs: Long, step: () -> Unit) = StepLoop(name) {
+    private fun createPeriodicLoop(name: String, pauseMs: Long, step: () -> Unit) = StepLoop(name) {
         step()
         pauseMs
     }
 
-    private fun whileLeading(name: String, pauses: Pauses, step: (LeaderTerm) -> StepResult) =
-        StepLoop(name) { controller.leaderTerm()?.let { pauses.after(step(it)) } ?: IDLE_MS }
+    private fun createLeaderLoop(name: String, pauses: Pauses, step: (LeaderTerm) -> StepResult) =
+        StepLoop(name) { controller.leaderTerm()?.let { pauses.after(step(it)) } ?: IDLE_PAUSE_MS }
 
     private companion object {
-        const val IDLE_MS = 250L
-        const val FAILED_MS = 1000L
-        const val ELECTION_STEP_MS = 700L
-        const val WAKE_LAG_STEP_MS = 100L
-        const val CYCLE_GAP_MS = 200L
-        const val CYCLE_SHARE = 4
+        const val IDLE_PAUSE_MS = 250L
+        const val FAILURE_PAUSE_MS = 1000L
+        const val ELECTION_INTERVAL_MS = 700L
+        const val WAKE_LAG_INTERVAL_MS = 100L
+        const val MIN_CYCLE_PAUSE_MS = 200L
+        const val CYCLE_PAUSE_FACTOR = 4
         const val COMMIT_WAIT_MS = 500L
         const val ANNOUNCER_THREADS = 8
         const val DELIVERY_WAIT_MS = 1000L
 
-        /** Short, since what is known of cancellations is as old as the request that waits for more. */
+        /** Short, since cancellations are known up to the begin of the watch request in progress only. */
         const val WATCH_WAIT_MS = 2000L
 
-        /** A node that does not lead has a small share of the requests, and nothing rests on how old its watch is. */
+        /** Long, since a node that does not lead has a small share of the store's request rate, and may prefetch records late. */
         const val PREFETCH_WAIT_MS = 10_000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/PeriodicRefresh.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/PeriodicRefresh.kt
@@ -7,24 +7,24 @@
 
 private val log = LoggerFactory.getLogger("mountmast.controller")
 
-/** Reads from the store what seldom changes. Called by one thread. */
+/** Refreshes the machine types and the negotiated format from the store. Confined to one thread. */
 internal class PeriodicRefresh(private val jobService: JobService, private val formats: FormatNegotiation) {
-    private var stepsSinceTypes = 0
+    private var stepsSinceTypesRead = 0
 
-    /** Reads the machine types if they are unknown or old, and negotiates the format; about once a second. */
+    /** Reads the machine types if they are unknown or [STEPS_BETWEEN_TYPE_READS] steps old; negotiates the format. Run once a second. */
     fun step() {
         try {
-            if (!jobService.knowsTypes || stepsSinceTypes++ >= STEPS_BETWEEN_TYPES) {
+            if (!jobService.knowsTypes || stepsSinceTypesRead++ >= STEPS_BETWEEN_TYPE_READS) {
                 jobService.refreshTypes()
-                stepsSinceTypes = 0
+                stepsSinceTypesRead = 0
             }
         } catch (e: StoreException) {
-            log.debug("machine types cannot be read: {}", e.message)
+            log.debug("cannot read the machine types: {}", e.message)
         }
         formats.step()
     }
 
     private companion object {
-        const val STEPS_BETWEEN_TYPES = 30
+        const val STEPS_BETWEEN_TYPE_READS = 30
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/ReadinessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ReadinessMonitor.kt
@@ -6,56 +6,57 @@
 import mountmast.transport.Timing
 
 /**
- * Decides whether the load balancer should send users to this node. [updateAdmission] and [recordWakeLag] are each called by
- * one thread, [isReady] by any.
+ * Decides whether the load balancer should send users to this node. [updateAdmission] is called by one thread, [recordWakeLag] by
+ * one other, [isReady] by any.
  */
 internal class ReadinessMonitor(
     private val election: LeaderElection,
     private val membership: PeerMembership,
-    /** How many other nodes the deployment has. */
-    private val otherNodes: Int,
+    /** Number of the other nodes of the deployment. */
+    private val peerCount: Int,
     private val wakeLag: Timing,
     private val clock: Clock,
-    /** Whether this node can answer users by itself. */
+    /** Returns whether this node can serve users without forwarding their requests. */
     private val canServe: () -> Boolean,
 ) {
-    /** How late this process wakes from short sleeps, as an exponential mean with a memory of seconds. */
+    /** How late short sleeps of this process end, in milliseconds: an exponential moving average over some seconds. */
     @Volatile
-    private var meanLagMs = 0.0
+    private var meanWakeLagMs = 0.0
 
     @Volatile
     private var declinesUsers = false
 
-    /** Records that a sleep took [ms] longer than asked for: the process gets less of the processor than it needs. */
+    /** Records that a sleep ended [ms] late, a sign that the process gets too little processor time. */
     fun recordWakeLag(ms: Long) {
         wakeLag.record(ms)
-        meanLagMs += (ms - meanLagMs) * LAG_WEIGHT
+        meanWakeLagMs += (ms - meanWakeLagMs) * LAG_SMOOTHING_FACTOR
     }
 
     /**
-     * A leader that falls behind leaves users to the others, as long as all of those serve. It stays so until it leads
-     * no more or one of the others is missing: the load balancer takes a node back ever more slowly.
+     * Updates whether this node declines users. A leader whose wake lag is too high declines them while all other nodes serve. It goes
+     * on declining them, even if the lag falls, until it no longer leads or another node does not serve: each time that a node becomes
+     * unready, the load balancer takes longer to use it again.
      */
     fun updateAdmission() {
         val leaderLease = election.leaderLease
-        val servingOthers = membership.countServing()
+        val servingPeers = membership.countServing()
         declinesUsers = when {
-            leaderLease == null || servingOthers < maxOf(MIN_SERVING_OTHERS, otherNodes) -> false
-            else -> declinesUsers || (meanLagMs > BUSY_LAG_MS && clock.now() - leaderLease.electedAt > SETTLING_MS)
+            leaderLease == null || servingPeers < maxOf(MIN_SERVING_PEERS, peerCount) -> false
+            else -> declinesUsers || (meanWakeLagMs > MAX_MEAN_WAKE_LAG_MS && clock.now() - leaderLease.electedAt > MIN_TERM_AGE_MS)
         }
     }
 
     /**
-     * Whether users should be sent here. They are sent elsewhere only if some other node can serve what this one cannot.
-     * Where all are blocked alike, a node that called itself unready would only be avoided for longer once the trouble is
-     * past; and one that has not asked the others yet cannot tell.
+     * Returns whether the load balancer should send users to this node. A node that can serve is ready unless it declines users. A node
+     * that cannot serve is ready only if no other node serves either: if all nodes were unready during a common failure, the load
+     * balancer would avoid them for longer after it. Before its first exchange of heartbeats a node does not know that, and is unready.
      */
     fun isReady(): Boolean = if (canServe()) !declinesUsers else membership.hasExchangedHeartbeats && membership.countServing() == 0
 
     private companion object {
-        const val LAG_WEIGHT = 0.03
-        const val BUSY_LAG_MS = 25.0
-        const val SETTLING_MS = 10_000L
-        const val MIN_SERVING_OTHERS = 2
+        const val LAG_SMOOTHING_FACTOR = 0.03
+        const val MAX_MEAN_WAKE_LAG_MS = 25.0
+        const val MIN_TERM_AGE_MS = 10_000L
+        const val MIN_SERVING_PEERS = 2
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/ResignationCheck.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ResignationCheck.kt
@@ -4,30 +4,31 @@
 import mountmast.coordination.election.LeaseTiming
 import mountmast.protocol.Clock
 
-/** Age up to which a confirmation of the leader's lease counts as recent, in milliseconds. */
+/** Age up to which a confirmation of the leader lease counts as recent, in milliseconds. */
 internal const val RECENTLY_CONFIRMED_MS = 2500L
 
 /**
- * Decides whether a leader that still renews its lease should resign all the same, because it is cut off from the workers or
- * from the jobs. Called by the election's thread alone.
+ * Decides whether a leader should resign although it still renews the leader lease: because it and the workers cannot reach one
+ * another, or because it cannot watch the jobs. Confined to the thread of the election loop.
  */
 internal class ResignationCheck(private val election: LeaderElection, private val timing: LeaseTiming, private val clock: Clock) {
-    private var uninformedSteps = 0
+    private var staleSteps = 0
 
-    /** Why the leader of [leaderTerm] should resign, or null if it should go on. */
-    fun reasonToResign(leaderTerm: LeaderTerm): String? = leaderTerm.liveness.resignationReason() ?: uninformedReason(leaderTerm)
+    /** Returns why this node should resign from [leaderTerm], or null if there is no reason. Called once in each election step. */
+    fun reasonToResign(leaderTerm: LeaderTerm): String? = leaderTerm.liveness.resignationReason() ?: staleWatchReason(leaderTerm)
 
     /**
-     * A leader that renews but learns of no cancellation may soon renew no worker's lease any more. In an outage of the store
-     * it does not renew either, and resigning would help nobody.
+     * Returns a reason if the watch of the jobs has been stale in more than [MAX_STALE_STEPS] successive steps, although the leader
+     * lease was renewed: a leader that learns of no cancellation must soon stop renewing workers' leases. In an outage of the store
+     * the leader lease is not renewed either, and resigning would not help.
      */
-    private fun uninformedReason(leaderTerm: LeaderTerm): String? {
-        val renews = election.confirmedUntil(leaderTerm.leaderLease)?.let { clock.now() - it < RECENTLY_CONFIRMED_MS } == true
-        uninformedSteps = if (renews && (leaderTerm.uninformedMs() ?: 0) > timing.ttlMs) uninformedSteps + 1 else 0
-        return if (uninformedSteps > MAX_UNINFORMED_STEPS) "the jobs cannot be watched" else null
+    private fun staleWatchReason(leaderTerm: LeaderTerm): String? {
+        val isRenewing = election.confirmedUntil(leaderTerm.leaderLease)?.let { clock.now() - it < RECENTLY_CONFIRMED_MS } == true
+        staleSteps = if (isRenewing && (leaderTerm.cancellationStalenessMs() ?: 0) > timing.ttlMs) staleSteps + 1 else 0
+        return if (staleSteps > MAX_STALE_STEPS) "the jobs cannot be watched" else null
     }
 
     private companion object {
-        const val MAX_UNINFORMED_STEPS = 8
+        const val MAX_STALE_STEPS = 8
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -25,8 +25,8 @@
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
 /**
- * Applies what the [Scheduler] plans to the cluster state, and drains machines that their tasks have to leave. Guarded by the
- * lock of its [ClusterState].
+ * Applies the plans of the [Scheduler] to the cluster state, and drains reclaimed and quarantined machines. Guarded by the lock of
+ * its [ClusterState].
  */
 internal class SchedulingCycle(
     private val cluster: ClusterState,
@@ -39,18 +39,18 @@
     private val scheduler = Scheduler(policy)
     private val stalledJobReporter = StalledJobReporter(cluster)
     private var assurance: Map<TeamId, Double> = emptyMap()
-    private var maintainedAt = MonotonicTime(Long.MIN_VALUE / 2)
+    private var lastMaintenanceAt = MonotonicTime(Long.MIN_VALUE / 2)
 
-    /** Open tasks that found no machine in the last cycle. */
+    /** Open tasks that the last cycle could not place. */
     var unplacedTasks: List<UnplacedTasks> = emptyList()
         private set
 
-    /** Runs one cycle of a leader that has loaded its state at [readyAt]. */
+    /** Runs one cycle of a leader that loaded the cluster state at [readyAt]. */
     fun run(readyAt: MonotonicTime) {
         signals.beginCycle()
         val now = clock.now()
         releaseReservations(now)
-        if (now - maintainedAt >= MAINTENANCE_MS) maintain(readyAt, now)
+        if (now - lastMaintenanceAt >= MAINTENANCE_INTERVAL_MS) runMaintenance(readyAt, now)
         val plan = scheduler.plan(snapshots.snapshot(now, assurance))
         assurance = plan.assurance
         unplacedTasks = plan.unplaced
@@ -68,7 +68,7 @@
     }
 
     private fun logStart(start: Start, job: Job, machine: Machine, plan: SchedulingPlan) = log.debug(
-        "task={}/{} starts on machine={}, which {} its image; team={} has assurance {}",
+        "task={}/{} is placed on machine={}, which {} its image; team={} has assurance {}",
         start.job,
         start.index,
         start.machine,
@@ -77,20 +77,20 @@
         plan.assurance[job.spec.team],
     )
 
-    /** Does what need not be done in each cycle. */
-    private fun maintain(readyAt: MonotonicTime, now: MonotonicTime) {
-        maintainedAt = now
+    /** Does the work that is due every [MAINTENANCE_INTERVAL_MS] only, not in each cycle. */
+    private fun runMaintenance(readyAt: MonotonicTime, now: MonotonicTime) {
+        lastMaintenanceAt = now
         drainReclaimed(now)
         cluster.health.detectStragglers(now)
         drainQuarantined()
         dispatch.announceToWorkers(readyAt, now)
         stalledJobReporter.logStalledJobs(unplacedTasks, now)
-        stalledJobReporter.logLateJobs { job -> snapshots.untilS(job.ownDue) }
+        stalledJobReporter.logLateJobs { job -> snapshots.secondsUntil(job.ownDue) }
     }
 
     private fun reserve(id: MachineId, forJob: JobId, now: MonotonicTime) {
         val machine = cluster.machines[id] ?: return
-        machine.reserveFor(forJob, until = now + RESERVATION_MS)
+        machine.reserveFor(forJob, until = now + RESERVATION_DURATION_MS)
     }
 
     private fun preempt(preemption: Preemption, now: MonotonicTime) {
@@ -103,28 +103,28 @@
             assignment.preempt()
             victims += assignment.taskName
         }
-        // The cycle's preemptions are committed in one transaction, together with its starts.
+        // All preemptions of a cycle are committed in one transaction, together with its starts.
         victims.chunked(VICTIMS_PER_ENTRY).forEach { cluster.pendingChanges += PendingChange.Reserved(machine.id, preemption.forJob, it) }
         dispatch.queue(machine.id)
     }
 
-    /** Stops tasks that would not complete before the cloud reclaims their machine, so that they save and go on elsewhere. */
+    /** Stops tasks that would not end before the cloud reclaims their machine, so that they save their state and resume elsewhere. */
     private fun drainReclaimed(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
             if (machine.isReclaimNoticed) drain(machine) { snapshots.remainingS(it, now) >= machine.reclaimNoticeS }
         }
     }
 
-    /** The tasks of a failing or slow machine are better begun again elsewhere; it is scaled in once it is empty. */
+    /** Stops all tasks of quarantined machines, which fail or are slow: the tasks restart elsewhere, and empty machines are scaled in. */
     private fun drainQuarantined() {
         for (machine in cluster.machines.values) if (machine.isQuarantined) drain(machine) { true }
     }
 
-    private inline fun drain(machine: Machine, mustLeave: (Assignment) -> Boolean) {
+    private inline fun drain(machine: Machine, mustStop: (Assignment) -> Boolean) {
         if (machine.state != MachineState.UP) return
         for (assignment in machine.live.values) {
             val isStopping = assignment.terminationGraceS != null
-            if (isStopping || assignment.phase != Phase.COMMITTED || !mustLeave(assignment)) continue
+            if (isStopping || assignment.phase != Phase.COMMITTED || !mustStop(assignment)) continue
             assignment.drain()
             dispatch.queue(machine.id)
         }
@@ -132,15 +132,15 @@
 
     private fun releaseReservations(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
-            val state = cluster.jobs[machine.reservedFor ?: continue]
-            val needsMachine = state != null && !state.cancelled && state.openCount > 0
-            if (!needsMachine || now > machine.reservedUntil) machine.releaseReservation()
+            val job = cluster.jobs[machine.reservedFor ?: continue]
+            val isReservationNeeded = job != null && !job.cancelled && job.openCount > 0
+            if (!isReservationNeeded || now > machine.reservedUntil) machine.releaseReservation()
         }
     }
 
     private companion object {
-        const val RESERVATION_MS = 30_000L
-        const val MAINTENANCE_MS = 1000L
+        const val RESERVATION_DURATION_MS = 30_000L
+        const val MAINTENANCE_INTERVAL_MS = 1000L
         const val VICTIMS_PER_ENTRY = 16
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/SettingsXml.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SettingsXml.kt
@@ -8,18 +8,18 @@
 import javax.xml.stream.XMLStreamReader
 
 /**
- * Reads elements and their values from [input], and rejects what is wrong with the line where it stands. Every function
- * throws [InvalidSettingsException]; [name] stands for the input in its messages.
+ * Reads the elements of a settings file and their values from [input]. Each function throws [InvalidSettingsException] if what it
+ * reads is invalid; the message gives the line, and names the file [name].
  */
 internal class SettingsXml(private val name: String, input: InputStream) {
     private val xml: XMLStreamReader = XMLInputFactory.newFactory().apply {
-        // A settings file has no business fetching anything.
+        // A settings file must not make this process read other files or addresses.
         setProperty(XMLInputFactory.SUPPORT_DTD, false)
         setProperty(XMLInputFactory.IS_SUPPORTING_EXTERNAL_ENTITIES, false)
     }.createXMLStreamReader(input)
-    private val seen = HashSet<String>()
+    private val seenElements = HashSet<String>()
 
-    /** Reads the whole document, whose root must be [root]; calls [readChild] with the name of each element below it. */
+    /** Reads the whole document, whose root must be [root]; calls [readChild] with the name of each child of the root. */
     fun readRoot(root: String, readChild: (String) -> Unit) = try {
         xml.nextTag()
         if (xml.localName != root) reject("the root is not <$root>")
@@ -28,7 +28,7 @@
         throw InvalidSettingsException("$name, line ${e.location?.lineNumber ?: 0}: not well-formed XML")
     }
 
-    /** Calls [readChild] with the name of each child of the present element; it must read the child to its end. */
+    /** Calls [readChild] with the name of each child of the current element; [readChild] must read the child to its end. */
     fun readChildren(readChild: (String) -> Unit) {
         while (true) {
             when (xml.next()) {
@@ -39,35 +39,35 @@
         }
     }
 
-    /** Rejects [element] if it was read before. */
-    fun requireFirst(element: String) {
-        if (!seen.add(element)) reject("<$element> is there twice")
+    /** Rejects [element] if this function was called with it before. */
+    fun rejectDuplicate(element: String) {
+        if (!seenElements.add(element)) reject("<$element> is there twice")
     }
 
-    /** The attribute [name] of the present element, or null if it has none. */
-    fun attribute(name: String): String? = xml.getAttributeValue(null, name)
+    /** Returns the attribute [name] of the current element, or null if the element has no such attribute. */
+    fun readAttribute(name: String): String? = xml.getAttributeValue(null, name)
 
-    /** Reads the text of the present [element] to its end. */
-    fun text(element: String): String = try {
+    /** Reads the current [element], which may hold text only, to its end; returns its trimmed text. */
+    fun readText(element: String): String = try {
         xml.elementText.trim()
     } catch (e: XMLStreamException) {
         reject("<$element> must hold a value only")
     }
 
-    /** Reads the present [element] as a number from [least] to [most]. */
-    fun number(element: String, least: Double, most: Double): Double =
-        text(element).toDoubleOrNull()?.takeIf { it in least..most } ?: reject("<$element> must be a number from $least to $most")
+    /** Reads the current [element] as a number from [min] to [max]. */
+    fun readNumber(element: String, min: Double, max: Double): Double =
+        readText(element).toDoubleOrNull()?.takeIf { it in min..max } ?: reject("<$element> must be a number from $min to $max")
 
-    /** Reads the present [element] as a whole number from [least] to [most]. */
-    fun wholeNumber(element: String, least: Int, most: Int): Int =
-        text(element).toIntOrNull()?.takeIf { it in least..most } ?: reject("<$element> must be a whole number from $least to $most")
+    /** Reads the current [element] as a whole number from [min] to [max]. */
+    fun readWholeNumber(element: String, min: Int, max: Int): Int =
+        readText(element).toIntOrNull()?.takeIf { it in min..max } ?: reject("<$element> must be a whole number from $min to $max")
 
-    /** Reads the present [element] as seconds from [leastS] to [mostS]; returns milliseconds. */
-    fun milliseconds(element: String, leastS: Double, mostS: Double): Long = (number(element, leastS, mostS) * 1000).toLong()
+    /** Reads the current [element] as seconds from [minS] to [maxS]; returns milliseconds. */
+    fun readMilliseconds(element: String, minS: Double, maxS: Double): Long = (readNumber(element, minS, maxS) * 1000).toLong()
 
-    /** Rejects an element that the settings do not know. */
+    /** Rejects [element], which is not one of the settings. */
     fun rejectUnknown(element: String): Nothing = reject("unknown element <$element>")
 
-    /** Rejects the settings because of [why], at the present line. */
-    fun reject(why: String): Nothing = throw InvalidSettingsException("$name, line ${xml.location.lineNumber}: $why")
+    /** Rejects the settings for [reason], at the current line. */
+    fun reject(reason: String): Nothing = throw InvalidSettingsException("$name, line ${xml.location.lineNumber}: $reason")
 }
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -26,8 +26,8 @@
 import mountmast.protocol.Zone
 
 /**
- * Makes a snapshot of the cluster state for each scheduling cycle, and keeps the views of machines that do not change between
- * two. A job with unmet dependencies is left out: it is no demand yet. Guarded by the lock of its [ClusterState].
+ * Creates a snapshot of the cluster state for each scheduling cycle, and reuses the views of machines that have not changed since
+ * the cycle before. Guarded by the lock of its [ClusterState].
  */
 internal class SnapshotCache(
     private val cluster: ClusterState,
@@ -36,9 +36,9 @@
     private val timing: LeaseTiming,
     private val clock: Clock,
 ) {
-    /** A machine's view, and what it was made from. */
+    /** The view of a machine, and the machine and its change count from which it was created. */
     private class CachedView(val machine: Machine, val changes: Int, val view: MachineView) {
-        /** The cycle that used it last. */
+        /** The number of the last cycle that used the view. */
         var usedInCycle = 0L
 
         fun isCurrent(machine: Machine, type: MachineType) =
@@ -47,73 +47,74 @@
 
     private val cachedViews = LinkedHashMap<MachineId, CachedView>()
     private val index = MachineIndex()
-    private var cycles = 0L
+    private var cycleNumber = 0L
 
-    /** Returns what the cycle at [now] decides on; [assurance] holds the smoothed degrees of the cycle before. */
+    /** Returns the snapshot for the cycle at [now]; [assurance] holds each team's smoothed degree of assurance from the cycle before. */
     fun snapshot(now: MonotonicTime, assurance: Map<TeamId, Double>): ClusterSnapshot {
         val machines = usableMachines(now)
         val jobs = ArrayList<JobView>(cluster.jobs.size)
-        // What waits for other jobs is no demand yet, whatever it has been promised.
+        // A job with unmet prerequisites is not yet counted as demand, whatever its quota or deadline: none of its tasks may start.
         dependencies.refreshInheritedPriorities()
-        for (job in cluster.jobs.values) if (!job.cancelled && job.isReleased) jobs += view(job, now)
+        for (job in cluster.jobs.values) if (!job.cancelled && job.isReleased) jobs += createJobView(job, now)
         return ClusterSnapshot(machines, jobs, teams.keys.associateWith { cluster.assignments.usageOf(it) }, teams, assurance, index)
     }
 
-    /** Looks at each machine once; only those that changed since the cycle before are grouped anew. */
+    /** Returns the views of all usable machines; only machines that changed since the cycle before are added to [index] anew. */
     private fun usableMachines(now: MonotonicTime): List<MachineView> {
-        cycles++
+        cycleNumber++
         val machines = ArrayList<MachineView>(cluster.machines.size)
         for (machine in cluster.machines.values) {
-            // Whoever reaches no controller loses its tasks with its lease, although direct commands may still reach it.
+            // A worker whose heartbeats do not arrive loses its tasks when its lease expires, even if commands still reach it: no task
+            // is placed there.
             if (!machine.isUsable(now) || now - machine.lastHeartbeatAt > timing.quietMs) continue
-            machines += currentView(machine) ?: continue
+            machines += findOrCreateView(machine) ?: continue
         }
-        if (cachedViews.size > machines.size) dropUnused()
+        if (cachedViews.size > machines.size) removeUnusedViews()
         return machines
     }
 
-    private fun currentView(machine: Machine): MachineView? {
+    private fun findOrCreateView(machine: Machine): MachineView? {
         val type = cluster.types[machine.type] ?: return null
         val zone = machine.zone ?: return null
         var cached = cachedViews[machine.id]
         if (cached == null || !cached.isCurrent(machine, type)) {
             cached?.let { index.remove(it.view) }
-            cached = CachedView(machine, machine.changes, view(machine, type, zone))
+            cached = CachedView(machine, machine.changes, createMachineView(machine, type, zone))
             cachedViews[machine.id] = cached
             index.add(cached.view)
         } else {
             cached.view.invalidateAssignedTasks()
         }
-        cached.usedInCycle = cycles
+        cached.usedInCycle = cycleNumber
         return cached.view
     }
 
-    private fun view(machine: Machine, type: MachineType, zone: Zone): MachineView {
+    private fun createMachineView(machine: Machine, type: MachineType, zone: Zone): MachineView {
         val images = HashSet(machine.images.keys)
         return MachineView(machine.id, MachineKind(type, zone, machine.spot), type.capacity - machine.used, images, machine.reservedFor) {
             val now = clock.now()
-            machine.live.values.map { resident(it, now) }
+            machine.live.values.map { createAssignedTask(it, now) }
         }
     }
 
-    private fun dropUnused() {
+    private fun removeUnusedViews() {
         val views = cachedViews.values.iterator()
         while (views.hasNext()) {
             val cached = views.next()
-            if (cached.usedInCycle == cycles) continue
+            if (cached.usedInCycle == cycleNumber) continue
             index.remove(cached.view)
             views.remove()
         }
     }
 
-    /** How long a task will still run according to its estimate, in seconds. */
+    /** Returns for how long the task of [assignment] will still run by estimate, in seconds; at least a tenth of the whole estimate. */
     fun remainingS(assignment: Assignment, now: MonotonicTime): Double {
         val estimate = cluster.estimates.estimateS(assignment.job)
         val elapsed = assignment.runningSince?.let { (now - it) / 1000.0 } ?: 0.0
-        return maxOf(estimate - elapsed, estimate * MIN_REMAINING)
+        return maxOf(estimate - elapsed, estimate * MIN_REMAINING_FRACTION)
     }
 
-    private fun resident(assignment: Assignment, now: MonotonicTime): AssignedTask {
+    private fun createAssignedTask(assignment: Assignment, now: MonotonicTime): AssignedTask {
         val job = assignment.job
         return AssignedTask(
             TaskId(job.id, assignment.index),
@@ -124,25 +125,25 @@
         )
     }
 
-    private fun view(job: Job, now: MonotonicTime): JobView {
-        val runS = cluster.estimates.estimateS(job)
-        val perZone = if (!job.spec.singleZone && !job.spec.spreadAcrossZones) {
+    private fun createJobView(job: Job, now: MonotonicTime): JobView {
+        val estimateS = cluster.estimates.estimateS(job)
+        val livePerZone = if (!job.spec.singleZone && !job.spec.spreadAcrossZones) {
             emptyMap()
         } else {
             job.live.values.groupingBy { it.zone }.eachCount()
         }
-        val tasks = JobTasks(job.openCount, job.spec.tasks - job.doneCount, job.live.size, perZone) { count -> job.firstOpen(count) }
-        val jobTiming = JobTiming(job.waitingFrom, runS, untilDueS(job) - runS, (now - job.lastProgress) / 1000.0)
+        val tasks = JobTasks(job.openCount, job.spec.tasks - job.doneCount, job.live.size, livePerZone) { count -> job.firstOpen(count) }
+        val jobTiming = JobTiming(job.waitingFrom, estimateS, secondsUntilDue(job) - estimateS, (now - job.lastProgress) / 1000.0)
         return JobView(job.schedulingSpec, tasks, jobTiming, job.failedOn, job.isPoisoned, now >= job.notBefore)
     }
 
-    private fun untilDueS(job: Job): Double = untilS(job.effectiveDue)
+    private fun secondsUntilDue(job: Job): Double = secondsUntil(job.effectiveDue)
 
-    /** Seconds until [due], or a long time where there is none. */
-    fun untilS(due: WallTime?): Double = if (due == null) NO_DEADLINE_S else (due.ms - clock.wall().ms) / 1000.0
+    /** Returns the seconds until [due], negative if it has passed, or [NO_DEADLINE_S] if it is null. */
+    fun secondsUntil(due: WallTime?): Double = if (due == null) NO_DEADLINE_S else (due.ms - clock.wall().ms) / 1000.0
 
     private companion object {
         const val NO_DEADLINE_S = 1e6
-        const val MIN_REMAINING = 0.1
+        const val MIN_REMAINING_FRACTION = 0.1
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
@@ -8,12 +8,12 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
-/** Logs which jobs are stalled or late, for operators. Guarded by the lock of its [ClusterState]. */
+/** Logs for operators which jobs are stalled or late. Guarded by the lock of its [ClusterState]. */
 internal class StalledJobReporter(private val cluster: ClusterState) {
-    /** Logs each job whose deadline has passed, once; [untilDueS] tells the seconds left. */
-    fun logLateJobs(untilDueS: (Job) -> Double) {
+    /** Logs each job whose deadline has passed, once; [secondsUntilDue] returns the time left, negative after the deadline. */
+    fun logLateJobs(secondsUntilDue: (Job) -> Double) {
         for (job in cluster.jobs.values) {
-            if (job.isReportedLate || job.cancelled || untilDueS(job) >= 0) continue
+            if (job.isReportedLate || job.cancelled || secondsUntilDue(job) >= 0) continue
             job.recordLateReport()
             if (job.isReleased) logLate(job) else logLateDependent(job)
         }
@@ -24,22 +24,25 @@
 
     private fun logLateDependent(job: Job) {
         val open = job.unmetDependencies.open
-        log.info("job={} is late: it waits for {} jobs, among them {}", job.id, open.size, open.take(MAX_NAMED))
+        log.info("job={} is late: it waits for {} prerequisites, among them {}", job.id, open.size, open.take(MAX_PREREQUISITES_LOGGED))
     }
 
-    /** Logs which of the jobs that wait for capacity are stalled, for how long and what they need; once a minute for each. */
+    /**
+     * Logs each job of [unplacedTasks] without progress for [STALL_TIMEOUT_MS]: for how long, and the resources it needs. A job is logged
+     * at most once in [MIN_REPORT_INTERVAL_MS].
+     */
     fun logStalledJobs(unplacedTasks: List<UnplacedTasks>, now: MonotonicTime) {
-        for (demand in unplacedTasks) {
-            val job = cluster.jobs[demand.job] ?: continue
+        for (unplaced in unplacedTasks) {
+            val job = cluster.jobs[unplaced.job] ?: continue
             val stalledMs = now - job.lastProgress
             val loggedAt = job.lastStallReport
-            if (stalledMs < STALL_MS || (loggedAt != null && now - loggedAt < STALL_REPEAT_MS)) continue
+            if (stalledMs < STALL_TIMEOUT_MS || (loggedAt != null && now - loggedAt < MIN_REPORT_INTERVAL_MS)) continue
             job.recordStallReport(now)
             log.info(
-                "job={} is stalled for {} s: {} tasks of {} CPUs and {} GB wait for a machine with free capacity",
+                "job={} has been stalled for {} s: {} tasks of {} CPUs and {} GB wait for a machine with free capacity",
                 job.id,
                 stalledMs / 1000,
-                demand.count,
+                unplaced.count,
                 job.spec.cpus,
                 job.spec.memoryGb,
             )
@@ -47,8 +50,8 @@
     }
 
     private companion object {
-        const val MAX_NAMED = 5
-        const val STALL_MS = 30_000L
-        const val STALL_REPEAT_MS = 60_000L
+        const val MAX_PREREQUISITES_LOGGED = 5
+        const val STALL_TIMEOUT_MS = 30_000L
+        const val MIN_REPORT_INTERVAL_MS = 60_000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/StepLoop.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StepLoop.kt
@@ -8,23 +8,23 @@
 
 private val log = LoggerFactory.getLogger("mountmast.node")
 
-/** How long a loop pauses after a step, by what it came to; in milliseconds. */
+/** How long a loop pauses after a step, depending on the result of the step. */
 internal class Pauses(private val afterWorkMs: Long, private val otherwiseMs: Long) {
-    /** The pause after a step with [result], in milliseconds. */
+    /** Returns the pause after a step with [result], in milliseconds. */
     fun after(result: StepResult): Long = if (result == StepResult.DID_WORK) afterWorkMs else otherwiseMs
 
     companion object {
-        /** For steps that wait by themselves. */
+        /** No pause, for steps that wait by themselves. */
         val NONE = always(0)
 
-        /** The same pause after each step. */
+        /** Creates pauses of [ms] milliseconds, whatever the result. */
         fun always(ms: Long) = Pauses(ms, ms)
     }
 }
 
 /**
- * Repeats [step] on a daemon thread called [name] as long as the process runs, pausing as many milliseconds as it returns.
- * An exception is logged, and the step repeated a second later.
+ * Repeats [step] on a daemon thread named [name] until the process ends, and pauses after each run for the number of milliseconds
+ * that [step] returns. An exception is logged, and the step is run again a second later.
  */
 internal class StepLoop(private val name: String, private val step: () -> Long) : Agent {
     override fun roleName() = name
@@ -37,18 +37,18 @@
 
     /** Starts the thread. */
     fun start() {
-        // One bad response or record must not end the work of a thread for good.
+        // One invalid response or record must not end the loop for good.
         val onError = ErrorHandler { error ->
             log.error("loop={} failed", name, error)
-            Thread.sleep(PAUSE_AFTER_ERROR_MS)
+            Thread.sleep(ERROR_PAUSE_MS)
         }
         AgentRunner.startOnThread(AgentRunner(NoOpIdleStrategy.INSTANCE, onError, null, this)) { task ->
-            Thread(null, task, name, STACK_BYTES).apply { isDaemon = true }
+            Thread(null, task, name, STACK_SIZE_BYTES).apply { isDaemon = true }
         }
     }
 
     private companion object {
-        const val STACK_BYTES = 256L * 1024
-        const val PAUSE_AFTER_ERROR_MS = 1000L
+        const val STACK_SIZE_BYTES = 256L * 1024
+        const val ERROR_PAUSE_MS = 1000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/StepResult.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StepResult.kt
@@ -1,19 +1,19 @@
 package mountmast.coordination.controller
 
-/** What one step of a [Controller] came to; whoever repeats the step decides by it when to call again. */
+/** The result of one step of a [Controller], by which the caller decides when to run the step again. */
 enum class StepResult {
-    /** The step did something, so there may be more of the same at once. */
+    /** The step did some work, and there may be more to do at once. */
     DID_WORK,
 
-    /** There was nothing to do, or this node is not the one to do it. */
+    /** There was nothing to do, or nothing that this node may do. */
     IDLE,
 
-    /** A system around the node failed or did not answer. */
+    /** An external system failed or did not answer. */
     FAILED,
     ;
 
     internal companion object {
-        /** The result of a step whose implementation does not tell a failure from having nothing to do. */
+        /** Returns [DID_WORK] or [IDLE], for a step that does not distinguish a failure from having nothing to do. */
         fun of(didWork: Boolean): StepResult = if (didWork) DID_WORK else IDLE
     }
 }
