--- a/src/main/kotlin/mountmast/coordination/controller/ElectionLoop.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ElectionLoop.kt
@@ -23,7 +23,7 @@
     fun step() {
         election.step()
         val leaderTerm = leaderComponents.get()?.leaderTerm
-        // A leader that only the workers cannot reach, or that cannot reach them, would renew its own lease for ever while theirs expire.
+        // A leader that is partitioned from the workers alone, in either direction, would renew its own lease for ever while theirs expire.
         val reason = leaderTerm?.let(resignation::reasonToResign)
         if (leaderTerm != null && reason != null && membership.countServing() > 0) election.resign(leaderTerm.leaderLease, reason)
         replaceComponents()
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
@@ -43,7 +43,7 @@
         election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.liveness.expireLeases(it) }
     }
 
-    /** Commits one batch of pending changes; [StepResult.IDLE] also if there was none or the store failed. */
+    /** Commits one batch of pending changes; returns [StepResult.IDLE] if there was none, and also if the store failed. */
     fun commitPendingChanges(): StepResult = StepResult.of(leaderComponents.loaded()?.committer?.commitNext() == CommitStep.Written)
 
     /** Watches the jobs in the store: waits up to [waitMs] for new or cancelled jobs and applies them to the cluster state. */
--- a/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
@@ -14,8 +14,8 @@
 private val log = LoggerFactory.getLogger("mountmast.load")
 
 /**
- * Measures the load of this node. Registers gauges for the metrics page, and logs one line at each call of [logLoad], which is
- * confined to one thread. The gauges are read by any thread; those of the term take its lock.
+ * Measures the load of this node. Registers gauges for the metrics page, and logs one line at each call of [logLoad], every
+ * few seconds on one thread. The gauges are read by any thread; those of the term take its lock.
  */
 internal class LoadMonitor(
     private val metrics: Metrics,
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -38,7 +38,7 @@
         // Submissions and polls have a limit each, so that submissions are rejected before polls. Both limits leave threads to the
         // workers' requests.
         val admission = AdmissionLimits(operatorSettings.admission.createLimit(), operatorSettings.admission.createLimit())
-        // Without a bulkhead of their own, heartbeats of all workers, which arrive at once after an election, would delay users.
+        // After an election all workers connect at once: without a bulkhead for heartbeats, users would wait behind hundreds of them.
         val bulkheads = listOf(
             RequestBulkhead.forHeartbeats(heartbeatQueueMetrics()),
             RequestBulkhead.forOthers(USER_THREADS, connectionBudget.waiting, requestQueueMetrics()),
--- a/src/main/kotlin/mountmast/coordination/controller/NodeLoops.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/NodeLoops.kt
@@ -103,7 +103,7 @@
         const val ANNOUNCER_THREADS = 8
         const val DELIVERY_WAIT_MS = 1000L
 
-        /** Short, since cancellations are known up to the begin of the watch request in progress only. */
+        /** Short, since cancellations are known only up to the start of the watch request in progress. */
         const val WATCH_WAIT_MS = 2000L
 
         /** Long, since a node that does not lead has a small share of the store's request rate, and may prefetch records late. */
--- a/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
@@ -16,8 +16,9 @@
 }
 
 /**
- * Settings of the scheduler, the autoscaler and admission that operators may change, read from an XML file. Every value has a
- * default. An element that is unknown, repeated or out of range is rejected with its line number.
+ * Settings of the scheduler, the autoscaler and admission that operators may change, read from an XML file of their own, apart from
+ * the settings of the deployment. Every value has a default. An element that is unknown, repeated or out of range is rejected with
+ * its line number.
  */
 data class OperatorSettings(
     /** Element `scheduler`: the order, placement and preemption of tasks. */
@@ -29,7 +30,7 @@
 ) {
     companion object {
         /**
-         * Reads the XML file that [open] opens; error messages name it [name].
+         * Reads the XML file that [open] opens; [name] stands for the file in error messages.
          *
          * @throws InvalidSettingsException if the file cannot be read, is not well-formed or holds an invalid element.
          */
--- a/src/main/kotlin/mountmast/coordination/controller/ReadinessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ReadinessMonitor.kt
@@ -49,7 +49,8 @@
     /**
      * Returns whether the load balancer should send users to this node. A node that can serve is ready unless it declines users. A node
      * that cannot serve is ready only if no other node serves either: if all nodes were unready during a common failure, the load
-     * balancer would avoid them for longer after it. Before its first exchange of heartbeats a node does not know that, and is unready.
+     * balancer would avoid them for longer after it. A node that cannot serve is also unready before its first exchange of heartbeats,
+     * since it does not know yet whether other nodes serve.
      */
     fun isReady(): Boolean = if (canServe()) !declinesUsers else membership.hasExchangedHeartbeats && membership.countServing() == 0
 
