--- a/src/main/kotlin/mountmast/coordination/jobs/FinalStateCache.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/FinalStateCache.kt
@@ -6,23 +6,27 @@
 import mountmast.protocol.JobStatus
 import mountmast.storage.FinishedJobRecord
 
-/** Jobs that are done or cancelled. Final states never change, so that an entry may be answered without a read. Thread-safe. */
+/**
+ * Caches the final states of jobs that are done or cancelled. A final state never changes, so that a cached one is answered without
+ * a read of the state service. A job may be cached as cancelled once its cancellation, or that of one of its direct or
+ * indirect prerequisites, is committed. Thread-safe.
+ */
 internal class FinalStateCache {
     private val records: Cache<JobId, FinishedJobRecord> = CacheBuilder.newBuilder().maximumSize(MAX_RECORDS).build()
 
-    /** The final state of [id], or null if it is not cached: the job may be finished all the same. */
+    /** The final state of [id], or null if none is cached; the job may be finished even so. */
     operator fun get(id: JobId): FinishedJobRecord? = records.getIfPresent(id)
 
     /** Caches the final state of [id]. */
     operator fun set(id: JobId, record: FinishedJobRecord) = records.put(id, record)
 
-    /** Whether [id] is in the cache, and so was accepted. */
+    /** Whether a final state of [id] is cached, which implies that the job was accepted. */
     operator fun contains(id: JobId): Boolean = get(id) != null
 
-    /** Whether [id] is known to be done. */
+    /** Whether [id] is cached as done. */
     fun isDone(id: JobId): Boolean = get(id)?.status == JobStatus.DONE
 
-    /** Whether [id] is known to be cancelled. */
+    /** Whether [id] is cached as cancelled. */
     fun isCancelled(id: JobId): Boolean = get(id)?.status == JobStatus.CANCELLED
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/jobs/HostNode.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/HostNode.kt
@@ -4,22 +4,25 @@
 import mountmast.protocol.JobId
 import mountmast.transport.UserAnswer
 
-/** What [JobService] needs of the node that it runs on. Called by many threads at once. */
+/** The operations of the local node that [JobService] depends on. Called by many threads at once. */
 interface HostNode {
-    /** Whether every node reads records that name prerequisites: an older one would start such a job too early. */
+    /**
+     * Whether every node of the deployment can read job records with prerequisites. A node of an earlier version would start such a
+     * job before its prerequisites are done.
+     */
     val acceptsPrerequisites: Boolean
 
-    /** Whether the load balancer should send users to this node. */
+    /** Whether the load balancer should send users' requests to this node. */
     fun isReady(): Boolean
 
-    /** Has another node that reaches the state service serve [request]; null if none can. */
+    /** Forwards [request] to another node that reaches the state service, and returns its answer; null if no node can serve it. */
     fun forward(request: ForwardedRequest): UserAnswer?
 
-    /** The cancellation of [id] is in the state service; its user gets the answer after this returns. */
+    /** Called after the cancellation of [id] was committed to the state service; its user is answered only after this returns. */
     fun onCancelled(id: JobId)
 
     companion object {
-        /** A node made of its functions. */
+        /** Creates a [HostNode] from one function for each of its operations. */
         fun of(
             forwarding: (ForwardedRequest) -> UserAnswer?,
             readiness: () -> Boolean,
--- a/src/main/kotlin/mountmast/coordination/jobs/JobCancellation.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobCancellation.kt
@@ -13,24 +13,26 @@
 import mountmast.storage.TransactionResult
 import mountmast.storage.Write
 
-/** Cancels jobs in the state service; repeating a cancellation is harmless. Thread-safe. */
+/** Cancels jobs in the state service; cancelling a job again changes nothing. Thread-safe. */
 internal class JobCancellation(private val store: StateStore, private val statuses: JobStatusReader, private val node: HostNode) {
     /**
-     * Cancels [id] unless it is finished. Throws `StoreException` if the state service fails, after which the job may be cancelled
-     * or not, and [IllegalArgumentException] if its record cannot be decoded.
+     * Cancels [id] unless it is finished, and returns its status. Rejects the request if the job was never accepted, or if its record
+     * changed between the read and the write at each of [MAX_COMMIT_ATTEMPTS] attempts. Throws `StoreException` if a request to the
+     * state service fails; the cancellation may then be committed or not. Throws [IllegalArgumentException] if a stored record
+     * cannot be decoded.
      */
     fun cancel(id: JobId): RequestOutcome {
-        repeat(MAX_ATTEMPTS) {
+        repeat(MAX_COMMIT_ATTEMPTS) {
             val entry = store.get(Keys.job(id)) ?: return statuses.find(id).orReject(RequestRejection.JobNotFound)
             val record = WireJson.decodeFromJsonElement<JobRecord>(entry.value)
-            if (record.cancelled || commitCancellation(entry, record) is TransactionResult.Committed) return confirm(record)
+            if (record.cancelled || commitCancellation(entry, record) is TransactionResult.Committed) return broadcastAndCache(record)
         }
         return RequestOutcome.Rejected(RequestRejection.ConcurrentChange)
     }
 
-    /** Writes that the job in [record] is cancelled, unless [entry] has changed since it was read. */
+    /** Writes [record] as cancelled, unless the key of [entry] was modified after [entry] was read. */
     private fun commitCancellation(entry: Entry, record: JobRecord): TransactionResult {
-        // Done and cancelled race on this key: only one of them finds the revision it expects.
+        // The transaction that writes a job as done compares the same key, so that only one of completion and cancellation is committed.
         val transaction = Transaction(
             listOf(Compare(entry.key, entry.modRevision)),
             listOf(Write.Put(entry.key, WireJson.encodeToJsonElement(record.copy(cancelled = true)))),
@@ -38,12 +40,12 @@
         return store.commit(transaction)
     }
 
-    private fun confirm(record: JobRecord): RequestOutcome {
+    private fun broadcastAndCache(record: JobRecord): RequestOutcome {
         node.onCancelled(record.spec.id)
         return RequestOutcome.Existing(statuses.cacheCancelled(record))
     }
 
     private companion object {
-        const val MAX_ATTEMPTS = 3
+        const val MAX_COMMIT_ATTEMPTS = 3
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
@@ -11,35 +11,38 @@
 import kotlin.concurrent.withLock
 
 /**
- * Reads jobs for users, many with one request. No node may give a user an older answer than another did, so each read needs the
- * state service after it began; but a single transaction that only compares confirms all cached records at once. One thread
- * reads a batch at a time, for itself and others; reads that begin meanwhile wait for the next batch. Thread-safe.
+ * Reads the states of jobs for users' requests, in batches. No node may answer with an older state than another node has answered
+ * before, so each read needs a request to the state service that begins after the read. A single transaction without writes
+ * compares the revisions of many cached records and so confirms them all. Only one thread at a time reads a batch, for itself
+ * and for others; reads that begin meanwhile wait for the next batch. Thread-safe.
  */
 internal class JobReader(
     private val loader: JobStateLoader,
-    /** How many jobs one batch reads, except that a read of more jobs is a batch of its own. */
+    /** Maximum number of jobs in a batch; a single read of more jobs is a batch of its own. */
     private val maxBatchJobs: Int,
-    /** For how long a read waits for its batch at most, in milliseconds. */
-    private val maxWaitMs: Long = USER_REQUEST_WAIT_MS,
+    /** Maximum time, in milliseconds, that a read waits for the thread that reads the batch. */
+    private val maxWaitMs: Long = DEFAULT_MAX_WAIT_MS,
 ) {
     private sealed interface Signal {
+        /** The read succeeded; [states] has an entry for each of its jobs. */
         class Completed(val states: Map<JobId, JobState>) : Signal
 
-        /** The thread that waits is to read the next batch. */
+        /** The thread that receives this signal has to read the next batch. */
         data object ReadNextBatch : Signal
     }
 
+    /** A call of [readAll] whose states have not been returned yet. */
     private class PendingRead(val ids: Set<JobId>) {
-        /** Completed by the thread that reads a batch; only the thread that waits for it sets a new one. */
+        /** May be completed by any thread; replaced only by the thread that waits for it. */
         @Volatile
         var signal = CompletableFuture<Signal>()
             private set
 
-        fun awaitAnotherSignal() {
+        fun resetSignal() {
             signal = CompletableFuture()
         }
 
-        fun isTurnToRead(): Boolean = signal.isDone && !signal.isCompletedExceptionally && signal.getNow(null) == Signal.ReadNextBatch
+        fun mustReadNextBatch(): Boolean = signal.isDone && !signal.isCompletedExceptionally && signal.getNow(null) == Signal.ReadNextBatch
     }
 
     /** Guards [pendingReads] and [isBatchInProgress]; never held during a request to the state service. */
@@ -47,43 +50,43 @@
     private val pendingReads = ArrayDeque<PendingRead>()
     private var isBatchInProgress = false
 
-    /** The state of [id] at some moment after the call began; throws as [readAll] does. */
+    /** Returns the state of [id] at some moment after the call began; throws as [readAll] does. */
     fun read(id: JobId): JobState = readAll(setOf(id)).getValue(id)
 
     /**
-     * The states of [ids], each at some moment after the call began. Throws [StoreException] if the state service fails or does not
-     * answer in time, and [IllegalArgumentException] if a record cannot be decoded.
+     * Returns the states of [ids], each at some moment after the call began. Throws [StoreException] if a request to the state service
+     * fails or the batch is not read in time, and [IllegalArgumentException] if a record cannot be decoded.
      */
     fun readAll(ids: Set<JobId>): Map<JobId, JobState> {
         if (ids.isEmpty()) return emptyMap()
-        val own = PendingRead(ids)
-        var readsBatch = lock.withLock {
-            pendingReads += own
+        val ownRead = PendingRead(ids)
+        var shouldReadBatch = lock.withLock {
+            pendingReads += ownRead
             !isBatchInProgress.also { isBatchInProgress = true }
         }
         while (true) {
-            if (readsBatch) readNextBatch()
-            when (val signal = await(own)) {
+            if (shouldReadBatch) readNextBatch()
+            when (val signal = awaitSignal(ownRead)) {
                 is Signal.Completed -> return signal.states
                 Signal.ReadNextBatch -> {
-                    own.awaitAnotherSignal()
-                    readsBatch = true
+                    ownRead.resetSignal()
+                    shouldReadBatch = true
                 }
             }
         }
     }
 
-    private fun await(read: PendingRead): Signal = try {
+    private fun awaitSignal(read: PendingRead): Signal = try {
         read.signal.get(maxWaitMs, TimeUnit.MILLISECONDS)
     } catch (e: ExecutionException) {
         throw e.cause ?: e
     } catch (e: TimeoutException) {
         lock.withLock {
             pendingReads.remove(read)
-            // Its turn to read may have come just now; then another thread has to.
-            if (read.isTurnToRead()) passTurn()
+            // This read may have received ReadNextBatch just as it timed out; then another pending read has to receive it.
+            if (read.mustReadNextBatch()) signalNextReader()
         }
-        throw StoreTimeoutException("reading ${read.ids.first()} takes too long")
+        throw StoreTimeoutException("timed out waiting for the batch that reads ${read.ids.first()}")
     }
 
     private fun readNextBatch() {
@@ -91,12 +94,12 @@
         try {
             complete(batch)
         } finally {
-            batch.forEach { it.signal.completeExceptionally(StoreTimeoutException("not read")) }
-            lock.withLock { passTurn() }
+            batch.forEach { it.signal.completeExceptionally(StoreTimeoutException("the batch ended without a result for this read")) }
+            lock.withLock { signalNextReader() }
         }
     }
 
-    /** Removes as many reads as one comparison answers, at least one; the caller holds [lock]. */
+    /** Removes the first pending reads, at least one, that have at most [maxBatchJobs] jobs together; the caller holds [lock]. */
     private fun removeBatch(): List<PendingRead> {
         val batch = ArrayList<PendingRead>()
         var size = 0
@@ -108,8 +111,8 @@
         return batch
     }
 
-    /** Has the thread of the first pending read read the next batch; the caller holds [lock]. */
-    private fun passTurn() {
+    /** Signals the first pending read to read the next batch; without one, no batch is in progress. The caller holds [lock]. */
+    private fun signalNextReader() {
         val next = pendingReads.firstOrNull()
         if (next == null) isBatchInProgress = false else next.signal.complete(Signal.ReadNextBatch)
     }
@@ -130,7 +133,7 @@
     }
 
     private companion object {
-        /** Users wait two seconds for an answer. */
-        const val USER_REQUEST_WAIT_MS = 1800L
+        /** Less than the two seconds that users wait for an answer. */
+        const val DEFAULT_MAX_WAIT_MS = 1800L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/JobRecordPrefetcher.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobRecordPrefetcher.kt
@@ -14,45 +14,46 @@
 
 private val log = LoggerFactory.getLogger("mountmast.jobs")
 
-/** What became of one watch for records. */
+/** The result of one watch for job records. */
 enum class PrefetchResult {
-    /** The state service answered, with changes or without. */
+    /** The state service answered the watch, with or without changes. */
     WATCHED,
 
-    /** The state service did not answer; the next watch should wait a while. */
+    /** The state service did not answer, or is not reachable; the caller should pause before the next watch. */
     STORE_UNAVAILABLE,
 }
 
 /**
- * Brings the records of jobs that other nodes accept to a node that does not lead: a submission that names jobs then needs no
- * read before it is written, and reads of many jobs are answered by one comparison. No answer rests on these records but on
- * what never changes in them, so that a missed one only costs a read. Not thread-safe: called by one thread.
+ * Watches the records of jobs that other nodes accept, for the caches of a node that does not lead. A submission that names such
+ * jobs as prerequisites then needs no read before it is written, and one comparison answers the reads of many jobs. Unless they are
+ * confirmed, these records answer only what never changes in them, so that a missed record costs no more than a read. Not
+ * thread-safe: called by one thread.
  */
 class JobRecordPrefetcher(private val store: StateStore, private val onRecord: (JobRecord, ModRevision) -> Unit) {
-    /** Where the next watch begins; null to begin with what changes after the next request. */
+    /** The revision from which the next watch begins; null to begin from the revision of the store at that time. */
     private var nextRevision: Revision? = null
 
-    /** Waits up to [waitMs] milliseconds for changes, and passes each new record on. */
+    /** Waits up to [waitMs] milliseconds for changes of job records, and passes each record that was written to [onRecord]. */
     fun prefetch(waitMs: Long): PrefetchResult {
         if (!store.isReachable) return PrefetchResult.STORE_UNAVAILABLE
         return try {
-            val start = nextRevision ?: currentRevision()
+            val start = nextRevision ?: readCurrentRevision()
             when (val result = store.watch(Keys.JOBS, start, waitMs)) {
                 is WatchResult.Changes -> {
                     result.changes.forEach(::passOnRecord)
                     nextRevision = result.upTo
                 }
-                // A missed record is read when somebody asks for its job.
+                // Records that were written in the meantime are missed; each is read when a request needs it.
                 WatchResult.Compacted -> nextRevision = null
             }
             PrefetchResult.WATCHED
         } catch (e: StoreException) {
-            log.debug("watching jobs: {}", e.message)
+            log.debug("cannot watch job records: {}", e.message)
             PrefetchResult.STORE_UNAVAILABLE
         }
     }
 
-    private fun currentRevision(): Revision = store.list(Keys.JOBS, after = Keys.JOBS + BEHIND_EVERY_ID, limit = 1).revision
+    private fun readCurrentRevision(): Revision = store.list(Keys.JOBS, after = Keys.JOBS + AFTER_EVERY_JOB_ID, limit = 1).revision
 
     private fun passOnRecord(change: WatchEvent) {
         val value = change.value ?: return
@@ -60,12 +61,12 @@
         try {
             onRecord(WireJson.decodeFromJsonElement<JobRecord>(value), change.modRevision)
         } catch (e: IllegalArgumentException) {
-            log.error("unreadable record {}: {}", change.key, e.message)
+            log.error("cannot decode job record {}: {}", change.key, e.message)
         }
     }
 
     private companion object {
-        /** A page that begins here is empty, so that it carries the revision alone. */
-        const val BEHIND_EVERY_ID = "~"
+        /** Sorts after every job id: a page that begins after it has no entries, only the revision of the store. */
+        const val AFTER_EVERY_JOB_ID = "~"
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
@@ -18,14 +18,15 @@
 import mountmast.transport.UserService
 
 /**
- * Serves users on any node. The state service is the truth: a job is called accepted, done or cancelled only after it says so, and
- * what is not final is read from it each time. Thread-safe.
+ * Serves users' requests on any node. The state service is the source of truth: a job is reported as accepted, done or cancelled only
+ * after the state service has committed or returned that state. Final states are answered from memory; the state of any other
+ * job is read from the state service for each request. Only its progress, which is for display, comes from a cache. Thread-safe.
  */
 class JobService(
     store: StateStore,
     teams: Map<TeamId, TeamQuota>,
     clock: Clock,
-    /** What the state service takes at once. */
+    /** The largest values and transactions that the state service accepts. */
     limits: StateLimits,
     private val node: HostNode,
 ) : UserService {
@@ -42,16 +43,16 @@
     private val cancellation = JobCancellation(store, statuses, node)
     private val forwarder = RequestForwarder(node)
 
-    /** Whether machine types were read, without which no job can be accepted. */
+    /** Whether machine types have been read; without them, no job can be accepted. */
     val knowsTypes: Boolean get() = machineTypes.types.isNotEmpty()
 
     /**
-     * Reads the machine types that the leader has stored. Throws [StoreException] if the state service fails, and
-     * [IllegalArgumentException] if they cannot be decoded.
+     * Reads the machine types that the leader has stored. Throws [StoreException] if a request to the state service fails, and
+     * [IllegalArgumentException] if the machine types cannot be decoded.
      */
     fun refreshTypes() = machineTypes.refresh()
 
-    /** Caches the record of a live job that was watched or listed elsewhere, unless a newer one is cached. */
+    /** Caches the record of a live job that another component watched or listed, unless one of the same or a later revision is cached. */
     fun cacheRecord(record: JobRecord, modRevision: ModRevision) = records.putIfNewer(record, modRevision)
 
     override fun isReady() = node.isReady()
@@ -79,7 +80,7 @@
         return serve(job, ForwardedRequest("POST", "/v1/jobs/$id/cancel", ""), isForwarded) { cancellation.cancel(job) }
     }
 
-    /** A job in a final state is answered from memory, whatever is asked of it. */
+    /** Answers any request for a job whose final state is cached with that state; serves or forwards all other requests. */
     private fun serve(id: JobId, request: ForwardedRequest, isForwarded: Boolean, serveFromStore: () -> RequestOutcome): UserAnswer =
         statuses.cachedFinalStatus(id)?.let { RequestOutcome.Existing(it).toUserAnswer() }
             ?: forwarder.serveOrForward(request, isForwarded, serveFromStore)
--- a/src/main/kotlin/mountmast/coordination/jobs/JobState.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobState.kt
@@ -3,14 +3,14 @@
 import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JobRecord
 
-/** What the state service holds of a job at the moment of a read. */
+/** The state of a job that the state service held at the moment of a read. */
 internal sealed interface JobState {
-    /** Accepted and not finished; [record] may say that it is cancelled. */
+    /** The job was accepted, and its final state is not written yet; [record] may say that the job is cancelled. */
     class Live(val record: JobRecord) : JobState
 
-    /** Done or cancelled, for ever. */
+    /** The job is done or cancelled, which never changes. */
     class Finished(val record: FinishedJobRecord) : JobState
 
-    /** Never accepted. */
+    /** The job was never accepted. */
     data object Unknown : JobState
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/JobStateLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobStateLoader.kt
@@ -13,24 +13,28 @@
 import mountmast.storage.TransactionResult
 
 /**
- * Gets states of jobs from the state service: those of cached records by comparisons of [maxCompares] jobs each, all others by a
- * read of each job. Thread-safe; blocks for the state service.
+ * Loads states of jobs from the state service. Cached records are confirmed by transactions without writes, each of which compares
+ * the revisions of up to [maxCompares] records; all other jobs are read one by one. Thread-safe; blocks during its requests to
+ * the state service.
  */
 internal class JobStateLoader(private val store: StateStore, private val records: UnconfirmedRecordCache, private val maxCompares: Int) {
-    /** The states of those of [ids] whose cached records are still current; without the others, also if a comparison fails. */
+    /**
+     * Returns the states of those of [ids] whose cached records a comparison has confirmed as current. Leaves out all other jobs: those
+     * without a cached record, those whose record has changed, and those whose comparison the state service did not answer.
+     */
     fun confirmCached(ids: Set<JobId>): Map<JobId, JobState> {
         val cached = ids.mapNotNull { id -> records[id]?.let { id to it } }
         val confirmed = HashMap<JobId, JobState>()
-        for (part in cached.chunked(maxCompares)) {
-            // A single job is read as cheaply as compared.
-            if (part.size == 1) continue
-            val candidates = part.toMap()
-            for (id in unchanged(candidates)) confirmed[id] = JobState.Live(candidates.getValue(id).record)
+        for (chunk in cached.chunked(maxCompares)) {
+            // Reading a single job costs no more than comparing its revision, so it is left to a read.
+            if (chunk.size == 1) continue
+            val candidates = chunk.toMap()
+            for (id in findUnchanged(candidates)) confirmed[id] = JobState.Live(candidates.getValue(id).record)
         }
         return confirmed
     }
 
-    private fun unchanged(candidates: Map<JobId, CachedRecord>): Set<JobId> = try {
+    private fun findUnchanged(candidates: Map<JobId, CachedRecord>): Set<JobId> = try {
         val compares = candidates.map { (id, cached) -> Compare(Keys.job(id), cached.modRevision) }
         when (val result = store.commit(Transaction(compares, emptyList()))) {
             is TransactionResult.Committed -> candidates.keys
@@ -41,8 +45,8 @@
     }
 
     /**
-     * Reads the state of [id], and caches its record if it is live. Throws [StoreException] if the state service fails, and
-     * [IllegalArgumentException] if the record cannot be decoded.
+     * Reads the state of [id]. Caches the record of a live job, and removes that of any other from the cache. Throws [StoreException] if
+     * a request to the state service fails, and [IllegalArgumentException] if the record cannot be decoded.
      */
     fun load(id: JobId): JobState {
         store.get(Keys.job(id))?.let { entry ->
@@ -51,7 +55,7 @@
             return JobState.Live(record)
         }
         records.remove(id)
-        // A job moves from one key to the other but never back, so this order cannot miss it.
+        // One transaction deletes the job record and writes the final state, never the reverse, so this order cannot miss an accepted job.
         val entry = store.get(Keys.finished(id)) ?: return JobState.Unknown
         return JobState.Finished(WireJson.decodeFromJsonElement<FinishedJobRecord>(entry.value))
     }
--- a/src/main/kotlin/mountmast/coordination/jobs/JobSubmission.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobSubmission.kt
@@ -18,7 +18,7 @@
 import mountmast.storage.Write
 
 /**
- * Accepts jobs, once for each id: a submission of an id that was accepted before is answered with how that job stands, whatever else
+ * Accepts one job for each id: a submission of an id that was accepted before is answered with the status of that job, whatever else
  * the submission says. Thread-safe.
  */
 internal class JobSubmission(
@@ -30,8 +30,9 @@
     private val clock: Clock,
 ) {
     /**
-     * Accepts the job [id] that [submission] describes, unless it exists. Throws `StoreException` if the state service fails, after
-     * which the job may be accepted or not, and [IllegalArgumentException] if a stored record cannot be decoded.
+     * Accepts the job [id] that [submission] describes, unless [id] was accepted before. Throws `StoreException` if a request to the
+     * state service fails; the job may then be accepted or not. Throws [IllegalArgumentException] if a stored record cannot be
+     * decoded.
      */
     fun submit(id: JobId, submission: JsonObject): RequestOutcome = when (val check = validator.check(submission)) {
         is SubmissionCheck.Invalid -> statuses.find(id).orReject(check.reason)
@@ -48,7 +49,7 @@
         )
         return when (val result = store.commit(transaction)) {
             is TransactionResult.Committed -> {
-                // Its user may name it in the next submission at once.
+                // The next submission may name this job as a prerequisite, and then needs no read of it.
                 records.putIfNewer(stored, ModRevision(result.revision.number))
                 RequestOutcome.Accepted(JobAnswer(id, JobStatus.PENDING))
             }
--- a/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
@@ -9,25 +9,26 @@
 
 private val log = LoggerFactory.getLogger("mountmast.prerequisites")
 
-/** Whether a job may run as far as its prerequisites go. */
+/** Whether the prerequisites of a job allow it to run. */
 internal sealed interface PrerequisiteState {
     /** All prerequisites are done. */
     data object Satisfied : PrerequisiteState
 
-    /** [jobs], which are direct prerequisites, are not done yet. */
+    /** No prerequisite is cancelled, but the direct prerequisites [jobs] are not done yet. */
     class Waiting(val jobs: List<JobId>) : PrerequisiteState
 
-    /** A prerequisite is cancelled, directly or through others: so is the job. */
+    /** A direct or indirect prerequisite is cancelled, and therefore the job as well. */
     data object Cancelled : PrerequisiteState
 }
 
 /**
- * Evaluates on any node what a job's prerequisites mean for it, from the state service alone: the leader may be cut off, or may
- * not have written yet that a job is cancelled together with another. A job is never called pending or running from its own
- * record alone.
+ * Evaluates on any node whether the prerequisites of a job allow it to run, from the state service and without the leader: the leader
+ * may be unreachable, or may not have written yet that a job is cancelled because a prerequisite is. For this reason, the record of
+ * a job with prerequisites is never enough to report the job as pending or running.
  *
- * A prerequisite that is done ends the search, as everything before it is done as well. Final states and lists of
- * prerequisites never change and are cached; everything else is read for each answer. Thread-safe.
+ * The search does not go beyond a prerequisite that is done, because all prerequisites of that one are done as well. Final states, lists
+ * of prerequisites, and that all prerequisites of a job are done never change and are cached; the states of all other jobs are read
+ * from the state service for each evaluation. Thread-safe.
  */
 internal class PrerequisiteEvaluator(
     private val reader: JobReader,
@@ -35,74 +36,79 @@
     private val lists: PrerequisiteLists,
     private val finalStates: FinalStateCache,
 ) {
+    /** The result of reading one level of prerequisites. */
     private sealed interface Expansion {
         data object FoundCancelled : Expansion
 
-        class WaitsFor(val jobs: List<JobId>) : Expansion
+        /** No job of the level is cancelled; [jobs] are the direct prerequisites of its live jobs. */
+        class NextLevel(val jobs: List<JobId>) : Expansion
     }
 
-    private val satisfied: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_SATISFIED).build()
+    private val satisfiedJobs: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_SATISFIED).build()
     private val longLists: Cache<JobId, List<JobId>> = CacheBuilder.newBuilder().maximumSize(MAX_LONG_LISTS).build()
 
     /**
-     * What the prerequisites of the job in [record] mean for it now. Throws `StoreException` if they cannot be read, and
-     * [IllegalArgumentException] if a record among them cannot be decoded.
+     * Returns whether the prerequisites of the job in [record] allow it to run. Throws `StoreException` if the prerequisites cannot be
+     * read, and [IllegalArgumentException] if a stored record cannot be decoded.
      */
     fun evaluate(record: JobRecord): PrerequisiteState {
         val id = record.spec.id
-        if (!record.hasPrerequisites || satisfied.getIfPresent(id) != null) return PrerequisiteState.Satisfied
-        val direct = prerequisitesOf(record)
-        if (isCancelledThrough(direct)) return PrerequisiteState.Cancelled
-        val waiting = direct.filterNot(finalStates::isDone)
-        if (waiting.isEmpty()) satisfied.put(id, Unit)
+        if (!record.hasPrerequisites || satisfiedJobs.getIfPresent(id) != null) return PrerequisiteState.Satisfied
+        val directPrerequisites = readPrerequisites(record)
+        if (isAnyCancelledTransitively(directPrerequisites)) return PrerequisiteState.Cancelled
+        val waiting = directPrerequisites.filterNot(finalStates::isDone)
+        if (waiting.isEmpty()) satisfiedJobs.put(id, Unit)
         return if (waiting.isEmpty()) PrerequisiteState.Satisfied else PrerequisiteState.Waiting(waiting)
     }
 
-    /** Whether one of [direct], or a job that one of them waits for, is cancelled. Reads each level of jobs at once. */
-    private fun isCancelledThrough(direct: List<JobId>): Boolean {
+    /**
+     * Whether one of [directPrerequisites], or a direct or indirect prerequisite of one of them, is cancelled. Reads the jobs of each
+     * level together.
+     */
+    private fun isAnyCancelledTransitively(directPrerequisites: List<JobId>): Boolean {
         val visited = HashSet<JobId>()
-        var level = withCachedAncestors(direct, visited)
+        var level = collectWithCachedAncestors(directPrerequisites, visited)
         while (level.isNotEmpty()) {
             if (level.any(finalStates::isCancelled)) return true
             val states = reader.readAll(level.filterNotTo(HashSet(), finalStates::isDone))
             when (val expansion = expand(states)) {
                 Expansion.FoundCancelled -> return true
-                is Expansion.WaitsFor -> level = withCachedAncestors(expansion.jobs, visited)
+                is Expansion.NextLevel -> level = collectWithCachedAncestors(expansion.jobs, visited)
             }
         }
         return false
     }
 
-    /** The jobs that the jobs in [states] wait for, unless one of [states] is cancelled; caches those that are finished. */
+    /** Returns the direct prerequisites of the live jobs in [states], unless one of [states] is cancelled; caches the final states. */
     private fun expand(states: Map<JobId, JobState>): Expansion {
         val next = ArrayList<JobId>()
         for ((id, state) in states) {
             when (state) {
                 is JobState.Finished -> finalStates[id] = state.record
-                is JobState.Live -> if (state.record.cancelled) return Expansion.FoundCancelled else next += prerequisitesOf(state.record)
+                is JobState.Live -> if (state.record.cancelled) return Expansion.FoundCancelled else next += readPrerequisites(state.record)
                 JobState.Unknown -> log.error("prerequisite job={} is not in the store", id)
             }
         }
-        return if (states.keys.any(finalStates::isCancelled)) Expansion.FoundCancelled else Expansion.WaitsFor(next)
+        return if (states.keys.any(finalStates::isCancelled)) Expansion.FoundCancelled else Expansion.NextLevel(next)
     }
 
     /**
-     * Those of [ids] not [visited] yet, with all their ancestors that cached records name: prerequisites never change, so a long
-     * chain is read level by level only once.
+     * Returns those of [ids] that are neither done nor [visited], and their direct and indirect prerequisites as far as cached records
+     * name them. Prerequisites never change, so cached records may name them; a long chain is then read level by level only once.
      */
-    private fun withCachedAncestors(ids: List<JobId>, visited: MutableSet<JobId>): List<JobId> {
+    private fun collectWithCachedAncestors(ids: List<JobId>, visited: MutableSet<JobId>): List<JobId> {
         val found = ArrayList<JobId>()
         val pending = ArrayDeque(ids)
         while (pending.isNotEmpty()) {
             val id = pending.removeFirst()
             if (finalStates.isDone(id) || !visited.add(id)) continue
             found += id
-            records[id]?.let { pending += prerequisitesOf(it.record) }
+            records[id]?.let { pending += readPrerequisites(it.record) }
         }
         return found
     }
 
-    private fun prerequisitesOf(record: JobRecord): List<JobId> {
+    private fun readPrerequisites(record: JobRecord): List<JobId> {
         if (record.prerequisiteList == null) return record.spec.prerequisites
         return longLists.getIfPresent(record.spec.id) ?: lists.read(record).also { longLists.put(record.spec.id, it) }
     }
--- a/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteValidator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteValidator.kt
@@ -14,20 +14,20 @@
 import mountmast.storage.Transaction
 import mountmast.storage.TransactionResult
 
-/** Whether the jobs that a submission names may be prerequisites. */
+/** Whether the jobs that a submission names may be prerequisites of its job. */
 internal sealed interface PrerequisiteCheck {
     data object Valid : PrerequisiteCheck
 
-    /** No job [id] was ever accepted. */
+    /** No job with [id] was ever accepted. */
     class NeverAccepted(val id: JobId) : PrerequisiteCheck
 
-    /** [id] is a service, which never is done. */
+    /** [id] is a service, which is never done. */
     class IsService(val id: JobId) : PrerequisiteCheck
 }
 
 /**
- * Checks the prerequisites of a new job. That a job was accepted never changes and is cached; what no cache holds is read from the
- * state service, one by one or, for many, in bulk. Thread-safe.
+ * Checks the prerequisites of a new job. That a job was accepted never changes and is cached. Jobs that no cache knows as accepted are
+ * read from the state service: a few by their keys, many by listing all live jobs. Thread-safe.
  */
 internal class PrerequisiteValidator(
     private val store: StateStore,
@@ -36,36 +36,36 @@
     private val finalStates: FinalStateCache,
     private val maxCompares: Int,
 ) {
-    /** Jobs known to have been accepted, whatever became of them. */
-    private val accepted: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_ACCEPTED).build()
+    /** Jobs known to have been accepted, whether they are live or finished. */
+    private val acceptedJobs: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_ACCEPTED).build()
 
     /**
-     * Checks [ids], and tells the first that may not be a prerequisite. Throws `StoreException` if they cannot be read, and
-     * [IllegalArgumentException] if a record cannot be decoded.
+     * Returns whether [ids] may all be prerequisites; if not, names the first that was never accepted, or else the first that is known
+     * as a service. Throws `StoreException` if the jobs cannot be read, and [IllegalArgumentException] if a record cannot be decoded.
      */
     fun check(ids: List<JobId>): PrerequisiteCheck {
         val unknown = ids.filterNotTo(LinkedHashSet(), ::isKnownAccepted)
         when {
             unknown.isEmpty() -> {}
-            unknown.size <= MAX_READ_SINGLY -> readSingly(unknown)
+            unknown.size <= MAX_JOBS_READ_INDIVIDUALLY -> readIndividually(unknown)
             else -> readInBulk(unknown)
         }
         ids.firstOrNull { !isKnownAccepted(it) }?.let { return PrerequisiteCheck.NeverAccepted(it) }
         return ids.firstOrNull(::isKnownService)?.let { PrerequisiteCheck.IsService(it) } ?: PrerequisiteCheck.Valid
     }
 
-    private fun isKnownAccepted(id: JobId) = id in finalStates || id in records || accepted.getIfPresent(id) != null
+    private fun isKnownAccepted(id: JobId) = id in finalStates || id in records || acceptedJobs.getIfPresent(id) != null
 
     private fun isKnownService(id: JobId) = finalStates[id]?.isService == true || records[id]?.record?.spec?.shape == Shape.SERVICE
 
-    /** Reads [ids], which caches the live ones. */
-    private fun readSingly(ids: Set<JobId>) {
+    /** Reads [ids] by their keys. The reader caches the records of live jobs, this function the final states of the others. */
+    private fun readIndividually(ids: Set<JobId>) {
         for ((id, state) in reader.readAll(ids)) {
             if (state is JobState.Finished) finalStates[id] = state.record
         }
     }
 
-    /** Pages through the live jobs once; a job that is not among them is finished, or was never accepted. */
+    /** Lists the live jobs once, up to the last of [ids]; those of [ids] that are not listed are finished or were never accepted. */
     private fun readInBulk(ids: Set<JobId>) {
         val lastKey = Keys.job(ids.max())
         var after: String? = null
@@ -74,7 +74,7 @@
             for (entry in page.entries) {
                 val record = WireJson.decodeFromJsonElement<JobRecord>(entry.value)
                 if (record.spec.id in ids) {
-                    accepted.put(record.spec.id, Unit)
+                    acceptedJobs.put(record.spec.id, Unit)
                     records.putIfNewer(record, entry.modRevision)
                 }
             }
@@ -83,19 +83,22 @@
         ids.filterNot(::isKnownAccepted).chunked(maxCompares).forEach(::findFinished)
     }
 
-    /** Caches those of [ids] that are finished. A comparison with "does not exist" fails for those that do: one request tells of many. */
+    /**
+     * Caches as accepted those of [ids] that are finished, all with one request: a transaction that compares each key with "does not
+     * exist" fails for exactly the keys that exist.
+     */
     private fun findFinished(ids: List<JobId>) {
         val compares = ids.map { Compare(Keys.finished(it), ModRevision.ABSENT) }
         val result = store.commit(Transaction(compares, emptyList()))
         if (result !is TransactionResult.CompareFailed) return
         val existing = result.failed.toSet()
-        ids.filter { Keys.finished(it) in existing }.forEach { accepted.put(it, Unit) }
+        ids.filter { Keys.finished(it) in existing }.forEach { acceptedJobs.put(it, Unit) }
     }
 
     private companion object {
         const val MAX_ACCEPTED = 20_000L
 
-        /** More jobs than this are looked for in pages of all live jobs. */
-        const val MAX_READ_SINGLY = 16
+        /** More jobs than this are not read by their keys but searched for in a list of all live jobs. */
+        const val MAX_JOBS_READ_INDIVIDUALLY = 16
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/ProgressCache.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/ProgressCache.kt
@@ -15,12 +15,12 @@
 
 private val log = LoggerFactory.getLogger("mountmast.progress")
 
-/** How many of a job's tasks are done, and how many run on machines. */
+/** How many tasks of a job are done, and how many run on machines. */
 internal data class Progress(val done: Int, val running: Int)
 
 /**
- * How far running jobs have come, as the leader writes it about once a second. For display alone: one read of all jobs serves
- * every status request of a second, and after a failed read the last progress is shown on. Thread-safe.
+ * Caches the progress of running jobs, which the leader writes about once a second. Progress is only for display: one read of the
+ * progress of all jobs serves the status requests of a second, and after a failed read the previous progress stays. Thread-safe.
  */
 internal class ProgressCache(private val store: StateStore, private val clock: Clock) {
     /** Guards [progressByJob] and [nextReadAt]; never held during a request to the state service. */
@@ -28,8 +28,11 @@
     private var progressByJob: Map<JobId, Progress> = emptyMap()
     private var nextReadAt = MonotonicTime(Long.MIN_VALUE)
 
-    /** The progress of [id], no older than a second or two if the state service answers; none for a job that the leader has not written. */
-    fun progressOf(id: JobId): Progress {
+    /**
+     * Returns the progress of [id], at most a second or two old if the state service answers; zero for a job whose progress the leader
+     * has not written.
+     */
+    fun getProgress(id: JobId): Progress {
         val now = clock.now()
         val isReadDue = lock.withLock {
             (now >= nextReadAt).also { if (it) nextReadAt = now + READ_INTERVAL_MS }
@@ -42,30 +45,30 @@
         val entries = try {
             store.list(Keys.PROGRESS).entries
         } catch (e: StoreException) {
-            // The last progress is shown a while longer; the job's own state was read a moment ago.
-            log.debug("reading progress: {}", e.message)
+            // The previous progress is shown until a later read succeeds; the job's state itself was read just before.
+            log.debug("cannot read progress: {}", e.message)
             return
         }
-        val read = HashMap<JobId, Progress>()
+        val readProgress = HashMap<JobId, Progress>()
         for (entry in entries) {
             val text = try {
                 WireJson.decodeFromJsonElement<ProgressRecord>(entry.value).text()
             } catch (e: IllegalArgumentException) {
-                log.warn("unreadable record {}: {}", entry.key, e.message)
+                log.warn("cannot decode progress record {}: {}", entry.key, e.message)
                 continue
             }
-            text.splitToSequence(';').forEach { job -> addProgress(job.split(' '), read) }
+            text.splitToSequence(';').forEach { job -> addProgress(job.split(' '), readProgress) }
         }
-        lock.withLock { progressByJob = read }
+        lock.withLock { progressByJob = readProgress }
     }
 
-    /** Adds the progress of the job in [fields], which are its id and its numbers of done and running tasks; other forms are skipped. */
-    private fun addProgress(fields: List<String>, to: HashMap<JobId, Progress>) {
+    /** Adds the progress in [fields], which are a job id and its numbers of done and running tasks; skips fields of any other form. */
+    private fun addProgress(fields: List<String>, target: HashMap<JobId, Progress>) {
         if (fields.size != FIELDS_PER_JOB) return
         val job = JobId.parse(fields[0])
         val done = fields[1].toIntOrNull()
         val running = fields[2].toIntOrNull()
-        if (job != null && done != null && running != null) to[job] = Progress(done, running)
+        if (job != null && done != null && running != null) target[job] = Progress(done, running)
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/jobs/RequestForwarder.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/RequestForwarder.kt
@@ -8,24 +8,24 @@
 
 private val log = LoggerFactory.getLogger("mountmast.jobs")
 
-/** Has requests that this node cannot serve served by another node. Thread-safe. */
+/** Serves users' requests, and forwards to another node those for which this node does not reach the state service. Thread-safe. */
 internal class RequestForwarder(private val node: HostNode) {
     /**
-     * Serves [request] by [serve]. If that does not reach the state service, another node serves it, unless one has forwarded
-     * it here already; if none can, the user is told at once to come back.
+     * Serves [request] by calling [serve]. If [serve] fails because the state service does not answer, forwards the request to another
+     * node, unless it was already forwarded to this node. If no node can serve it, rejects it as one to be sent again later.
      */
     fun serveOrForward(request: ForwardedRequest, isForwarded: Boolean, serve: () -> RequestOutcome): UserAnswer = try {
         serve().toUserAnswer()
     } catch (e: StoreRequestRejectedException) {
-        // Every other node would send the same, so it is not forwarded.
+        // Not forwarded, because the state service would reject the same record from every other node.
         log.debug("record rejected by the state service, path={}: {}", request.path, e.message)
         RequestRejection.RecordRejectedByStore.toUserAnswer()
     } catch (e: StoreException) {
         val forwarded = if (isForwarded) null else node.forward(request)
         forwarded ?: RequestRejection.StoreUnavailable.toUserAnswer()
     } catch (e: IllegalArgumentException) {
-        // Not the user's fault, so it must not look like a malformed request.
-        log.error("unreadable record for path={}: {}", request.path, e.message)
+        // The stored record is at fault, not the request, so the answer must differ from that to a malformed request.
+        log.error("cannot decode a stored record, path={}: {}", request.path, e.message)
         RequestRejection.RecordUnreadable.toUserAnswer()
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/RequestOutcome.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/RequestOutcome.kt
@@ -5,12 +5,12 @@
 import mountmast.protocol.WireJson
 import mountmast.transport.UserAnswer
 
-/** What a user's request led to. */
+/** The result of a user's request. */
 internal sealed interface RequestOutcome {
     /** The request accepted a new job. */
     class Accepted(val job: JobAnswer) : RequestOutcome
 
-    /** The job was accepted before; [job] is how it stands after the request. */
+    /** The job was accepted before; [job] is its status after the request. */
     class Existing(val job: JobAnswer) : RequestOutcome
 
     class Rejected(val reason: RequestRejection) : RequestOutcome
@@ -22,13 +22,13 @@
     }
 }
 
-/** Whether a job was ever accepted, and how it stands. */
+/** Whether a job was ever accepted, and its status if so. */
 internal sealed interface JobLookup {
     class Found(val job: JobAnswer) : JobLookup
 
     data object NotFound : JobLookup
 
-    /** The job as it stands if it was accepted, else [rejection]: a job that exists is answered whatever is wrong with the request. */
+    /** Returns the status of the job if it was accepted, even if the request is invalid; otherwise returns [rejection]. */
     fun orReject(rejection: RequestRejection): RequestOutcome = when (this) {
         is Found -> RequestOutcome.Existing(job)
         NotFound -> RequestOutcome.Rejected(rejection)
--- a/src/main/kotlin/mountmast/coordination/jobs/RequestRejection.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/RequestRejection.kt
@@ -7,12 +7,12 @@
 /**
  * Why a user's request is not carried out.
  *
- * @property status of HTTP
- * @property text for the user, in the body
- * @property retryAfterS after how many seconds the user may send the same again; 0 if that would not help
+ * @property status the HTTP status code
+ * @property text the error message for the user, in the body
+ * @property retryAfterS after how many seconds the user may send the same request again; 0 if that would not help
  */
 internal sealed class RequestRejection(val status: Int, val text: String, val retryAfterS: Int = 0) {
-    /** The body breaks the protocol, as [detail] says. */
+    /** The body violates the protocol; [detail] says how. */
     class MalformedBody(detail: String?) : RequestRejection(400, detail ?: "malformed")
 
     /** The record without its prerequisites is larger than one value of the state service. */
@@ -20,7 +20,7 @@
 
     data object JobNotFound : RequestRejection(404, "no such job")
 
-    /** No machine type, or no quota of the team, would ever let the job run. */
+    /** The job could never run; [reason] names what prevents it, such as that a task fits no machine type or the job exceeds a quota. */
     class NeverRuns(reason: String) : RequestRejection(422, reason)
 
     class PrerequisiteNeverAccepted(id: JobId) : RequestRejection(422, "waitsOn: $id was never accepted")
@@ -30,10 +30,10 @@
     /** The leader has not stored the machine types, or this node has not read them. */
     data object MachineTypesUnknown : RequestRejection(503, "machine types are not known yet", RETRY_AFTER_S)
 
-    /** A node that does not read prerequisites would start such a job too early. */
+    /** A node that cannot read prerequisites may still run, and would start the job before its prerequisites are done. */
     data object PrerequisitesUnsupported : RequestRejection(503, "a node of an earlier version may still be running", RETRY_AFTER_S)
 
-    /** The job's key changed between the read and the write, at each attempt. */
+    /** At each attempt, the job's key was modified between the read and the write. */
     data object ConcurrentChange : RequestRejection(503, "try again", RETRY_AFTER_S)
 
     data object RecordRejectedByStore : RequestRejection(503, "the state service does not take the record", RETRY_AFTER_S)
--- a/src/main/kotlin/mountmast/coordination/jobs/SubmissionValidator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/SubmissionValidator.kt
@@ -14,33 +14,36 @@
     class Invalid(val reason: RequestRejection) : SubmissionCheck
 }
 
-/** Checks submissions against the protocol, the quotas of teams, the machine types and the jobs that they wait for. Thread-safe. */
+/** Checks submissions against the protocol, the quotas of teams, the machine types and the prerequisites that they name. Thread-safe. */
 internal class SubmissionValidator(
     private val teams: Map<TeamId, TeamQuota>,
     private val machineTypes: MachineTypeCache,
     private val prerequisites: PrerequisiteValidator,
     private val node: HostNode,
 ) {
-    /** Checks [submission]. Throws `StoreException` if its prerequisites cannot be read, [IllegalArgumentException] if not decoded. */
+    /**
+     * Checks [submission]. Throws `StoreException` if its prerequisites cannot be read, and [IllegalArgumentException] if their records
+     * cannot be decoded.
+     */
     fun check(submission: JsonObject): SubmissionCheck {
         val spec = try {
             JobValidation.parse(submission)
         } catch (e: Malformed) {
             return SubmissionCheck.Invalid(RequestRejection.MalformedBody(e.message))
         }
-        val rejection = whyNeverRuns(spec) ?: whyPrerequisitesInvalid(spec)
+        val rejection = checkCanRun(spec) ?: checkPrerequisites(spec)
         return if (rejection == null) SubmissionCheck.Valid(spec) else SubmissionCheck.Invalid(rejection)
     }
 
-    /** Null if machines and quotas allow the job. */
-    private fun whyNeverRuns(spec: JobSpec): RequestRejection? {
+    /** Returns why the job in [spec] can never run, or cannot be checked yet; null if machine types and quotas allow it. */
+    private fun checkCanRun(spec: JobSpec): RequestRejection? {
         val types = machineTypes.types
         if (types.isEmpty()) return RequestRejection.MachineTypesUnknown
         return JobValidation.neverRuns(spec, teams, types)?.let { RequestRejection.NeverRuns(it) }
     }
 
-    /** Null if the job may wait for all that it names. */
-    private fun whyPrerequisitesInvalid(spec: JobSpec): RequestRejection? = when {
+    /** Returns why the prerequisites in [spec] are rejected; null if all of them are valid. */
+    private fun checkPrerequisites(spec: JobSpec): RequestRejection? = when {
         spec.prerequisites.isEmpty() -> null
         !node.acceptsPrerequisites -> RequestRejection.PrerequisitesUnsupported
         else -> when (val check = prerequisites.check(spec.prerequisites)) {
