--- a/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
@@ -32,45 +32,45 @@
 
 class JobReaderTest {
     private val time = VirtualTime()
-    private val inner = StandInStore(time).View(Random(1), ProcessFaults(time))
+    private val backingStore = StandInStore(time).View(Random(1), ProcessFaults(time))
     private val requests = AtomicInteger()
 
-    /** A request to the state service takes a permit while [isGated]. */
-    private val gate = Semaphore(0)
+    /** While [requiresPermits] is set, each request to the state service takes one of these permits. */
+    private val permits = Semaphore(0)
 
     @Volatile
-    private var isGated = false
+    private var requiresPermits = false
 
-    private val store = object : StateStore by inner {
-        override fun get(key: String): Entry? = counted { inner.get(key) }
-        override fun commit(transaction: Transaction): TransactionResult = counted { inner.commit(transaction) }
+    private val store = object : StateStore by backingStore {
+        override fun get(key: String): Entry? = counted { backingStore.get(key) }
+        override fun commit(transaction: Transaction): TransactionResult = counted { backingStore.commit(transaction) }
 
         private fun <T> counted(request: () -> T): T {
             requests.incrementAndGet()
-            if (isGated) assertTrue(gate.tryAcquire(PATIENCE_S, TimeUnit.SECONDS), "the gate stays closed")
-            return synchronized(inner) { request() }
+            if (requiresPermits) assertTrue(permits.tryAcquire(TEST_TIMEOUT_S, TimeUnit.SECONDS), "no permit within $TEST_TIMEOUT_S s")
+            return synchronized(backingStore) { request() }
         }
     }
 
-    /** No read times out by itself: the test would depend on the machine's speed. */
-    private val reader = readerOn(store, maxWaitMs = PATIENCE_S * 1000)
+    /** Its reads never time out, because the result would then depend on the machine's speed. */
+    private val reader = readerOn(store, maxWaitMs = TEST_TIMEOUT_S * 1000)
     private val jobs = (1..20).map { World(1).job(it) }
 
     private fun readerOn(store: StateStore, maxWaitMs: Long) =
         JobReader(JobStateLoader(store, UnconfirmedRecordCache(), MAX_COMPARES), MAX_COMPARES, maxWaitMs)
 
-    private fun put(number: Int, cancelled: Boolean, modRevision: ModRevision) = inner.commit(
+    private fun put(number: Int, cancelled: Boolean, modRevision: ModRevision) = backingStore.commit(
         Transaction(
             listOf(Compare(Keys.job(jobs[number].id), modRevision)),
             listOf(Write.Put(Keys.job(jobs[number].id), WireJson.encodeToJsonElement(JobRecord(jobs[number], WallTime(0), cancelled)))),
         ),
     )
 
-    /** Fails, rather than hangs, if [reached] does not become true however slow the machine is. */
-    private fun waitUntil(reached: () -> Boolean) {
-        val until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S)
-        while (!reached()) {
-            assertTrue(System.nanoTime() < until, "not within $PATIENCE_S s")
+    /** Waits until [condition] returns true, and fails if it has not within [TEST_TIMEOUT_S] seconds. */
+    private fun waitUntil(condition: () -> Boolean) {
+        val until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TEST_TIMEOUT_S)
+        while (!condition()) {
+            assertTrue(System.nanoTime() < until, "condition not met within $TEST_TIMEOUT_S s")
             Thread.sleep(1)
         }
     }
@@ -82,20 +82,20 @@
         jobs.indices.forEach { put(it, false, ModRevision.ABSENT) }
         jobs.forEach { reader.read(it.id) }
         requests.set(0)
-        isGated = true
+        requiresPermits = true
         val threads = ConcurrentHashMap.newKeySet<Thread>()
         val pool = Executors.newFixedThreadPool(jobs.size) { task -> Thread(task).also { threads += it } }
         val first = pool.submit<Boolean> { isCancelled(jobs[0].id) }
         waitUntil { requests.get() > 0 }
         val rest = jobs.drop(1).map { job -> pool.submit<Boolean> { isCancelled(job.id) } }
-        // The first waits for the state service, all others for their batch.
+        // The first read waits for the state service, all others wait for their batch.
         waitUntil { threads.count { it.state == Thread.State.TIMED_WAITING } == jobs.size }
-        // The first request is still under way: what changes now must be in the result of every read but perhaps the first.
-        synchronized(inner) { put(5, true, checkNotNull(inner.get(Keys.job(jobs[5].id))).modRevision) }
-        isGated = false
-        gate.release(100)
-        assertEquals(listOf(5), rest.indices.filter { rest[it].get(PATIENCE_S, TimeUnit.SECONDS) }.map { it + 1 })
-        assertEquals(false, first.get(PATIENCE_S, TimeUnit.SECONDS))
+        // The first request has not been answered: a change made now must be in the result of every read but perhaps the first.
+        synchronized(backingStore) { put(5, true, checkNotNull(backingStore.get(Keys.job(jobs[5].id))).modRevision) }
+        requiresPermits = false
+        permits.release(100)
+        assertEquals(listOf(5), rest.indices.filter { rest[it].get(TEST_TIMEOUT_S, TimeUnit.SECONDS) }.map { it + 1 })
+        assertEquals(false, first.get(TEST_TIMEOUT_S, TimeUnit.SECONDS))
         assertTrue(requests.get() <= 6, "${requests.get()} requests for ${jobs.size} reads")
         pool.shutdown()
     }
@@ -115,23 +115,23 @@
     @Test
     fun `a read that waits too long for its batch throws, and does not affect other reads`() {
         put(0, false, ModRevision.ABSENT)
-        val impatient = readerOn(store, maxWaitMs = 1000)
-        isGated = true
+        val shortWaitReader = readerOn(store, maxWaitMs = 1000)
+        requiresPermits = true
         val pool = Executors.newSingleThreadExecutor()
-        val first = pool.submit<Boolean> { (impatient.read(jobs[0].id) as JobState.Live).record.cancelled }
+        val first = pool.submit<Boolean> { (shortWaitReader.read(jobs[0].id) as JobState.Live).record.cancelled }
         waitUntil { requests.get() > 0 }
-        assertThrows(StoreTimeoutException::class.java) { impatient.read(jobs[1].id) }
-        isGated = false
-        gate.release(100)
-        assertEquals(false, first.get(PATIENCE_S, TimeUnit.SECONDS))
-        assertEquals(JobState.Unknown, impatient.read(jobs[1].id))
+        assertThrows(StoreTimeoutException::class.java) { shortWaitReader.read(jobs[1].id) }
+        requiresPermits = false
+        permits.release(100)
+        assertEquals(false, first.get(TEST_TIMEOUT_S, TimeUnit.SECONDS))
+        assertEquals(JobState.Unknown, shortWaitReader.read(jobs[1].id))
         pool.shutdown()
     }
 
     private companion object {
         const val MAX_COMPARES = 8
 
-        /** Far beyond what any machine takes. */
-        const val PATIENCE_S = 120L
+        /** Much longer than a passing test takes on a slow machine. */
+        const val TEST_TIMEOUT_S = 120L
     }
 }
--- a/src/test/kotlin/mountmast/coordination/jobs/JobRecordPrefetcherTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobRecordPrefetcherTest.kt
@@ -55,7 +55,7 @@
         faults.storeRefusedUntil = time.now + 1000
         assertEquals(PrefetchResult.STORE_UNAVAILABLE, prefetcher.prefetch(0))
         time.advance(2000)
-        // More changes than the service keeps: those are not prefetched, later ones are.
+        // More changes than the state service keeps: it compacts the first of them, and the prefetcher goes on with later ones.
         (5..25).forEach(::accept)
         store.get(Keys.TERM)
         repeat(2) { prefetcher.prefetch(0) }
