--- a/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
@@ -79,22 +79,22 @@
         val rate = (totals.answered - lastTotals.answered) / seconds
         val waiting = metrics.gaugeValue(MetricNames.HEARTBEATS_WAITING)
         val refused = totals.refused - lastTotals.refused
-        return "$rate heartbeats/s waited up to ${heartbeatWait.readAndResetLongestMs()} ms, $refused refused, $waiting waiting; " +
-            "requests waited up to ${requestWait.readAndResetLongestMs()} ms, ${metrics.gaugeValue(MetricNames.REQUESTS_WAITING)} waiting"
+        return "$rate reports/s waited up to ${heartbeatWait.readAndResetLongestMs()} ms, $refused refused, $waiting wait; " +
+            "requests waited up to ${requestWait.readAndResetLongestMs()} ms, ${metrics.gaugeValue(MetricNames.REQUESTS_WAITING)} wait"
     }
 
     private fun formatStore(totals: Totals, seconds: Long): String {
         val rate = (totals.storeCalls - lastTotals.storeCalls) / seconds
         val failed = totals.storeFailures - lastTotals.storeFailures
         return "state service $rate calls/s up to ${storeCalls.readAndResetLongestMs()} ms, $failed failed; " +
-            "lease renewed ${metrics.gaugeValue(MetricNames.RENEWAL_AGE)} ms ago, " +
-            "${metrics.gaugeValue(MetricNames.PENDING_CHANGES)} pending changes, " +
+            "renewed ${metrics.gaugeValue(MetricNames.RENEWAL_AGE)} ms ago, " +
+            "${metrics.gaugeValue(MetricNames.PENDING_CHANGES)} changes unwritten, " +
             "last write ${metrics.gaugeValue(MetricNames.LAST_WRITE_AGE)} ms ago"
     }
 
     private fun formatProcess(): String {
         val lost = LossCause.entries.joinToString { "${losses.of(it)} ${it.label}" }
-        return "sleeps ended up to ${wakeLag.readAndResetLongestMs()} ms late, heap ${heapUsedMb()} MB; tasks lost so far: $lost"
+        return "woke up to ${wakeLag.readAndResetLongestMs()} ms late, heap ${heapUsedMb()} MB; tasks lost so far: $lost"
     }
 
     private companion object {
