--- a/src/main/kotlin/mountmast/protocol/Ids.kt
+++ b/src/main/kotlin/mountmast/protocol/Ids.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** Id of a job, chosen by its user. */
+/** Id of a job, chosen by the user who submits the job, such as `j-000412`. */
 @Serializable
 @JvmInline
 value class JobId(val text: String) : Comparable<JobId> {
@@ -13,7 +13,7 @@
         private const val PREFIX = "j-"
         private const val MAX_DIGITS = 18
 
-        /** The id in [text], or null where it is not of the form that users must keep to. */
+        /** Returns the job id in [text], or null if [text] is not `j-` followed by 1 to 18 digits. */
         fun parse(text: String): JobId? {
             val digits = text.length - PREFIX.length
             if (digits !in 1..MAX_DIGITS || !text.startsWith(PREFIX)) return null
@@ -23,12 +23,12 @@
     }
 }
 
-/** One task of a job; on the wire `j-000412/3`. */
+/** One task of a job. Messages and stored texts name it as `j-000412/3`; [index] counts from 0. */
 data class TaskId(val job: JobId, val index: Int) {
     override fun toString() = "$job/$index"
 
     companion object {
-        /** The task named by [text], or null where the text names none. */
+        /** Returns the task that [text] names, or null if [text] is not a job id, a slash and an index. */
         fun parse(text: String): TaskId? {
             val slash = text.indexOf('/')
             if (slash <= 0) return null
@@ -39,7 +39,10 @@
     }
 }
 
-/** A rented machine, named by the cloud. Its name is kept in texts with separators, so it must hold none. */
+/**
+ * Name of a rented machine, given by the cloud. Journal entries separate their fields by spaces and end with semicolons, so a name
+ * that contains either is rejected with an [IllegalArgumentException].
+ */
 @Serializable
 @JvmInline
 value class MachineId(val text: String) : Comparable<MachineId> {
@@ -51,21 +54,24 @@
     override fun toString() = text
 }
 
-/** A controller node. */
+/** Name of a controller node. */
 @Serializable
 @JvmInline
 value class NodeId(val text: String) {
     override fun toString() = text
 }
 
-/** A team of users, with a guarantee and a limit. */
+/** Name of a team of users; [TeamQuota] holds the team's guarantee and limit. */
 @Serializable
 @JvmInline
 value class TeamId(val text: String) {
     override fun toString() = text
 }
 
-/** A zone; its name is kept in texts with separators, as a machine's is. */
+/**
+ * Name of a zone. It is the last field of a journal entry, so it may contain spaces, but a name with a semicolon or a control
+ * character is rejected with an [IllegalArgumentException].
+ */
 @Serializable
 @JvmInline
 value class Zone(val text: String) : Comparable<Zone> {
@@ -77,7 +83,7 @@
     override fun toString() = text
 }
 
-/** A machine type. */
+/** Name of a machine type. */
 @Serializable
 @JvmInline
 value class TypeId(val text: String) : Comparable<TypeId> {
@@ -85,14 +91,14 @@
     override fun toString() = text
 }
 
-/** An image that a machine must hold before a task can start. */
+/** Name of an image, which a machine must hold before a task that uses the image can start. */
 @Serializable
 @JvmInline
 value class ImageId(val text: String) {
     override fun toString() = text
 }
 
-/** Name of a rental request; never used twice. */
+/** Name of a request to the cloud for machines. No two requests have the same name, so that the cloud can tell a repeated one. */
 @Serializable
 @JvmInline
 value class RentalRequestId(val text: String) {
--- a/src/main/kotlin/mountmast/protocol/JobFields.kt
+++ b/src/main/kotlin/mountmast/protocol/JobFields.kt
@@ -7,19 +7,20 @@
 import kotlinx.serialization.json.JsonPrimitive
 
 /**
- * The fields of a submission. Each function throws [Malformed] with the name of the field if it is invalid, and, unless its name or
- * its result says otherwise, if it is missing or null.
+ * Reads the fields of a submitted job. Each function throws [Malformed] with the name of the field if the field is invalid. A field
+ * that is missing or null counts as invalid too, unless the function's result can be null.
  */
 internal class JobFields(private val body: JsonObject) {
     fun string(name: String): String = string(required(name), name)
 
-    /** Returns the texts in the list [name], or null if it is missing. */
+    /** Returns the strings in the list [name], or null if the field is missing or null. */
     fun strings(name: String): List<String>? {
         val list = optional(name) ?: return null
         if (list !is JsonArray) throw Malformed("$name: not a list")
         return list.map { string(it, name) }
     }
 
+    /** Returns the zone [name], or null if the field is missing or null. */
     fun optionalZone(name: String): Zone? {
         val text = string(optional(name) ?: return null, name)
         return try {
@@ -29,25 +30,27 @@
         }
     }
 
-    /** Returns a number from 0 to [MAX_AMOUNT]. */
+    /** Returns the number [name], which must be from 0 to [MAX_AMOUNT]. */
     fun amount(name: String): Double = amount(required(name), name)
 
+    /** Returns the number [name], which must be from 0 to [MAX_AMOUNT], or null if the field is missing or null. */
     fun optionalAmount(name: String): Double? = optional(name)?.let { amount(it, name) }
 
-    /** Returns a whole number from 1 to [maximum]. */
+    /** Returns the whole number [name], which must be from 1 to [maximum]. */
     fun count(name: String, maximum: Int): Int {
         val value = number(required(name), name).content.toIntOrNull() ?: throw Malformed("$name: not a count")
         if (value !in 1..maximum) throw Malformed("$name: out of range")
         return value
     }
 
+    /** Returns the Boolean [name]. */
     fun flag(name: String): Boolean {
         val value = required(name) as? JsonPrimitive
         if (value == null || value.isString) throw Malformed("$name: not true or false")
         return value.content.toBooleanStrictOrNull() ?: throw Malformed("$name: not true or false")
     }
 
-    /** Returns the one of [values] that the text [name] names. */
+    /** Returns the value that [values] gives for the string [name]; a string that is no key of [values] is invalid. */
     fun <T> choice(name: String, values: Map<String, T>): T = values[string(name)] ?: throw Malformed("$name: unknown value")
 
     private fun optional(name: String): JsonElement? = body[name]?.takeUnless { it is JsonNull }
@@ -57,7 +60,7 @@
     private fun string(element: JsonElement, name: String): String {
         val value = element as? JsonPrimitive
         if (value == null || !value.isString) throw Malformed("$name: not a string")
-        if (value.content.isEmpty() || value.content.length > LONGEST_NAME) throw Malformed("$name: empty or too long")
+        if (value.content.isEmpty() || value.content.length > MAX_STRING_CHARS) throw Malformed("$name: empty or too long")
         return value.content
     }
 
@@ -75,7 +78,7 @@
 
     private companion object {
         const val MAX_AMOUNT = 1e9
-        const val LONGEST_NAME = 200
+        const val MAX_STRING_CHARS = 200
         val NUMBER = Regex("-?[0-9]+(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
     }
 }
--- a/src/main/kotlin/mountmast/protocol/JobMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/JobMessages.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.Transient
 
-/** Shape of a job. */
+/** How the tasks of a job run. */
 @Serializable
 enum class Shape {
     /** Independent tasks, each of which runs to completion. */
@@ -16,7 +16,7 @@
     SERVICE,
 }
 
-/** Urgency of a job. The order of the values is that of their precedence, the most urgent first. */
+/** Urgency of a job. The values are ordered by precedence, the most urgent first. */
 @Serializable
 enum class Urgency {
     @SerialName("prod")
@@ -33,22 +33,25 @@
 }
 
 /**
- * A job as its user submitted it. It is stored in this form, so its serial names are also part of the contract between versions.
+ * A job as its user submitted it. The state service stores it in this form, so its serial names are part of the contract with users
+ * and of that between versions.
  *
- * @property jobClass the class that the users' service-level objectives refer to
- * @property tasks number of tasks, counted from 0
- * @property cpus virtual processors of each task; [gpus] and [memoryGb] likewise
- * @property image the image that a machine must hold before a task can start, and its size [imageGb]
- * @property types the machine types on which tasks may run, or null if all are allowed
- * @property zone the zone in which tasks must run, or null if any will do
+ * @property jobClass the class of jobs to which the users' service-level objectives refer
+ * @property team the team whose quota the job uses
+ * @property tasks number of tasks; their indices run from 0 to one less
+ * @property cpus virtual processors that each task takes; [gpus] and [memoryGb] likewise, memory in gigabytes
+ * @property image the image that a machine must hold before a task can start
+ * @property imageGb size of [image] in gigabytes
+ * @property types the machine types on which tasks may run, or null if all types are allowed
+ * @property zone the zone in which tasks must run, or null if all zones are allowed
  * @property singleZone whether all tasks must run in one zone
  * @property spreadAcrossZones whether no zone may hold more than half of the tasks
  * @property spotAllowed whether tasks may run on spot machines
- * @property estimateS the user's estimate of a task's run in seconds; 0 if there is none
- * @property checkpointEveryS seconds of progress between two checkpoints; 0 if tasks cannot save
- * @property checkpointSaveS seconds that a task needs to save when it is stopped
- * @property deadlineS seconds after the submission by which the job should be done, or null
- * @property prerequisites the jobs that must be done before any task of this one starts
+ * @property estimateS the user's estimate of how many seconds a task runs; 0 if the user gave none
+ * @property checkpointEveryS seconds of progress between two checkpoints; 0 if tasks cannot save checkpoints
+ * @property checkpointSaveS seconds that a task needs to save a checkpoint when it is stopped
+ * @property deadlineS seconds after the submission within which the job should be done, or null if there is no deadline
+ * @property prerequisites the jobs that must be done before any task of this job starts
  */
 @Serializable
 data class JobSpec(
@@ -74,15 +77,15 @@
     @SerialName("dueS") val deadlineS: Double? = null,
     @SerialName("waitsOn") val prerequisites: List<JobId> = emptyList(),
 ) {
-    /** What one task takes of a machine. */
+    /** Resources that one task takes on a machine. */
     @Transient
     val perTask: Resources = Resources(cpus, gpus, memoryGb)
 
-    /** The most tasks that may be in one zone. */
+    /** The largest number of the job's tasks that may run in one zone. */
     val maxTasksPerZone: Int get() = if (spreadAcrossZones) (tasks + 1) / 2 else tasks
 }
 
-/** State of a job as users see it. Its serial names are stored, and so part of the contract between versions. */
+/** Status of a job as users see it. Records of finished jobs store its serial names, which are part of the contract between versions. */
 @Serializable
 enum class JobStatus {
     @SerialName("pending")
@@ -99,16 +102,16 @@
 
     ;
 
-    /** Whether the state never changes any more. */
+    /** Whether a job with this status keeps it for good. */
     val isFinal: Boolean get() = this == DONE || this == CANCELLED
 }
 
 /**
- * Answer to users about a job.
+ * Answer to a user's request about a job.
  *
- * @property done number of tasks that are done
- * @property running number of tasks on machines
- * @property waitsOn some of the jobs that must be done before this one starts; an addition to the protocol, for display
+ * @property done number of tasks that are done, or null if the answer gives no progress
+ * @property running number of tasks that are assigned to machines, or null if the answer gives no progress
+ * @property waitsOn some of the prerequisites that are not done yet; added to the protocol later, and meant for display only
  */
 @Serializable
 data class JobAnswer(
@@ -119,6 +122,6 @@
     @SerialName("waitsOn") val waitsOn: List<JobId>? = null,
 )
 
-/** The body of every answer that reports an error, to users and workers. */
+/** Body of every answer to a user or worker that reports an error. */
 @Serializable
 data class ErrorResponse(@SerialName("error") val error: String)
--- a/src/main/kotlin/mountmast/protocol/JobValidation.kt
+++ b/src/main/kotlin/mountmast/protocol/JobValidation.kt
@@ -3,12 +3,13 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.JsonObject
 
-/** A request body that violates the protocol. The message names the field. */
+/** A user's request body violates the protocol. The message is the error text of the answer and begins with the name of the field,
+ * or with `body`. */
 class Malformed(message: String) : Exception(message)
 
-/** Reads submissions and checks whether their jobs can ever run. */
+/** Parses submitted jobs and checks whether they can ever run. */
 object JobValidation {
-    /** The most tasks of one job. */
+    /** The largest number of tasks of one job. */
     const val MAX_TASKS = 100_000
     private const val PREREQUISITES = "waitsOn"
     private val SHAPES = mapOf("array" to Shape.ARRAY, "daemon" to Shape.SERVICE)
@@ -19,10 +20,13 @@
         "best_effort" to Urgency.BEST_EFFORT,
     )
 
-    /** Returns the id in a submission. It is read before all else, since a known job is answered whatever the rest says. */
+    /**
+     * Returns the job id in the submission [body]. Throws [Malformed] if it is missing or invalid. The id is read on its own, since a
+     * submission of a job that is already known is answered even if its other fields are invalid.
+     */
     fun idOf(body: JsonObject): JobId = JobId.parse(JobFields(body).string("nameId")) ?: throw Malformed("nameId: not a job id")
 
-    /** Returns the JSON object in [text]. Throws [Malformed] if it holds none. */
+    /** Returns the JSON object in [text]. Throws [Malformed] if [text] is not a JSON object. */
     fun parseObject(text: String): JsonObject {
         val element = try {
             WireJson.parseToJsonElement(text)
@@ -32,7 +36,7 @@
         return element as? JsonObject ?: throw Malformed("body: not an object")
     }
 
-    /** Reads a job. Throws [Malformed] if a field is missing or invalid. */
+    /** Returns the job in the submission [body]. Throws [Malformed] if a field is missing or invalid. */
     fun parse(body: JsonObject): JobSpec {
         val fields = JobFields(body)
         return JobSpec(
@@ -64,7 +68,7 @@
         .map { JobId.parse(it) ?: throw Malformed("$PREREQUISITES: not a job id") }
         .distinct()
 
-    /** Returns why [job] can never run, or null if it can. */
+    /** Returns the reason why [job] can never run with the quotas of [teams] and the machine [types], or null if it can run. */
     fun neverRuns(job: JobSpec, teams: Map<TeamId, TeamQuota>, types: Collection<MachineType>): String? {
         if (job.id in job.prerequisites) return "the job waits on itself"
         val team = teams[job.team] ?: return "unknown team ${job.team}"
--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -3,17 +3,19 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoNumber
 
-// The proto numbers of all messages here are the contract between versions, as nodes of two versions talk to each other
-// during an upgrade: fields are only added, optional, and no number is ever used again for something else.
+// Nodes of two versions exchange these messages during an upgrade, so the proto numbers are part of the contract between versions:
+// only optional fields may be added, and a number must never be reused for another field.
 
 /**
- * What controller nodes tell one another every two seconds.
+ * Heartbeat that a controller node sends to each other node every two seconds; the answer to it has the same form.
  *
+ * @property node name of the sender
  * @property token the highest fencing token that the sender has seen
- * @property serves whether the sender reaches the state service and knows the machine types, so that it can serve users
+ * @property serves whether the sender can serve users: it reaches the state service and knows the machine types
  * @property leads whether the sender is the leader, in the term of [token]
- * @property cancelled jobs whose cancellation the sender committed, until the receiver has answered a heartbeat that names them
- * @property formatVersion version of the stored and sent forms that the sender reads; 0 from nodes that know of no versions
+ * @property cancelled ids of jobs whose cancellation the sender committed; each is sent until the receiver has answered a heartbeat
+ *   that carried it
+ * @property formatVersion the [FORMAT_VERSION][mountmast.storage.FORMAT_VERSION] of the sender; 0 from versions without this field
  */
 @Serializable
 data class PeerHeartbeat(
@@ -25,10 +27,10 @@
     @ProtoNumber(6) val formatVersion: Int = 0,
 )
 
-/** A user's request that the sender cannot serve itself. */
+/** A user's request that the sending node cannot serve and forwards to another node. */
 @Serializable
 data class ForwardedRequest(@ProtoNumber(1) val method: String, @ProtoNumber(2) val path: String, @ProtoNumber(3) val body: String)
 
-/** The answer to a forwarded request. */
+/** Answer to a forwarded request: what the user is to receive. [retryAfterS] is in seconds, 0 if the answer names no time. */
 @Serializable
 data class ForwardedResponse(@ProtoNumber(1) val status: Int, @ProtoNumber(2) val body: String, @ProtoNumber(3) val retryAfterS: Int = 0)
--- a/src/main/kotlin/mountmast/protocol/Resources.kt
+++ b/src/main/kotlin/mountmast/protocol/Resources.kt
@@ -1,6 +1,6 @@
 package mountmast.protocol
 
-/** Resources that a task takes, or that a machine or team has: virtual processors, GPUs and memory in gigabytes. */
+/** Resources of a task, machine or team: virtual processors, GPUs, and memory in gigabytes. */
 data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
     operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
 
@@ -8,15 +8,15 @@
 
     operator fun times(count: Int) = Resources(cpus * count, gpus * count, memoryGb * count)
 
-    /** Rounded to a millionth, so that sums that were taken in another order are equal. */
+    /** Returns these resources rounded to a millionth, so that sums of the same amounts in a different order are equal. */
     fun rounded() = Resources(rounded(cpus), rounded(gpus), rounded(memoryGb))
 
-    private fun rounded(amount: Double) = Math.rint(amount * ROUNDED_STEPS) / ROUNDED_STEPS
+    private fun rounded(amount: Double) = Math.rint(amount * STEPS_PER_UNIT) / STEPS_PER_UNIT
 
-    /** Whether this fits into the [free] resources of a machine or team. */
+    /** Whether these resources fit into the [free] resources of a machine or team. */
     fun fitsWithin(free: Resources) = cpus <= free.cpus + EPSILON && gpus <= free.gpus + EPSILON && memoryGb <= free.memoryGb + EPSILON
 
-    /** How many times this fits into the [free] resources, at most [maximum]. */
+    /** Returns how many times these resources fit into the [free] ones, but at most [maximum]. */
     fun instancesWithin(free: Resources, maximum: Int): Int {
         var times = maximum.toDouble()
         if (cpus > 0) times = minOf(times, Math.floor((free.cpus + EPSILON) / cpus))
@@ -26,9 +26,9 @@
     }
 
     companion object {
-        /** Differences below this are rounding. */
+        /** Differences up to this size are taken for rounding errors. */
         const val EPSILON = 1e-6
-        private const val ROUNDED_STEPS = 1e6
+        private const val STEPS_PER_UNIT = 1e6
 
         /** No resources at all. */
         val NONE = Resources(0.0, 0.0, 0.0)
--- a/src/main/kotlin/mountmast/protocol/Settings.kt
+++ b/src/main/kotlin/mountmast/protocol/Settings.kt
@@ -6,47 +6,51 @@
 import java.io.IOException
 import java.net.InetSocketAddress
 
-/** Settings that are missing, unreadable or contradictory; the message names the field. */
+/** The settings are missing, unreadable or contradictory. The message names the field, or the file that cannot be read. */
 class InvalidSettingsException(message: String) : Exception(message)
 
 /**
- * The quota of a team: what it is guaranteed and what it may use at most; 0 means no guarantee and no limit.
+ * The quota of a team: the resources that it is guaranteed and those that it may use at most.
  *
- * @property cpus guaranteed virtual processors, and [cpusMax] the limit
- * @property gpus guaranteed GPUs, and [gpusMax] the limit
+ * @property cpus guaranteed virtual processors; 0 for no guarantee
+ * @property cpusMax limit on virtual processors; 0 for no limit
+ * @property gpus guaranteed GPUs; 0 for no guarantee
+ * @property gpusMax limit on GPUs; 0 for no limit
  */
 data class TeamQuota(val id: TeamId, val cpus: Double, val cpusMax: Double, val gpus: Double, val gpusMax: Double) {
-    /** Whether the team is guaranteed anything. */
+    /** Whether the team is guaranteed any virtual processors or GPUs. */
     val hasGuarantee: Boolean get() = cpus > 0 || gpus > 0
 
-    /** Whether the whole [use] of the team is within its limit. */
+    /** Whether [use], all that the team's tasks take, is within the team's limit. */
     fun limitAllows(use: Resources) = (cpusMax <= 0 || use.cpus <= cpusMax + Resources.EPSILON) &&
         (gpusMax <= 0 || use.gpus <= gpusMax + Resources.EPSILON)
 
-    /** Whether the whole [use] of the team is within [times] its guarantee. */
+    /** Whether [use], all that the team's tasks take, is within [times] the team's guarantee. */
     fun guaranteeCovers(use: Resources, times: Double = 1.0) =
         use.cpus <= cpus * times + Resources.EPSILON && use.gpus <= gpus * times + Resources.EPSILON
 }
 
-/** Another controller node. */
+/** Another controller node of the deployment; [endpoint] is the address at which it takes messages of its peers. */
 data class Member(val node: NodeId, val zone: Zone, val endpoint: InetSocketAddress)
 
 /**
  * The platform's settings of a controller node.
  *
- * @property serveOn where users and workers reach this node
- * @property peerListen where the other controller nodes reach this node
+ * @property node name of this node
+ * @property zone the zone of this node
+ * @property serveOn address at which users and workers reach this node
+ * @property peerListen address at which the other controller nodes reach this node
  * @property members the other controller nodes
- * @property cloud address of the cloud
+ * @property cloud address of the cloud's API
  * @property state address of the state service
- * @property clockOffMs how many milliseconds any node's time of day may be off
+ * @property clockOffMs bound on the difference of any node's time of day from the true time, in milliseconds
  * @property heartbeatIntervalS seconds between two heartbeats of a worker
  * @property leaseS seconds for which an answered heartbeat renews a worker's lease
  * @property cancelS seconds after a confirmed cancellation within which all tasks of the job must have ended
- * @property stateLimits the lower of the limits in force and those announced
- * @property cloudRps requests a second that the cloud accepts
+ * @property stateLimits limits of the state service: for each the lower of the one in force and the one announced
+ * @property cloudRps requests per second that the cloud accepts
  * @property listLagS seconds by which the cloud's list of machines may be out of date
- * @property maxConnections the most connections of this node
+ * @property maxConnections the largest number of connections that this node may have open
  */
 data class Settings(
     val node: NodeId,
--- a/src/main/kotlin/mountmast/protocol/SettingsReader.kt
+++ b/src/main/kotlin/mountmast/protocol/SettingsReader.kt
@@ -1,6 +1,6 @@
 package mountmast.protocol
 
-/** Reads the platform's settings from TOML. Each invalid field is refused by its name, with an [InvalidSettingsException]. */
+/** Reads the platform's settings from TOML. A field that is missing or invalid causes an [InvalidSettingsException] that names it. */
 internal class SettingsReader(private val toml: TomlTable) {
     fun read(): Settings {
         val node = NodeId(toml.string("node"))
@@ -56,14 +56,17 @@
         return quota
     }
 
-    /** The limits of `state.next` come into force without notice, so they are kept from the start. */
+    /**
+     * Returns the limits of the state service. The announced limits in the table `deployment.state.next` come into force without
+     * notice, so those that are lower apply from the start.
+     */
     private fun stateLimits(): StateLimits {
-        val present = stateLimits("deployment.state")
+        val current = stateLimits("deployment.state")
         val hasNext = toml.has("deployment.state.next")
-        return if (hasNext) present.lowerOf(stateLimits("deployment.state.next", present)) else present
+        return if (hasNext) current.lowerOf(stateLimits("deployment.state.next", current)) else current
     }
 
-    /** Returns the limits in the table at [path]; a limit that it lacks is that of [defaults], or refused as missing. */
+    /** Returns the limits in the table at [path]. A limit that the table lacks is taken from [defaults]; without them it is an error. */
     private fun stateLimits(path: String, defaults: StateLimits? = null): StateLimits {
         if (!toml.isTable(path)) throw InvalidSettingsException("$path: not a table")
 
@@ -92,7 +95,7 @@
     private companion object {
         const val CLOCK_OFF = "deployment.clock_off_ms"
 
-        /** Assumed if the platform's file does not say. */
+        /** Used if the platform's file does not contain [CLOCK_OFF]. */
         const val DEFAULT_CLOCK_OFF_MS = 1000.0
         const val MAX_NODES = 1000
         const val MIN_CONNECTIONS = 16
--- a/src/main/kotlin/mountmast/protocol/Time.kt
+++ b/src/main/kotlin/mountmast/protocol/Time.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** A point on this process's monotonic clock, in milliseconds. */
+/** A reading of this process's monotonic clock, in milliseconds; comparable only within the process. */
 @JvmInline
 value class MonotonicTime(val ms: Long) : Comparable<MonotonicTime> {
     override fun compareTo(other: MonotonicTime) = ms.compareTo(other.ms)
@@ -10,23 +10,23 @@
     operator fun minus(other: MonotonicTime): Long = ms - other.ms
 }
 
-/** A time of day in milliseconds since 1970, only as exact as the settings promise. */
+/** A time of day in milliseconds since 1970 UTC. Clocks of two nodes may differ by twice [Settings.clockOffMs]. */
 @Serializable
 @JvmInline
 value class WallTime(val ms: Long) : Comparable<WallTime> {
     override fun compareTo(other: WallTime) = ms.compareTo(other.ms)
 }
 
-/** The source of all times, so that tests can run in virtual time. */
+/** Source of all times that the code uses, so that tests can run in virtual time. */
 interface Clock {
-    /** Returns the time on the monotonic clock. */
+    /** Returns the current reading of the monotonic clock. */
     fun now(): MonotonicTime
 
-    /** Returns the time of day. */
+    /** Returns the current time of day. */
     fun wall(): WallTime
 }
 
-/** The clocks of the machine. */
+/** The clocks of the machine on which this process runs. */
 object SystemClock : Clock {
     override fun now() = MonotonicTime(System.nanoTime() / 1_000_000)
     override fun wall() = WallTime(System.currentTimeMillis())
--- a/src/main/kotlin/mountmast/protocol/TomlTable.kt
+++ b/src/main/kotlin/mountmast/protocol/TomlTable.kt
@@ -4,10 +4,10 @@
 import java.net.InetSocketAddress
 
 /**
- * A table of the platform's settings. Each reading function throws an [InvalidSettingsException] that names the field if it is missing
- * or not of the wanted kind.
+ * A table of the platform's settings. Unless stated otherwise, each function that returns a value throws an
+ * [InvalidSettingsException] that names the field if the field is missing or of another type.
  *
- * @property prefix what comes before the names of its fields in messages, such as `members[0].`
+ * @property prefix path of this table that error messages put before the names of its fields, such as `members[0].`
  */
 internal class TomlTable(private val table: UnmodifiableConfig, val prefix: String = "") {
     /** Whether there is a value at [path]. */
@@ -16,7 +16,7 @@
     /** Whether the value at [path] is a table. */
     fun isTable(path: String): Boolean = table.get<Any?>(path) is UnmodifiableConfig
 
-    /** Returns the text at [path], which must not be blank. */
+    /** Returns the string at [path], which must not be blank. */
     fun string(path: String): String {
         val value = required(path) as? String ?: throw invalid(path, "not a string")
         if (value.isBlank()) throw invalid(path, "empty")
@@ -47,7 +47,7 @@
         return value.toInt()
     }
 
-    /** Returns the tables in the list at [path], or none if there is no list. */
+    /** Returns the tables in the list at [path], or an empty list if there is no value at [path]. */
     fun tables(path: String): List<TomlTable> {
         val list = table.get<Any?>(path) ?: return emptyList()
         if (list !is List<*>) throw invalid(path, "not a list of tables")
--- a/src/main/kotlin/mountmast/protocol/Versions.kt
+++ b/src/main/kotlin/mountmast/protocol/Versions.kt
@@ -3,24 +3,25 @@
 import kotlinx.serialization.Serializable
 
 /**
- * A fencing token: workers refuse commands with a token below the highest that they have seen. Each term of a leader has a range of
- * tokens of its own: with a higher one of them the leader makes a worker refuse commands that it sent there before.
+ * A fencing token: workers reject commands with a token below the highest that they have seen. Each leader's term has its own range of
+ * tokens. Within its term a leader can raise the token that it sends to a worker, so that the worker rejects the leader's earlier
+ * commands.
  */
 @Serializable
 @JvmInline
 value class FencingToken(val number: ULong) : Comparable<FencingToken> {
     override fun compareTo(other: FencingToken) = number.compareTo(other.number)
 
-    /** The leader's term that the token belongs to. */
+    /** Number of the leader's term to which this token belongs. */
     val term: ULong get() = number / TOKENS_PER_TERM
 
-    /** The first token of its term. */
+    /** Returns the first token of the term to which this token belongs. */
     fun firstOfTerm() = FencingToken(term * TOKENS_PER_TERM)
 
-    /** The first token of the term after this one. */
+    /** Returns the first token of the term after that of this token. */
     fun firstOfNextTerm() = FencingToken((term + 1u) * TOKENS_PER_TERM)
 
-    /** The token that is [steps] higher, of the same term. */
+    /** Returns the token that is [steps] higher. [steps] must be small enough that it is of the same term. */
     fun advancedBy(steps: Int) = FencingToken(number + steps.toUInt())
 
     override fun toString() = if (number % TOKENS_PER_TERM == 0uL) "$term" else "$term.${number % TOKENS_PER_TERM}"
@@ -30,7 +31,7 @@
     }
 }
 
-/** Incarnation of a worker. It rises each time the worker's lease expires. */
+/** Number of a worker's incarnation. The worker raises it each time its lease expires. */
 @Serializable
 @JvmInline
 value class WorkerIncarnation(val number: ULong) : Comparable<WorkerIncarnation> {
@@ -38,7 +39,7 @@
     override fun toString() = number.toString()
 }
 
-/** Counts the messages of a worker, within and across its incarnations. */
+/** Number of a worker's heartbeat. It rises with each one, also from one incarnation to the next. */
 @Serializable
 @JvmInline
 value class HeartbeatSequence(val number: ULong) : Comparable<HeartbeatSequence> {
@@ -46,7 +47,7 @@
     override fun toString() = number.toString()
 }
 
-/** Number of a try at a task; never used twice for one task. */
+/** Number of an attempt to run a task; no two attempts at the same task have the same number. */
 @Serializable
 @JvmInline
 value class Attempt(val number: ULong) : Comparable<Attempt> {
@@ -61,12 +62,12 @@
     override fun toString() = number.toString()
 
     companion object {
-        /** Of a key that does not exist. */
+        /** Stands for the revision of a key that does not exist. */
         val ABSENT = ModRevision(0u)
     }
 }
 
-/** Number of the latest change that the state service has made. */
+/** A revision of the state service's whole content: the number of the latest change that it has made. */
 @Serializable
 @JvmInline
 value class Revision(val number: ULong) : Comparable<Revision> {
@@ -74,7 +75,7 @@
     override fun toString() = number.toString()
 }
 
-/** A lease of the state service. Keys attached to it are deleted when it expires. */
+/** Id of a lease of the state service. The keys attached to the lease are deleted when it expires. */
 @Serializable
 @JvmInline
 value class StoreLeaseId(val number: ULong) {
--- a/src/main/kotlin/mountmast/protocol/WireJson.kt
+++ b/src/main/kotlin/mountmast/protocol/WireJson.kt
@@ -2,7 +2,10 @@
 
 import kotlinx.serialization.json.Json
 
-/** The form of every JSON body and stored value: unknown fields are ignored when read, nulls and defaults are left out when written. */
+/**
+ * Serialization of every JSON body and stored value. Reading ignores unknown fields, which a later version may have written; writing
+ * leaves out nulls and fields that have their default value.
+ */
 val WireJson = Json {
     ignoreUnknownKeys = true
     explicitNulls = false
--- a/src/main/kotlin/mountmast/protocol/WorkerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/WorkerMessages.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** State of a task on a worker. */
+/** State of a task as its worker reports it. */
 @Serializable
 enum class TaskState {
     @SerialName("pulling")
@@ -22,24 +22,30 @@
     EXITED,
 }
 
-/** Why a task exited. */
+/** Why an attempt at a task exited or was rejected by the worker. */
 @Serializable
 enum class ExitCause {
+    /** The task ran to completion. */
     @SerialName("done")
     DONE,
 
+    /** The worker stopped the task before its completion. */
     @SerialName("halted")
     STOPPED,
 
+    /** The task failed. */
     @SerialName("error")
     FAILED,
 
+    /** The worker rejected the task, since the machine does not have enough free resources. */
     @SerialName("full")
     NO_ROOM,
 
+    /** The worker rejected the attempt, since an earlier one has not exited on the machine; for instance it still saves a checkpoint. */
     @SerialName("in_use")
     BUSY,
 
+    /** The worker rejected the task, since it does not know the job, or the job has no such task. */
     @SerialName("no_such")
     UNKNOWN,
 
@@ -51,11 +57,11 @@
 }
 
 /**
- * A task in a worker's heartbeat.
+ * An attempt at a task as a worker's heartbeat reports it.
  *
  * @property task the task's id as the worker writes it, such as `j-000412/3`
- * @property cause why it exited, or null while it has not
- * @property saved whether a checkpoint of it is stored
+ * @property cause why the task exited, or null if it has not exited
+ * @property saved whether a checkpoint of the task is stored
  */
 @Serializable
 data class ReportedTask(
@@ -67,14 +73,15 @@
 )
 
 /**
- * A worker's heartbeat with the status of all its tasks.
+ * A worker's heartbeat to a controller node, with the state of all its tasks.
  *
+ * @property machine the machine on which the worker runs; [type], [zone] and [spot] describe that machine
  * @property address where the worker takes direct commands, as `HOST:PORT`
- * @property incarnation rises each time the worker's lease expires
- * @property sequence rises with each message of the worker
+ * @property incarnation number of the worker's incarnation, which rises each time the worker's lease expires
+ * @property sequence number of the heartbeat, which rises with each one that the worker sends
  * @property token the highest fencing token that the worker has seen
- * @property reclaimNoticeS seconds until the cloud reclaims the machine, or null if it has not announced that
- * @property tasks all tasks on the machine, also exited ones that it was not told to forget
+ * @property reclaimNoticeS seconds until the cloud reclaims the machine, or null if the cloud has not announced a reclaim
+ * @property tasks all tasks on the machine, including exited ones for which the worker has received no [CommandType.FORGET]
  */
 @Serializable
 data class Heartbeat(
@@ -90,18 +97,18 @@
     @SerialName("pieces") val tasks: List<ReportedTask> = emptyList(),
 )
 
-/** The kinds of commands to workers. */
+/** Type of a command to a worker. */
 @Serializable
 enum class CommandType {
-    /** Start the task, unless the attempt is known already. */
+    /** Starts the attempt at the task, unless the worker knows that attempt already. */
     @SerialName("start")
     START,
 
-    /** Stop the task, after a checkpoint if the grace period allows one. */
+    /** Stops the task, after it has saved a checkpoint if the grace period is long enough for that. */
     @SerialName("kill")
     STOP,
 
-    /** Drop the exited task from heartbeats. */
+    /** Makes the worker leave the exited task out of its heartbeats. */
     @SerialName("forget")
     FORGET,
 }
@@ -110,7 +117,8 @@
  * A command to a worker.
  *
  * @property task the task's id as the worker writes it, such as `j-000412/3`
- * @property terminationGraceS seconds that a task to be stopped may take to save; null for other commands
+ * @property terminationGraceS grace period in seconds within which a task to be stopped may save a checkpoint; null unless [type] is
+ *   [CommandType.STOP]
  */
 @Serializable
 data class WorkerCommand(
@@ -120,15 +128,18 @@
     @SerialName("windDownS") val terminationGraceS: Double? = null,
 )
 
-/** Answer to a worker's heartbeat. It renews the worker's lease if [token] is at least as high as the worker's own. */
+/** Answer to a worker's heartbeat. It renews the worker's lease if [token] is not below the highest that the worker has seen. */
 @Serializable
 data class HeartbeatResponse(@SerialName("helm") val token: FencingToken, @SerialName("orders") val commands: List<WorkerCommand>)
 
-/** Answer that sends a worker to the leader, or to any other node if [leader] is null. */
+/** Answer to a worker's heartbeat that redirects the worker to [leader], or to any other node if [leader] is null. */
 @Serializable
 data class Redirect(@SerialName("bridge") val leader: NodeId? = null)
 
-/** Commands sent directly to a worker, which executes them if [token] is not below its own and [incarnation] is its own. */
+/**
+ * Commands that the leader sends directly to a worker. The worker executes them if [token] is not below the highest that it has seen
+ * and [incarnation] is its own.
+ */
 @Serializable
 data class CommandRequest(
     @SerialName("helm") val token: FencingToken,
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -25,19 +25,20 @@
 private val log = LoggerFactory.getLogger("mountmast.store")
 
 /**
- * The state service over HTTP. This node's share of the service's two rates is kept here, before anything is sent. Thread-safe.
+ * Client of the state service over HTTP. It limits its requests and writes to this node's share of the service's two rates: a call
+ * that would exceed the share for too long fails before anything is sent. Thread-safe.
  *
- * @property at address of the state service
+ * @property address address of the state service
  * @property nodes number of controller nodes that share the rates
  */
 class HttpStateStore(
-    private val at: InetSocketAddress,
+    private val address: InetSocketAddress,
     private val limits: StateLimits,
     private val nodes: Int,
     private val caller: HttpCaller = HttpCaller(),
     metrics: Metrics = Metrics(),
 ) : StateStore {
-    private val calls = metrics.timing(MetricNames.STORE_CALLS)
+    private val callDurations = metrics.timing(MetricNames.STORE_CALLS)
     private val failures = metrics.counter(MetricNames.STORE_FAILURES)
 
     private val requests = RateLimiter.create(limits.requestsPerSecond / nodes)
@@ -51,7 +52,7 @@
     private var wasLastCallAnswered = false
 
     override val isReachable: Boolean
-        get() = wasLastCallAnswered || System.nanoTime() - lastAnswerNanos < REACHABLE_NANOS
+        get() = wasLastCallAnswered || System.nanoTime() - lastAnswerNanos < REACHABLE_AFTER_ANSWER_NANOS
 
     override fun setRole(leader: Boolean) {
         requests.rate = StoreRateQuota.requests(limits, nodes, leader)
@@ -119,7 +120,7 @@
     }
 
     override fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult {
-        val reply = call("GET", "/follow?starts=$prefix&from=$from&waitMs=$waitMs", null, WAIT_MS + waitMs.toInt())
+        val reply = call("GET", "/follow?starts=$prefix&from=$from&waitMs=$waitMs", null, ANSWER_TIMEOUT_MS + waitMs.toInt())
         return when (reply.status) {
             200 -> decode<WatchBody>(reply).let { body ->
                 WatchResult.Changes(body.news.map { it.toEvent() }, body.revision)
@@ -129,14 +130,18 @@
         }
     }
 
-    private fun call(method: String, path: String, body: String?, waitMs: Int = WAIT_MS): Reply {
-        val began = System.nanoTime()
-        if (!requests.tryAcquire(RATE_WAIT_MS, TimeUnit.MILLISECONDS)) throw rateExceeded()
+    /**
+     * Waits up to [waitMs] milliseconds for the answer. Throws [StoreException] if this node's share of the request rate is used up, or
+     * if no answer arrives.
+     */
+    private fun call(method: String, path: String, body: String?, waitMs: Int = ANSWER_TIMEOUT_MS): Reply {
+        val startedNanos = System.nanoTime()
+        if (!requests.tryAcquire(MAX_RATE_WAIT_MS, TimeUnit.MILLISECONDS)) throw rateExceeded()
         try {
-            val admitted = System.nanoTime()
-            val reply = caller.call(at, method, path, body?.encodeToByteArray(), waitMs)
-            if (waitMs == WAIT_MS) recordDuration("$method $path", began, admitted)
-            // Above the rates the service answers 429: it is within reach.
+            val admittedNanos = System.nanoTime()
+            val reply = caller.call(address, method, path, body?.encodeToByteArray(), waitMs)
+            if (waitMs == ANSWER_TIMEOUT_MS) recordDuration("$method $path", startedNanos, admittedNanos)
+            // A status below 500 shows that the service is reachable; it answers 429 to requests above its rates.
             wasLastCallAnswered = reply.status < 500
             if (wasLastCallAnswered) lastAnswerNanos = System.nanoTime() else failures.add()
             return reply
@@ -147,26 +152,28 @@
         }
     }
 
-    private fun recordDuration(call: String, beganNanos: Long, admittedNanos: Long) {
-        val tookMs = (System.nanoTime() - beganNanos) / NANOS_PER_MS
-        calls.record(tookMs)
-        if (tookMs >= SLOW_MS) {
-            log.debug("{} took {} ms, {} of them for the share", call, tookMs, (admittedNanos - beganNanos) / NANOS_PER_MS)
+    /** Records how long a call took since [startedNanos]; until [admittedNanos] it waited for this node's share of the request rate. */
+    private fun recordDuration(call: String, startedNanos: Long, admittedNanos: Long) {
+        val tookMs = (System.nanoTime() - startedNanos) / NANOS_PER_MS
+        callDurations.record(tookMs)
+        if (tookMs >= SLOW_CALL_MS) {
+            log.debug("{} took {} ms, {} of them waiting for the rate limit", call, tookMs, (admittedNanos - startedNanos) / NANOS_PER_MS)
         }
     }
 
+    /** Waits until [count] changes are within this node's share of the write rate. */
     private fun awaitWriteQuota(count: Int) {
-        val waitMs = writes.take(count, RATE_WAIT_MS) ?: throw rateExceeded()
+        val waitMs = writes.take(count, MAX_RATE_WAIT_MS) ?: throw rateExceeded()
         if (waitMs > 0) Thread.sleep(waitMs)
     }
 
     private fun rateExceeded() = StoreUnavailableException("over this node's share of the rate")
 
-    /** Logs each key once: users may send the same request any number of times. */
+    /** Returns the exception for a rejected [transaction]. Logs each key once, since users may send a request any number of times. */
     private fun rejection(transaction: Transaction, reply: Reply): StoreRequestRejectedException {
         val rejected = StoreRequestRejectedException.of(transaction, reply.text.take(MAX_ANSWER_CHARS))
         if (rejectedKeys.size >= MAX_REJECTED_KEYS) rejectedKeys.clear()
-        if (rejectedKeys.add(rejected.largestKey)) log.error("the state service takes no such transaction: {}", rejected.message)
+        if (rejectedKeys.add(rejected.largestKey)) log.error("the state service rejected a transaction: {}", rejected.message)
         return rejected
     }
 
@@ -175,21 +182,23 @@
     private inline fun <reified T> decode(reply: Reply): T = try {
         WireJson.decodeFromString<T>(reply.text)
     } catch (e: SerializationException) {
-        throw StoreTimeoutException("malformed answer: ${e.message}")
+        throw StoreTimeoutException("malformed answer of the state service: ${e.message}")
     }
 
     private companion object {
-        const val WAIT_MS = 1500
-        const val REACHABLE_NANOS = 2_500_000_000L
-        const val RATE_WAIT_MS = 300L
+        const val ANSWER_TIMEOUT_MS = 1500
+
+        /** After an answer the service counts as reachable for this long, even if later calls fail. */
+        const val REACHABLE_AFTER_ANSWER_NANOS = 2_500_000_000L
+        const val MAX_RATE_WAIT_MS = 300L
         const val MAX_ANSWER_CHARS = 200
-        const val SLOW_MS = 100
+        const val SLOW_CALL_MS = 100
         const val NANOS_PER_MS = 1_000_000L
         const val MAX_REJECTED_KEYS = 1000
     }
 }
 
-// The bodies of requests and answers, under the field names of the wire.
+// Bodies of requests to the state service and of its answers. The serial names are the state service's own field names.
 
 @Serializable
 private class EntryBody(
--- a/src/main/kotlin/mountmast/storage/JournalText.kt
+++ b/src/main/kotlin/mountmast/storage/JournalText.kt
@@ -8,71 +8,72 @@
 import mountmast.protocol.Zone
 import java.util.BitSet
 
-/** How an attempt at a task ended. The marks are part of the contract between versions, see [JournalText]. */
+/** How an attempt at a task ended. [mark] begins the journal's entry for it, and is part of the contract between versions. */
 enum class TaskEnd(val mark: Char) {
-    /** It completed. */
+    /** The task is done. */
     DONE('!'),
 
-    /** It has to run again. */
+    /** The task has to run again. */
     UNDONE('-'),
 
-    /** It has to run again, since it was preempted. */
+    /** The task was preempted and has to run again. */
     PREEMPTED('~'),
 }
 
 /** Receives the entries of a journal or snapshot in the order in which they were written. */
 interface JournalReader {
-    /** The tasks of [job] in [ranges], in the form of [Ranges], are done. */
+    /** The tasks of [job] whose indices are in [ranges], a text in the form of [Ranges], are done. */
     fun done(job: JobId, ranges: String)
 
-    /** [task] was preempted [times] times. */
+    /** Attempts at [task] were preempted [times] times so far. */
     fun preemptedBefore(task: TaskId, times: Int)
 
-    /** [task] was assigned to [machine], so that it may run there. */
+    /** The leader assigned [task] to [machine] in [zone], so this [attempt] may run there under the worker's [incarnation]. */
     fun started(task: TaskId, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone)
 
-    /** The latest attempt at [task] has ended. */
+    /** The latest attempt at [task] ended as [end] says. */
     fun ended(task: TaskId, end: TaskEnd)
 
-    /** [machine] is reserved for [job], and [victims] are stopped for that. */
+    /** The leader reserved [machine] for [job] and preempts the tasks [victims] to free it. */
     fun reserved(machine: MachineId, job: JobId, victims: List<TaskId>)
 }
 
 /**
- * Changes of assignments as text: one record holds hundreds of them, since the state service counts writes, not bytes. Entries end
- * with a semicolon, which names of machines and zones never contain (see [MachineId]). Not thread-safe.
+ * Writes changes of assignments as entries of text, and reads them. A record of the journal holds hundreds of entries, since the
+ * state service limits the number of writes, not their bytes. Each entry begins with a mark and ends with a semicolon, which names of
+ * machines and zones never contain (see [MachineId]). Not thread-safe.
  *
- * The marks, the separators and the order of an entry's fields are part of the contract between versions: a version skips entries
- * with a mark that it does not know, and would lose what they say.
+ * The marks, the separators and the order of an entry's fields are part of the contract between versions. A version skips entries
+ * whose mark it does not know, so their changes are lost to it.
  */
 class JournalText {
     private val text = StringBuilder()
 
-    /** Characters so far. */
+    /** Number of characters written since the last [take]. */
     val length: Int get() = text.length
 
-    fun done(job: JobId, ranges: String) = entry(DONE).append(job.text).append(FIELD_END).append(ranges).append(ENTRY_END).done()
+    fun done(job: JobId, ranges: String) = beginEntry(DONE).append(job.text).append(FIELD_END).append(ranges).append(ENTRY_END).asUnit()
 
     fun preemptedBefore(task: String, times: Int) =
-        entry(PREEMPTED_BEFORE).append(task).append(FIELD_END).append(times).append(ENTRY_END).done()
+        beginEntry(PREEMPTED_BEFORE).append(task).append(FIELD_END).append(times).append(ENTRY_END).asUnit()
 
     fun started(task: String, machine: MachineId, incarnation: WorkerIncarnation, attempt: Attempt, zone: Zone) =
-        entry(STARTED).append(task).append(FIELD_END).append(machine.text).append(FIELD_END).append(incarnation.number.toString())
-            .append(FIELD_END).append(attempt.number.toString()).append(FIELD_END).append(zone.text).append(ENTRY_END).done()
+        beginEntry(STARTED).append(task).append(FIELD_END).append(machine.text).append(FIELD_END).append(incarnation.number.toString())
+            .append(FIELD_END).append(attempt.number.toString()).append(FIELD_END).append(zone.text).append(ENTRY_END).asUnit()
 
-    fun ended(task: String, end: TaskEnd) = entry(end.mark).append(task).append(ENTRY_END).done()
+    fun ended(task: String, end: TaskEnd) = beginEntry(end.mark).append(task).append(ENTRY_END).asUnit()
 
     fun reserved(machine: MachineId, job: JobId, victims: List<String>) {
-        entry(RESERVED).append(machine.text).append(FIELD_END).append(job.text)
+        beginEntry(RESERVED).append(machine.text).append(FIELD_END).append(job.text)
         victims.forEach { text.append(FIELD_END).append(it) }
         text.append(ENTRY_END)
     }
 
-    private fun entry(mark: Char) = text.append(mark)
+    private fun beginEntry(mark: Char) = text.append(mark)
 
-    private fun StringBuilder.done() = Unit
+    private fun StringBuilder.asUnit() = Unit
 
-    /** Returns the text so far and begins a new one. */
+    /** Returns the text written since the last call, and removes it from here. */
     fun take(): String = text.toString().also { text.setLength(0) }
 
     companion object {
@@ -84,7 +85,10 @@
         private const val ENTRY_END = ';'
         private const val STARTED_FIELDS = 5
 
-        /** Passes the entries of [text] to [reader]; returns how many could not be read. */
+        /**
+         * Passes each entry of [text] to [reader] in order. Returns the number of entries that were skipped as unreadable. Throws
+         * [IllegalArgumentException] if an entry names a machine or zone that is not a valid [MachineId] or [Zone].
+         */
         fun read(text: String, reader: JournalReader): Int {
             var unreadable = 0
             var from = 0
@@ -96,6 +100,7 @@
             return unreadable
         }
 
+        /** Returns false if the entry is malformed or its mark is unknown. */
         private fun readEntry(mark: Char, entry: String, reader: JournalReader): Boolean {
             val end = TaskEnd.entries.firstOrNull { it.mark == mark }
             if (end != null) {
@@ -129,9 +134,9 @@
     }
 }
 
-/** Sets of task numbers written as ranges, such as `0-4,7`. The form is part of the contract between versions, as it is in the journal. */
+/** Sets of task indices as text, such as `0-4,7`. The journal contains such texts: their form is part of the contract between versions. */
 object Ranges {
-    /** Returns the ranges of [set] in texts of about [maxLength] characters at most. */
+    /** Returns the ranges of [set], divided into texts that each end with the range that reaches [maxLength] characters. */
     fun encode(set: BitSet, maxLength: Int): List<String> {
         val texts = ArrayList<String>()
         val text = StringBuilder()
@@ -151,7 +156,10 @@
         return texts
     }
 
-    /** Sets the bits that [text] names in [set]; returns false if it is malformed or names a number outside 0 until [size]. */
+    /**
+     * Sets the bits that [text] names in [set]. Returns false if [text] is malformed or names an index outside 0 until [size]; the ranges
+     * before that are set even so.
+     */
     fun decodeInto(text: String, set: BitSet, size: Int): Boolean {
         for (part in text.split(',')) {
             val first = part.substringBefore('-').toIntOrNull() ?: return false
--- a/src/main/kotlin/mountmast/storage/JsonSize.kt
+++ b/src/main/kotlin/mountmast/storage/JsonSize.kt
@@ -4,12 +4,14 @@
 
 private const val ASCII_END = 0x80
 private const val TWO_BYTES_END = 0x800
+
+/** Bytes of an escape sequence such as `\u001f`. */
 private const val ESCAPED_BYTES = 6
 
-/** Of one of the two chars of a pair, or of a char by itself. */
+/** The largest number of UTF-8 bytes of one char. A surrogate pair takes four bytes, two for each of its chars. */
 private const val MAX_UTF8_BYTES = 3
 
-/** Bytes that [char] takes at most within a JSON string. */
+/** Returns the largest number of bytes that [char] takes within a JSON string. */
 internal fun jsonBytes(char: Char): Int = when {
     char == '"' || char == '\\' -> 2
     char < ' ' -> ESCAPED_BYTES
@@ -18,7 +20,7 @@
     else -> MAX_UTF8_BYTES
 }
 
-/** Bytes that [value] takes at most, also where it is written with a space after each separator. */
+/** Returns the largest number of bytes that [value] takes as JSON, even if a space follows each comma and colon. */
 fun jsonSize(value: JsonElement): Int = value.toString().sumOf { char ->
     val utf8 = if (char.code < ASCII_END) 1 else jsonBytes(char)
     if (char == ',' || char == ':') utf8 + 1 else utf8
--- a/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
+++ b/src/main/kotlin/mountmast/storage/PrerequisiteLists.kt
@@ -9,15 +9,15 @@
 import java.security.MessageDigest
 
 /**
- * Stores lists of prerequisites that are too long for one value of the state service, in parts. The parts are written before the
- * job's record, which names them by a digest of the list: a job counts as accepted only when all parts are there, and
- * parts that a submission left behind before it failed are never taken for those of another list. Thread-safe.
+ * Stores lists of prerequisites that are too long for one value of the state service, divided into parts. The parts are written
+ * before the job's record, so a job is accepted only once all of them are stored. The record and the keys of the parts contain a
+ * digest of the list, so the parts of a submission that failed are never read as those of another list. Thread-safe.
  */
 class PrerequisiteLists(private val store: StateStore, private val limits: StateLimits) {
     /**
-     * Returns the record to store for [record], whose spec names all prerequisites. If it does not fit into one value, its list is
-     * written to keys of its own, and the record returned refers to them. Throws [StoreException] if they cannot be written; parts
-     * written until then do no harm.
+     * Returns the record to store for [record], whose spec names all prerequisites. If [record] does not fit into one value, its list
+     * of prerequisites is written to separate keys, to which the returned record refers. Throws [StoreException] if the list cannot be
+     * written; parts that were written before the failure are harmless.
      */
     fun store(record: JobRecord): JobRecord {
         if (fits(record)) return record
@@ -29,7 +29,7 @@
         return record.copy(spec = record.spec.copy(prerequisites = emptyList()), prerequisiteList = reference)
     }
 
-    /** Whether [record] can be stored: all of it but its prerequisites fits into one value. */
+    /** Whether [record] can be stored: without its prerequisites it fits into one value. */
     fun fitsWithoutPrerequisites(record: JobRecord): Boolean =
         fits(record.copy(spec = record.spec.copy(prerequisites = emptyList()), prerequisiteList = LONGEST_REFERENCE))
 
@@ -40,18 +40,18 @@
             val value = WireJson.encodeToJsonElement(PrerequisiteListPart(parts[number]))
             Write.Put(Keys.prerequisiteList(job, reference.digest, number), value)
         }
-        // An earlier write of these keys wrote the same values, as the digest is part of the keys.
+        // The keys contain the digest of the list, so a key that exists already has the value to be written.
         val compares = writes.map { Compare(it.key, ModRevision.ABSENT) }
         if (store.commit(Transaction(compares, writes)) is TransactionResult.Committed) return
-        // An earlier submission wrote some of them before it failed: those missing are written one by one.
+        // An earlier submission wrote some of these parts before it failed; the missing parts are written one by one.
         for ((write, compare) in writes.zip(compares)) {
             if (store.get(write.key) == null) store.commit(Transaction(listOf(compare), listOf(write)))
         }
     }
 
     /**
-     * All prerequisites that [record] names or refers to. Throws [StoreException] if they cannot be read, and
-     * [IllegalArgumentException] if a part cannot be decoded.
+     * Returns all prerequisites that [record] names or refers to. Throws [StoreException] if a part is missing or the state service
+     * fails, and [IllegalArgumentException] if a part cannot be decoded.
      */
     fun read(record: JobRecord): List<JobId> {
         val reference = record.prerequisiteList ?: return record.spec.prerequisites
@@ -72,10 +72,10 @@
     }
 
     private companion object {
-        /** The longest id, in quotes, with a comma and a space. */
+        /** The longest job id (20 characters), in quotes, with a comma and a space. */
         const val BYTES_PER_ID = 24
 
-        /** The JSON around the ids of a part. */
+        /** Bytes reserved for the JSON around the ids of a part. */
         const val PART_OVERHEAD_BYTES = 16
         const val DIGEST_BYTES = 8
         val LONGEST_REFERENCE = PrerequisiteListRef("0".repeat(2 * DIGEST_BYTES), 99_999)
--- a/src/main/kotlin/mountmast/storage/StateStore.kt
+++ b/src/main/kotlin/mountmast/storage/StateStore.kt
@@ -5,71 +5,75 @@
 import mountmast.protocol.Revision
 import mountmast.protocol.StoreLeaseId
 
-/** A key with its value and the revision at which it was last modified. */
+/** A key of the state service with its value and the revision at which it was last modified. */
 data class Entry(val key: String, val value: JsonElement, val modRevision: ModRevision)
 
 /**
- * Some of the keys with a prefix, in the order of the keys.
+ * One page of the entries whose keys have a prefix, in the order of their keys.
  *
- * @property more whether further keys follow
- * @property revision of the store when the page was read
+ * @property more whether further entries with the prefix follow
+ * @property revision revision of the state service when the page was read
  */
 data class EntryPage(val entries: List<Entry>, val more: Boolean, val revision: Revision)
 
-/** A change of a key that a watch returned; [value] is null if the key was deleted. */
+/** A change of [key] that a watch returned. [value] is the new value, or null if the key was deleted. */
 data class WatchEvent(val key: String, val value: JsonElement?, val modRevision: ModRevision)
 
-/** What a watch of a prefix returned. */
+/** Result of a watch on the keys with a prefix. */
 sealed interface WatchResult {
-    /** All changes up to the revision [upTo], from which the next watch goes on. */
+    /** All changes from the requested revision up to [upTo], from which the next watch continues. */
     data class Changes(val changes: List<WatchEvent>, val upTo: Revision) : WatchResult
 
-    /** The store no longer holds the changes since the requested revision: the keys must be listed again. */
+    /** The state service has discarded changes since the requested revision, so the caller must list the keys again. */
     data object Compacted : WatchResult
 }
 
 /**
- * The state service: a small consistent key-value store in which all lasting state is kept. Thread-safe. Each call throws a
- * [StoreException] if it does not succeed, and waits no longer than some seconds.
+ * Client of the state service, a consistent key-value store that holds all persistent state. Thread-safe. Each call throws a
+ * [StoreException] if it does not succeed, and returns or throws within a few seconds; a [watch] takes up to its own waiting time more.
  */
 interface StateStore {
-    /** Whether this node has lately had an answer from the state service. */
+    /** Whether the state service has recently answered this node. */
     val isReachable: Boolean
 
-    /** Sets this node's share of the store's rates to that of the leader or of another node. */
+    /** Sets this node's share of the state service's rates to that of the leader, or to that of any other node. */
     fun setRole(leader: Boolean)
 
-    /** How many changes may be written now by work that no user waits for. */
+    /** Returns how many changes (puts and deletes) background work, for which no user waits, may write now. */
     fun writeBudget(): WriteBudget = WriteBudget.AMPLE
 
     /** Returns the entry of [key], or null if it does not exist. */
     fun get(key: String): Entry?
 
-    /** Returns up to [limit] entries whose keys begin with [prefix] and come after the key [after], if that is given. */
+    /** Returns up to [limit] entries whose keys begin with [prefix], and come after the key [after] unless that is null. */
     fun list(prefix: String, after: String? = null, limit: Int = MAX_PER_PAGE): EntryPage
 
     /**
-     * Executes [transaction] if its compares hold. Throws [StoreTimeoutException] if it may have been executed all the same,
-     * [StoreRequestRejectedException] if it is too large, and [StoreLeaseExpiredException] if a put names an expired lease.
+     * Executes [transaction] if all its compares hold. Throws [StoreTimeoutException] if no answer arrives, so that the transaction may
+     * have been executed or may still be; [StoreRequestRejectedException] if the transaction is malformed or too large; and
+     * [StoreLeaseExpiredException] if a put names an expired lease.
      */
     fun commit(transaction: Transaction): TransactionResult
 
-    /** Grants a lease that expires [ttlMs] milliseconds after it was last kept alive. */
+    /** Returns a new lease, which expires [ttlMs] milliseconds after it was granted or last kept alive. */
     fun grantLease(ttlMs: Long): StoreLeaseId
 
     /** Renews [storeLease] for its whole time to live; returns false if it has expired. */
     fun keepAlive(storeLease: StoreLeaseId): Boolean
 
-    /** Ends [storeLease], which deletes the keys attached to it. */
+    /** Revokes [storeLease]; the state service deletes the keys attached to it. */
     fun revokeLease(storeLease: StoreLeaseId)
 
-    /** Returns the changes of keys with [prefix] since [from], as soon as there are any, but after [waitMs] milliseconds at the latest. */
+    /**
+     * Returns the changes of keys with [prefix] since the revision [from]. Waits up to [waitMs] milliseconds for the first change; if
+     * there is none, the result contains no changes.
+     */
     fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult
 
-    /** Returns every entry with [prefix], and the revision from which a watch sees all later changes. */
+    /** Returns every entry whose key begins with [prefix], and the revision from which a watch returns all later changes. */
     fun listAll(prefix: String): Pair<List<Entry>, Revision> {
         val entries = ArrayList<Entry>()
-        // The oldest page's revision: changes between two pages are then seen again rather than missed.
+        // The revision of the first page: a watch returns changes made between two pages once more, rather than missing them.
         var from: Revision? = null
         while (true) {
             val page = list(prefix, entries.lastOrNull()?.key)
@@ -80,7 +84,7 @@
     }
 
     companion object {
-        /** The most entries that the state service returns in one page. */
+        /** The largest number of entries that the state service returns in one page. */
         const val MAX_PER_PAGE = 500
     }
 }
--- a/src/main/kotlin/mountmast/storage/StoreException.kt
+++ b/src/main/kotlin/mountmast/storage/StoreException.kt
@@ -2,30 +2,30 @@
 
 import mountmast.protocol.StoreLeaseId
 
-/** A call to the state service that did not succeed. The subclasses say what the caller must assume. */
+/** A call to the state service did not succeed. The subclasses tell whether the request may have been executed. */
 open class StoreException(message: String) : Exception(message)
 
-/** The state service refused the call or could not be reached: nothing was executed, nor will be. */
+/** The call was refused, or the state service could not be reached: the request was not executed and will not be. */
 class StoreUnavailableException(message: String) : StoreException(message)
 
-/** No answer arrived: the request may have been executed, or may still be executed later. */
+/** No readable answer arrived: the request may have been executed, or may still be. */
 class StoreTimeoutException(message: String) : StoreException(message)
 
-/** The lease that a call named has expired, with all keys attached to it. */
-class StoreLeaseExpiredException(storeLease: StoreLeaseId) : StoreException("hold $storeLease has ended")
+/** The lease of the state service that a call named has expired, and the keys attached to the lease have been deleted. */
+class StoreLeaseExpiredException(storeLease: StoreLeaseId) : StoreException("lease $storeLease of the state service has expired")
 
 /**
  * The state service rejected a transaction as malformed or too large. The same transaction would be rejected again.
  *
- * @property largestKey the key whose value is the largest of the transaction, or an empty text if it puts nothing
- * @property largestBytes size of that value as JSON
+ * @property largestKey the key with the largest value in the transaction, or an empty string if the transaction contains no put
+ * @property largestBytes size of that value as JSON, in bytes; 0 if there is none
  * @property changes number of puts and deletes
- * @property answer what the state service said
+ * @property answer beginning of the state service's answer
  */
 class StoreRequestRejectedException(val largestKey: String, val largestBytes: Int, val changes: Int, val answer: String) :
     StoreException("rejected: $changes changes, the largest value $largestBytes bytes at $largestKey: $answer") {
     companion object {
-        /** Describes the rejection of [transaction] with [answer]. */
+        /** Returns the exception for a [transaction] that the state service rejected with [answer]. */
         fun of(transaction: Transaction, answer: String): StoreRequestRejectedException {
             val largest = transaction.writes.filterIsInstance<Write.Put>().maxByOrNull { jsonSize(it.value) }
             val largestBytes = largest?.let { jsonSize(it.value) } ?: 0
--- a/src/main/kotlin/mountmast/storage/TextCodec.kt
+++ b/src/main/kotlin/mountmast/storage/TextCodec.kt
@@ -6,42 +6,43 @@
 import java.util.zip.Deflater
 import java.util.zip.Inflater
 
-/** A compressed text that cannot be read: corrupted, or longer than [TextCodec.MAX_READ_BYTES]. */
+/** A compressed text cannot be read: it is corrupted, or longer than [TextCodec.MAX_READ_BYTES] when decompressed. */
 class UnreadableText(message: String, cause: Throwable? = null) : IllegalArgumentException(message, cause)
 
 /**
- * A piece of a longer text in the form in which one value of the store holds it.
+ * A piece of a longer text, in the form in which one value of the state service holds it.
  *
- * @property plain the piece itself, or an empty text if it is compressed
- * @property compressed the compressed piece, or null
- * @property end where the piece ends in the longer text
- * @property entries how many entries it holds
+ * @property plain the piece itself, or an empty string if the piece is compressed
+ * @property compressed the piece in the compact form, or null if it is not compressed
+ * @property end index in the longer text at which the piece ends, exclusive
+ * @property entries number of entries in the piece
  */
 class PackedText(val plain: String, val compressed: String?, val end: Int, val entries: Int)
 
 /**
- * Divides texts of entries that end with [ENTRY_END] into values of a limited size.
+ * Divides texts whose entries end with [ENTRY_END] into values of a limited size.
  *
- * The compact form is Deflate without a header, in Base64. It is written only once every node can read it.
+ * The compact form is raw Deflate (without a zlib header) in Base64 without padding. It may be written only once every node of the
+ * deployment can read it.
  */
 object TextCodec {
-    /** Ends each entry. */
+    /** The character that ends each entry. */
     const val ENTRY_END = ';'
 
-    /** Bytes reserved for the JSON around a text: names, quotes and a number of the longest kind. */
+    /** Bytes reserved for the JSON around a text: field names, quotes and a number with the largest number of digits. */
     const val ENVELOPE_BYTES = 64
 
-    /** The longest text that is read: a corrupted record must not exhaust the memory. */
+    /** Limit on a decompressed text, in bytes, so that a corrupted record cannot exhaust the memory. */
     const val MAX_READ_BYTES = 256 * 1024
 
-    /** Below [MAX_READ_BYTES], so that whatever was written can be read. */
-    private const val MAX_PACKED_CHARS = 64 * 1024
-    private const val EXPECTED_RATIO = 4
+    /** Limit on the text of one piece, low enough for every piece that is written to stay within [MAX_READ_BYTES]. */
+    private const val MAX_PIECE_CHARS = 64 * 1024
+    private const val EXPECTED_COMPRESSION_RATIO = 4
     private const val SHRINK_FACTOR = 0.95
-    private const val WELL_FILLED_SHARE = 0.8
+    private const val MIN_FILL_RATIO = 0.8
     private const val CHUNK_BYTES = 4096
 
-    /** Splits [text] into pieces at the ends of entries, each of which fits a value of [limitBytes]. */
+    /** Splits [text] into pieces at the ends of entries, as [packNext] does, and returns them in order. */
     fun pack(text: String, limitBytes: Int, compact: Boolean): List<PackedText> {
         val pieces = ArrayList<PackedText>()
         var from = 0
@@ -54,8 +55,9 @@
     }
 
     /**
-     * Returns the piece of [text] that begins at [from] and fits a value of [limitBytes], its JSON included. It holds at least one
-     * entry, even if that is larger than a value: an entry cannot be divided.
+     * Returns the piece of [text] that begins at [from] and fits into a value of [limitBytes] bytes, including the JSON around it. The
+     * piece holds at least one entry, even if that entry alone exceeds the limit, since an entry cannot be divided. Only if [compact] is
+     * true may the piece be compressed.
      */
     fun packNext(text: String, from: Int, limitBytes: Int, compact: Boolean): PackedText {
         val available = limitBytes - ENVELOPE_BYTES
@@ -64,24 +66,25 @@
         return packed(text, from, plainEnd, null)
     }
 
-    /** Returns the text that was packed. Throws [UnreadableText] if [compressed] is not a text of this codec. */
+    /** Returns the text of a piece from the fields of its [PackedText]. Throws [UnreadableText] if [compressed] cannot be decompressed. */
     fun read(plain: String, compressed: String?): String = if (compressed == null) plain else inflate(compressed)
 
+    /** Returns a compressed piece that begins at [from] and takes up to [available] bytes, or null if not even one entry fits. */
     private fun packCompact(text: String, from: Int, available: Int): PackedText? {
         var best: PackedText? = null
-        var maximum = minOf(available * EXPECTED_RATIO, MAX_PACKED_CHARS)
+        var maximum = minOf(available * EXPECTED_COMPRESSION_RATIO, MAX_PIECE_CHARS)
         while (true) {
             val end = entryBoundary(text, from, maximum)
             val compressed = deflate(text.substring(from, end))
             val fits = compressed.length <= available
             if (fits) best = packed(text, from, end, compressed)
-            val isFull = end == text.length || maximum == MAX_PACKED_CHARS || compressed.length >= available * WELL_FILLED_SHARE
-            val isLeast = end == entryBoundary(text, from, 0)
-            // What fits is made larger once at most; what does not is made smaller until it does.
-            if (fits && (isFull || maximum != minOf(available * EXPECTED_RATIO, MAX_PACKED_CHARS))) return best
-            if (!fits && (best != null || isLeast)) return best
+            val isFull = end == text.length || maximum == MAX_PIECE_CHARS || compressed.length >= available * MIN_FILL_RATIO
+            val isSingleEntry = end == entryBoundary(text, from, 0)
+            // A piece that fits is enlarged at most once; a piece that does not fit is shrunk until it does.
+            if (fits && (isFull || maximum != minOf(available * EXPECTED_COMPRESSION_RATIO, MAX_PIECE_CHARS))) return best
+            if (!fits && (best != null || isSingleEntry)) return best
             val scaled = ((end - from).toDouble() * available / compressed.length * SHRINK_FACTOR).toInt()
-            maximum = minOf(if (fits) scaled else minOf(scaled, end - from - 1), MAX_PACKED_CHARS)
+            maximum = minOf(if (fits) scaled else minOf(scaled, end - from - 1), MAX_PIECE_CHARS)
         }
     }
 
@@ -90,7 +93,10 @@
         return PackedText(if (compressed == null) raw else "", compressed, end, raw.count { it == ENTRY_END })
     }
 
-    /** Returns the end of the longest run of whole entries that takes [available] bytes as a JSON string, or else of the first entry. */
+    /**
+     * Returns the end of the longest sequence of whole entries from [from] that takes at most [available] bytes as a JSON string, or the
+     * end of the first entry if that alone takes more.
+     */
     private fun plainEnd(text: String, from: Int, available: Int): Int {
         var bytes = 0
         var end = from
@@ -102,7 +108,10 @@
         return if (end > from) end else entryBoundary(text, from, 0)
     }
 
-    /** Returns the end of the last entry that ends within [maximum] characters from [from], or else of the first entry. */
+    /**
+     * Returns the end of the last entry that ends within [maximum] characters from [from], or the end of the first entry if that is
+     * longer.
+     */
     private fun entryBoundary(text: String, from: Int, maximum: Int): Int {
         if (text.length - from <= maximum) return text.length
         val last = text.lastIndexOf(ENTRY_END, from + maximum - 1)
--- a/src/main/kotlin/mountmast/storage/TokenBucket.kt
+++ b/src/main/kotlin/mountmast/storage/TokenBucket.kt
@@ -3,100 +3,102 @@
 import mountmast.protocol.StateLimits
 
 /**
- * How much work that no user waits for may write now: see [StateStore.writeBudget].
+ * What background work, for which no user waits, may write now: see [StateStore.writeBudget].
  *
- * @property available changes (puts and deletes) that may be written at once
- * @property isScarce whether less is left than usual, so that whatever can wait should
+ * @property available number of changes (puts and deletes) that may be written at once
+ * @property isScarce whether the budget is so low that writes that can wait should be postponed
  */
 data class WriteBudget(val available: Int, val isScarce: Boolean) {
     companion object {
-        /** No limit, for stores without a rate. */
+        /** No limit, for a [StateStore] whose write rate is not limited. */
         val AMPLE = WriteBudget(Int.MAX_VALUE, isScarce = false)
     }
 }
 
-/** How the rates of the state service are divided among the nodes. */
+/** Divides the rates of the state service among the controller nodes. */
 object StoreRateQuota {
     /**
-     * Changes per second of a node that is the leader or not, with [nodes] nodes in all. The leader writes more than the others, which
-     * have more users to answer; all nodes together stay within the rates.
+     * Returns how many changes per second one of [nodes] nodes may write; [isLeader] tells whether it is the leader. The leader gets the
+     * larger share of the writes, and the other nodes together that of the requests, since they answer more users. The shares of all
+     * nodes together stay within the rates.
      */
-    fun writes(limits: StateLimits, nodes: Int, isLeader: Boolean) = limits.writesPerSecond * share(nodes, isLeader, LEADER_WRITES)
+    fun writes(limits: StateLimits, nodes: Int, isLeader: Boolean) = limits.writesPerSecond * share(nodes, isLeader, LEADER_WRITE_SHARE)
 
-    /** Requests per second of a node that is the leader or not, with [nodes] nodes in all. */
-    fun requests(limits: StateLimits, nodes: Int, isLeader: Boolean) = limits.requestsPerSecond * share(nodes, isLeader, LEADER_REQUESTS)
+    /** Returns how many requests per second one of [nodes] nodes may send; [isLeader] tells whether it is the leader. */
+    fun requests(limits: StateLimits, nodes: Int, isLeader: Boolean) =
+        limits.requestsPerSecond * share(nodes, isLeader, LEADER_REQUEST_SHARE)
 
-    private fun share(nodes: Int, isLeader: Boolean, leaderShare: Double): Double = CAUTION * when {
+    private fun share(nodes: Int, isLeader: Boolean, leaderShare: Double): Double = SAFETY_FACTOR * when {
         nodes == 1 -> 1.0
         isLeader -> leaderShare
         else -> (1 - leaderShare) / (nodes - 1)
     }
 
-    private const val LEADER_REQUESTS = 0.4
-    private const val LEADER_WRITES = 0.6
+    private const val LEADER_REQUEST_SHARE = 0.4
+    private const val LEADER_WRITE_SHARE = 0.6
 
-    /** Kept below the rates: clocks drift, and a change of leader overlaps two shares. */
-    private const val CAUTION = 0.9
+    /** Keeps all nodes together below the rates: their clocks drift, and two nodes may use the leader's share while the leader changes. */
+    private const val SAFETY_FACTOR = 0.9
 }
 
 /**
- * A node's share of a rate, as a token bucket that holds one second's worth of permits. Work in the background leaves a reserve in
- * it, so that what users wait for is admitted at once. Thread-safe.
+ * Limits a node to its share of a rate by a token bucket, which holds the permits of one second. Background work leaves a reserve in
+ * the bucket, so that requests for which users wait are admitted at once. Thread-safe.
  *
  * @param rate permits per second
  */
 class TokenBucket(rate: Double, private val nowNanos: () -> Long) {
     private var rate = rate
-    private var tokens = capacity
-    private var filledAt = nowNanos()
+    private var permits = capacity
+    private var refilledAtNanos = nowNanos()
 
     private val capacity: Double get() = maxOf(rate, MIN_CAPACITY)
 
-    /** Changes the rate; what is left in the bucket stays. */
+    /** Changes the rate. The permits in the bucket remain, up to its new capacity. */
     @Synchronized
     fun setRate(rate: Double) {
-        fill()
+        refill()
         this.rate = rate
-        tokens = minOf(tokens, capacity)
+        permits = minOf(permits, capacity)
     }
 
     /**
-     * Takes [count] permits and returns how many milliseconds to wait before they may be used. Takes none and returns null if that
-     * would be longer than [mostMs].
+     * Takes [count] permits and returns the time in milliseconds to wait before they may be used. If that is longer than [maxWaitMs], it
+     * takes none and returns null.
      */
     @Synchronized
-    fun take(count: Int, mostMs: Long): Long? {
-        fill()
-        // More than the bucket holds is never there at once.
-        val missing = minOf(count.toDouble(), capacity) - tokens
+    fun take(count: Int, maxWaitMs: Long): Long? {
+        refill()
+        // The bucket never holds more permits than its capacity, so a larger count waits only until the bucket is full.
+        val missing = minOf(count.toDouble(), capacity) - permits
         val waitMs = if (missing <= 0) 0 else Math.ceil(missing / rate * MS_PER_S).toLong()
-        if (waitMs > mostMs) return null
-        tokens -= count
+        if (waitMs > maxWaitMs) return null
+        permits -= count
         return waitMs
     }
 
-    /** Returns what work in the background may take now. */
+    /** Returns what background work may take now without using the reserve. */
     @Synchronized
     fun budget(): WriteBudget {
-        fill()
+        refill()
         val reserve = capacity * RESERVED_SHARE
-        val available = tokens - reserve
-        return WriteBudget(maxOf(0, available.toInt()), available < (capacity - reserve) * SHORT_SHARE)
+        val available = permits - reserve
+        return WriteBudget(maxOf(0, available.toInt()), available < (capacity - reserve) * SCARCE_SHARE)
     }
 
-    private fun fill() {
+    private fun refill() {
         val now = nowNanos()
-        tokens = minOf(capacity, tokens + (now - filledAt) / NANOS_PER_S * rate)
-        filledAt = now
+        permits = minOf(capacity, permits + (now - refilledAtNanos) / NANOS_PER_S * rate)
+        refilledAtNanos = now
     }
 
     private companion object {
         const val NANOS_PER_S = 1e9
         const val MS_PER_S = 1000
 
-        /** Room for the end of a job, two changes, beside the reserve. */
+        /** Enough for the two changes that finish a job, beside the reserve. */
         const val MIN_CAPACITY = 3.0
         const val RESERVED_SHARE = 0.25
-        const val SHORT_SHARE = 0.6
+        const val SCARCE_SHARE = 0.6
     }
 }
--- a/src/main/kotlin/mountmast/storage/TypesForm.kt
+++ b/src/main/kotlin/mountmast/storage/TypesForm.kt
@@ -6,9 +6,15 @@
 import mountmast.protocol.MachineTypes
 import mountmast.protocol.WireJson
 
-/** The stored form of the machine types: one value if they fit, else parts that are written before the first value, which names them. */
+/**
+ * The stored form of the machine types: one value if they fit into one. Otherwise further values, the parts, hold the remaining types;
+ * they are written before the first value, which gives their number and a digest of all types.
+ */
 object TypesForm {
-    /** The writes that store [types], to be made in this order, with no value larger than [limitBytes]. */
+    /**
+     * Returns the writes that store [types], to be executed in this order. No value is larger than [limitBytes], unless a single type
+     * is.
+     */
     fun writes(types: MachineTypes, limitBytes: Int): List<Write.Put> {
         val whole = whole(types)
         if (jsonSize(whole.value) <= limitBytes) return listOf(whole)
@@ -20,11 +26,12 @@
         return parts + Write.Put(Keys.TYPES, WireJson.encodeToJsonElement(head))
     }
 
-    /** The write that stores [types] in one value, however large: the only form that the first versions read. */
+    /** Returns the write that stores [types] in one value of any size. The first versions read no other form. */
     fun whole(types: MachineTypes) = Write.Put(Keys.TYPES, WireJson.encodeToJsonElement(TypesRecord(types.types)))
 
     /**
-     * The machine types that [store] holds, or null if there are none, or if they are just being changed.
+     * Returns the machine types that [store] holds, or null if there are none or if the stored parts do not belong together, as while
+     * another node writes them.
      * Throws [StoreException] if the state service fails, and [IllegalArgumentException] if they cannot be decoded.
      */
     fun read(store: StateStore): MachineTypes? {
@@ -38,7 +45,7 @@
         return MachineTypes(types).takeIf { isConsistent }
     }
 
-    /** Divides [types] in their order; a type larger than [limitBytes] is a group of its own. */
+    /** Divides [types] in order into groups that fit into values of [limitBytes]. A type that is larger forms a group of its own. */
     private fun groups(types: List<MachineType>, limitBytes: Int): List<List<MachineType>> {
         val groups = ArrayList<ArrayList<MachineType>>()
         var bytes = 0
--- a/src/test/kotlin/mountmast/protocol/JobValidationTest.kt
+++ b/src/test/kotlin/mountmast/protocol/JobValidationTest.kt
@@ -21,7 +21,7 @@
     private fun with(name: String, value: JsonElement) = JsonObject(good + (name to value))
 
     @Test
-    fun `a full submission is read, unknown fields are ignored and nullable ones may be absent`() {
+    fun `a submission with all fields is parsed, unknown fields are ignored and nullable ones may be absent`() {
         val spec = JobValidation.parse(good)
         assertEquals(JobId("j-000412"), spec.id)
         assertEquals(listOf(TypeId("g8")), spec.types)
@@ -31,7 +31,7 @@
     }
 
     @Test
-    fun `prerequisites may be absent, null or empty, and doubles count once`() {
+    fun `prerequisites may be absent, null or empty, and duplicates count once`() {
         for (none in listOf(good, with("waitsOn", JsonNull), with("waitsOn", JsonArray(emptyList())))) {
             assertEquals(emptyList<JobId>(), JobValidation.parse(none).prerequisites)
         }
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `every missing or invalid field is refused by name`() {
+    fun `every missing or invalid field is rejected with a message that names the field`() {
         for (name in good.keys - setOf("hulls", "yard", "dueS", "new")) {
             val refused = assertThrows(Malformed::class.java) { JobValidation.parse(JsonObject(good - name)) }
             assert(refused.message!!.startsWith(name)) { "$name: ${refused.message}" }
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `a job that can never run is told why`() {
+    fun `the reason is returned for a job that can never run`() {
         val team = TeamQuota(TeamId("vision"), cpus = 8.0, cpusMax = 64.0, gpus = 0.0, gpusMax = 0.0)
         val teams = mapOf(team.id to team)
         val type = MachineType(TypeId("g8"), 96.0, 8.0, 768.0, 200.0, 1.0, 12.0, 4.5, 45.0, listOf(Zone("a")))
@@ -72,7 +72,7 @@
         assertNotNull(why(with("vcpus", JsonPrimitive(97.0))))
         assertNotNull(why(with("yard", JsonPrimitive("b"))))
         assertNotNull(why(with("vcpus", JsonPrimitive(65.0))), "an array's single task is over the limit")
-        // 16 replicas of 8 CPUs are over 64; an array may take turns.
+        // The 16 replicas of 8 CPUs exceed the limit of 64 at once; the tasks of an array may run one after another.
         assertNotNull(why(with("shape", JsonPrimitive("daemon"))))
     }
 }
--- a/src/test/kotlin/mountmast/protocol/SettingsTest.kt
+++ b/src/test/kotlin/mountmast/protocol/SettingsTest.kt
@@ -44,7 +44,7 @@
     """.trimIndent()
 
     @Test
-    fun `the platform's file is read and unknown fields are ignored`() {
+    fun `settings are read from the platform's file and unknown fields are ignored`() {
         val settings = Settings.parse(good)
         assertEquals(2, settings.nodes)
         assertEquals(8.0, settings.teams.getValue(TeamId("t")).cpusMax)
@@ -52,7 +52,7 @@
     }
 
     @Test
-    fun `what is missing, unreadable or contradictory is refused by the field's name`() {
+    fun `settings that are missing, unreadable or contradictory are rejected with a message that names the field`() {
         val cases = mapOf(
             "serve_on = \"127.0.0.1:8080\"" to "" to "serve_on",
             "serve_on = \"127.0.0.1:8080\"" to "serve_on = \"8080\"" to "serve_on",
@@ -73,18 +73,18 @@
     private fun withNext(fields: String) = good.replace("[deployment.cloud]", "[deployment.state.next]\n$fields\n[deployment.cloud]")
 
     @Test
-    fun `limits announced for the state service are kept to from the start, the lower of each`() {
+    fun `of each limit of the state service the lower of the current and the announced one applies from the start`() {
         assertEquals(StateLimits(80.0, 30.0, 8.0, 16), Settings.parse(good).stateLimits)
         val lower = Settings.parse(withNext("write_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 5\nunknown = 1")).stateLimits
         assertEquals(StateLimits(80.0, 21.0, 2.0, 5), lower)
-        // A limit that is to rise is not used before it has.
+        // An announced limit that is higher than the current one does not apply yet.
         val mixed = Settings.parse(withNext("rps = 40.0\nwrite_rps = 60.0\ntxn_ops = 64")).stateLimits
         assertEquals(StateLimits(40.0, 30.0, 8.0, 16), mixed)
         assertEquals(Settings.parse(good), Settings.parse(withNext("")))
     }
 
     @Test
-    fun `announced limits are checked as those in force`() {
+    fun `announced limits are validated like the current ones`() {
         for ((line, field) in listOf(
             "rps = \"many\"" to "rps",
             "write_rps = 0.0" to "write_rps",
--- a/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
+++ b/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
@@ -36,7 +36,7 @@
     fun stop() = server.stop(0)
 
     @Test
-    fun `a transaction that is larger than the service takes is told from one that was refused for a while`() {
+    fun `a rejected transaction, an expired lease and a refusal for now throw different exceptions`() {
         val store = store(1000.0)
         val transaction = Transaction(emptyList(), listOf(put("small", "x"), put("large", "x".repeat(3000)), Write.Delete("gone")))
         status = 400
@@ -54,7 +54,7 @@
     }
 
     @Test
-    fun `a change beyond this node's share is answered at once, before anything is sent`() {
+    fun `a commit beyond this node's share of the write rate fails within half a second and sends nothing`() {
         val store = store(1.0)
         fun commit() = store.commit(Transaction(emptyList(), listOf(put("k", "x"))))
         repeat(3) { commit() }
--- a/src/test/kotlin/mountmast/storage/TextCodecTest.kt
+++ b/src/test/kotlin/mountmast/storage/TextCodecTest.kt
@@ -25,7 +25,7 @@
     private fun read(pieces: List<PackedText>) = pieces.joinToString("") { TextCodec.read(it.plain, it.compressed) }
 
     @Test
-    fun `texts of all sizes are split at entries, fit with their JSON and are read again`() {
+    fun `texts of all sizes are split at the ends of entries, fit with the JSON around them and are read back unchanged`() {
         for (limit in listOf(512, 1000, 1945, 2048, 8192, 16_384)) {
             for (count in listOf(0, 1, 2, 7, 30, 100, 5000)) {
                 for (compact in listOf(false, true)) {
@@ -41,11 +41,11 @@
     }
 
     @Test
-    fun `random and odd texts fit too, and the old form is written where the compact one is not agreed on`() {
+    fun `random texts with special characters fit too, and only plain pieces are written unless compact is set`() {
         repeat(300) {
             val text = buildString {
                 repeat(random.nextInt(1, 60)) {
-                    repeat(random.nextInt(1, 100)) { append(ODD.random(random)) }
+                    repeat(random.nextInt(1, 100)) { append(SPECIAL_CHARS.random(random)) }
                     append(';')
                 }
             }
@@ -59,7 +59,7 @@
     }
 
     @Test
-    fun `the compact form of a full fleet takes less than half of the values`() {
+    fun `the compact form of 5000 starts takes less than half as many values as the plain form`() {
         val text = starts(5000)
         val plain = TextCodec.pack(text, 1945, compact = false).size
         val compact = TextCodec.pack(text, 1945, compact = true).size
@@ -67,7 +67,7 @@
     }
 
     @Test
-    fun `an entry larger than a value stands alone`() {
+    fun `an entry larger than a value is a piece of its own`() {
         val long = "x".repeat(2000) + ";"
         val pieces = TextCodec.pack("a;" + long + "b;", 600, compact = false)
         assertEquals(listOf("a;", long, "b;"), pieces.map { it.plain })
@@ -75,7 +75,7 @@
     }
 
     @Test
-    fun `a corrupted text is refused, and one that would fill the memory is read no further`() {
+    fun `a corrupted text is rejected, and decompression stops at the size limit`() {
         val packed = TextCodec.pack(starts(2000), 8192, compact = true).first().compressed!!
         assertThrows(UnreadableText::class.java) { TextCodec.read("", packed.take(packed.length / 2)) }
         assertThrows(UnreadableText::class.java) { TextCodec.read("", "not Base64!") }
@@ -96,6 +96,6 @@
     }
 
     private companion object {
-        const val ODD = "abc \"\\/\n\t<äß€漢0123456789"
+        const val SPECIAL_CHARS = "abc \"\\/\n\t<äß€漢0123456789"
     }
 }
--- a/src/test/kotlin/mountmast/storage/TypesFormTest.kt
+++ b/src/test/kotlin/mountmast/storage/TypesFormTest.kt
@@ -31,7 +31,7 @@
     private fun write(writes: List<Write>) = store.commit(Transaction(emptyList(), writes))
 
     @Test
-    fun `few types stay in one value that the first versions read`() {
+    fun `types that fit are stored in one value, which the first versions read`() {
         val written = TypesForm.writes(types(3), 1024)
         assertEquals(listOf("types"), written.map { it.key })
         assertEquals(types(3), WireJson.decodeFromJsonElement<MachineTypes>(written.single().value))
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `many types are kept in parts that fit, and are read whole`() {
+    fun `types that do not fit are stored in parts that do, and all of them are read back`() {
         val written = TypesForm.writes(types(40), 1024)
         assertTrue(written.size > 5)
         assertEquals("types", written.last().key)
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `parts that are just being changed are not taken for types`() {
+    fun `parts of two different lists are not read as one`() {
         write(TypesForm.writes(types(40), 1024))
         write(TypesForm.writes(MachineTypes(types(80).types.drop(20)), 1024).take(2))
         assertNull(TypesForm.read(store))
@@ -59,5 +59,5 @@
     }
 
     @Test
-    fun `no types are none`() = assertNull(TypesForm.read(store))
+    fun `a store without types gives null`() = assertNull(TypesForm.read(store))
 }
