--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -4,7 +4,8 @@
 import kotlinx.serialization.protobuf.ProtoNumber
 
 // Nodes of two versions exchange these messages during an upgrade, so the proto numbers are part of the contract between versions:
-// only optional fields may be added, and a number must never be reused for another field.
+// only optional fields may be added, and a number must never be reused for another field. A reader ignores fields that it does not
+// know, and takes the default of a field that is missing.
 
 /**
  * Heartbeat that a controller node sends to each other node every two seconds; the answer to it has the same form.
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -26,7 +26,7 @@
 
 /**
  * Client of the state service over HTTP. It limits its requests and writes to this node's share of the service's two rates: a call
- * that would exceed the share for too long fails before anything is sent. Thread-safe.
+ * that would have to wait too long for its share fails before anything is sent. Thread-safe.
  *
  * @property address address of the state service
  * @property nodes number of controller nodes that share the rates
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -164,7 +164,8 @@
 /**
  * The machine types, or the first of them if not all fit into one value.
  *
- * @property parts number of further values that hold the remaining types, under [Keys.typesPart]
+ * @property parts number of further values that hold the remaining types, under [Keys.typesPart]; the first versions ignore this field
+ *   and read only the types in this record
  * @property digest digest of the names of all types, by which a reader detects parts of different lists; null if there are no parts
  */
 @Serializable
@@ -191,7 +192,10 @@
 data class JournalRecord(
     @SerialName("q") val number: Long,
     @SerialName("t") val plain: String,
-    /** The entries in the compact form of [TextCodec], with [plain] empty; null if they are not compressed. */
+    /**
+     * The entries in the compact form of [TextCodec], with [plain] empty; null if they are not compressed. Nodes of format version 1
+     * ignore this field and would read no entries, so it is written only once all nodes read version 2.
+     */
     @SerialName("z") val compressed: String? = null,
 ) {
     fun text(): String = TextCodec.read(plain, compressed)
