--- a/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
@@ -5,7 +5,7 @@
 import mountmast.protocol.ForwardedRequest
 import mountmast.protocol.JobId
 import mountmast.protocol.JobValidation
-import mountmast.protocol.Malformed
+import mountmast.protocol.MalformedRequestException
 import mountmast.protocol.ModRevision
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
@@ -61,8 +61,8 @@
         val id: JobId
         try {
             json = JobValidation.parseObject(body)
-            id = JobValidation.idOf(json)
-        } catch (e: Malformed) {
+            id = JobValidation.parseId(json)
+        } catch (e: MalformedRequestException) {
             return RequestRejection.MalformedBody(e.message).toUserAnswer()
         }
         return serve(id, ForwardedRequest("POST", "/v1/jobs", body), isForwarded) { submission.submit(id, json) }
--- a/src/main/kotlin/mountmast/coordination/jobs/SubmissionValidator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/SubmissionValidator.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.json.JsonObject
 import mountmast.protocol.JobSpec
 import mountmast.protocol.JobValidation
-import mountmast.protocol.Malformed
+import mountmast.protocol.MalformedRequestException
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 
@@ -25,7 +25,7 @@
     fun check(submission: JsonObject): SubmissionCheck {
         val spec = try {
             JobValidation.parse(submission)
-        } catch (e: Malformed) {
+        } catch (e: MalformedRequestException) {
             return SubmissionCheck.Invalid(RequestRejection.MalformedBody(e.message))
         }
         val rejection = whyNeverRuns(spec) ?: whyPrerequisitesInvalid(spec)
@@ -36,7 +36,7 @@
     private fun whyNeverRuns(spec: JobSpec): RequestRejection? {
         val types = machineTypes.types
         if (types.isEmpty()) return RequestRejection.MachineTypesUnknown
-        return JobValidation.neverRuns(spec, teams, types)?.let { RequestRejection.NeverRuns(it) }
+        return JobValidation.explainNeverRuns(spec, teams, types)?.let { RequestRejection.NeverRuns(it) }
     }
 
     /** Null if the job may wait for all that it names. */
--- a/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
@@ -16,7 +16,7 @@
 import mountmast.storage.Keys
 import mountmast.storage.SnapshotPart
 import mountmast.storage.StateStore
-import mountmast.storage.UnreadableText
+import mountmast.storage.UnreadableTextException
 import org.slf4j.LoggerFactory
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
@@ -118,7 +118,7 @@
     /** Returns how many entries could not be read. */
     private fun replayText(name: String, replay: JournalReader, text: () -> String): Int = try {
         JournalText.read(text(), replay)
-    } catch (e: UnreadableText) {
+    } catch (e: UnreadableTextException) {
         log.error("unreadable text in {}: {}", name, e.message)
         1
     }
--- a/src/main/kotlin/mountmast/protocol/JobValidation.kt
+++ b/src/main/kotlin/mountmast/protocol/JobValidation.kt
@@ -5,7 +5,7 @@
 
 /** A user's request body violates the protocol. The message is the error text of the answer and begins with the name of the field,
  * or with `body`. */
-class Malformed(message: String) : Exception(message)
+class MalformedRequestException(message: String) : Exception(message)
 
 /** Parses submitted jobs and checks whether they can ever run. */
 object JobValidation {
@@ -21,26 +21,27 @@
     )
 
     /**
-     * Returns the job id in the submission [body]. Throws [Malformed] if it is missing or invalid. The id is read on its own, since a
-     * submission of a job that is already known is answered even if its other fields are invalid.
+     * Returns the job id in the submission [body]. Throws [MalformedRequestException] if it is missing or invalid. The id is read on its
+     * own, since a submission of a job that is already known is answered even if its other fields are invalid.
      */
-    fun idOf(body: JsonObject): JobId = JobId.parse(JobFields(body).string("nameId")) ?: throw Malformed("nameId: not a job id")
+    fun parseId(body: JsonObject): JobId =
+        JobId.parse(JobFields(body).string("nameId")) ?: throw MalformedRequestException("nameId: not a job id")
 
-    /** Returns the JSON object in [text]. Throws [Malformed] if [text] is not a JSON object. */
+    /** Returns the JSON object in [text]. Throws [MalformedRequestException] if [text] is not a JSON object. */
     fun parseObject(text: String): JsonObject {
         val element = try {
             WireJson.parseToJsonElement(text)
         } catch (e: SerializationException) {
-            throw Malformed("body: not JSON")
+            throw MalformedRequestException("body: not JSON")
         }
-        return element as? JsonObject ?: throw Malformed("body: not an object")
+        return element as? JsonObject ?: throw MalformedRequestException("body: not an object")
     }
 
-    /** Returns the job in the submission [body]. Throws [Malformed] if a field is missing or invalid. */
+    /** Returns the job in the submission [body]. Throws [MalformedRequestException] if a field is missing or invalid. */
     fun parse(body: JsonObject): JobSpec {
         val fields = JobFields(body)
         return JobSpec(
-            id = idOf(body),
+            id = parseId(body),
             jobClass = fields.string("jobclass"),
             team = TeamId(fields.string("owner")),
             shape = fields.choice("shape", SHAPES),
@@ -65,11 +66,11 @@
     }
 
     private fun prerequisites(fields: JobFields): List<JobId> = fields.strings(PREREQUISITES).orEmpty()
-        .map { JobId.parse(it) ?: throw Malformed("$PREREQUISITES: not a job id") }
+        .map { JobId.parse(it) ?: throw MalformedRequestException("$PREREQUISITES: not a job id") }
         .distinct()
 
     /** Returns the reason why [job] can never run with the quotas of [teams] and the machine [types], or null if it can run. */
-    fun neverRuns(job: JobSpec, teams: Map<TeamId, TeamQuota>, types: Collection<MachineType>): String? {
+    fun explainNeverRuns(job: JobSpec, teams: Map<TeamId, TeamQuota>, types: Collection<MachineType>): String? {
         if (job.id in job.prerequisites) return "the job waits on itself"
         val team = teams[job.team] ?: return "unknown team ${job.team}"
         val fitting = types.filter { type ->
--- a/src/main/kotlin/mountmast/storage/StateStore.kt
+++ b/src/main/kotlin/mountmast/storage/StateStore.kt
@@ -40,7 +40,7 @@
     fun setRole(leader: Boolean)
 
     /** Returns how many changes (puts and deletes) background work, for which no user waits, may write now. */
-    fun writeBudget(): WriteBudget = WriteBudget.AMPLE
+    fun writeBudget(): WriteBudget = WriteBudget.UNLIMITED
 
     /** Returns the entry of [key], or null if it does not exist. */
     fun get(key: String): Entry?
--- a/src/main/kotlin/mountmast/storage/TextCodec.kt
+++ b/src/main/kotlin/mountmast/storage/TextCodec.kt
@@ -7,7 +7,7 @@
 import java.util.zip.Inflater
 
 /** A compressed text cannot be read: it is corrupted, or longer than [TextCodec.MAX_READ_BYTES] when decompressed. */
-class UnreadableText(message: String, cause: Throwable? = null) : IllegalArgumentException(message, cause)
+class UnreadableTextException(message: String, cause: Throwable? = null) : IllegalArgumentException(message, cause)
 
 /**
  * A piece of a longer text, in the form in which one value of the state service holds it.
@@ -66,7 +66,10 @@
         return packed(text, from, plainEnd, null)
     }
 
-    /** Returns the text of a piece from the fields of its [PackedText]. Throws [UnreadableText] if [compressed] cannot be decompressed. */
+    /**
+     * Returns the text of a piece from the fields of its [PackedText]. Throws [UnreadableTextException] if [compressed] cannot be
+     * decompressed.
+     */
     fun read(plain: String, compressed: String?): String = if (compressed == null) plain else inflate(compressed)
 
     /** Returns a compressed piece that begins at [from] and takes up to [available] bytes, or null if not even one entry fits. */
@@ -138,7 +141,7 @@
         val bytes = try {
             Base64.getDecoder().decode(compressed)
         } catch (e: IllegalArgumentException) {
-            throw UnreadableText("not Base64: ${e.message}", e)
+            throw UnreadableTextException("not Base64: ${e.message}", e)
         }
         val inflater = Inflater(true)
         try {
@@ -147,13 +150,13 @@
             val chunk = ByteArray(CHUNK_BYTES)
             while (!inflater.finished()) {
                 val length = inflater.inflate(chunk)
-                if (length == 0 && !inflater.finished()) throw UnreadableText("the compressed text is cut short")
-                if (out.size() + length > MAX_READ_BYTES) throw UnreadableText("longer than $MAX_READ_BYTES bytes")
+                if (length == 0 && !inflater.finished()) throw UnreadableTextException("the compressed text is cut short")
+                if (out.size() + length > MAX_READ_BYTES) throw UnreadableTextException("longer than $MAX_READ_BYTES bytes")
                 out.write(chunk, 0, length)
             }
             return out.toString(Charsets.UTF_8)
         } catch (e: DataFormatException) {
-            throw UnreadableText("not compressed text: ${e.message}", e)
+            throw UnreadableTextException("not compressed text: ${e.message}", e)
         } finally {
             inflater.end()
         }
--- a/src/main/kotlin/mountmast/storage/TokenBucket.kt
+++ b/src/main/kotlin/mountmast/storage/TokenBucket.kt
@@ -11,7 +11,7 @@
 data class WriteBudget(val available: Int, val isScarce: Boolean) {
     companion object {
         /** No limit, for a [StateStore] whose write rate is not limited. */
-        val AMPLE = WriteBudget(Int.MAX_VALUE, isScarce = false)
+        val UNLIMITED = WriteBudget(Int.MAX_VALUE, isScarce = false)
     }
 }
 
--- a/src/test/kotlin/mountmast/protocol/JobValidationTest.kt
+++ b/src/test/kotlin/mountmast/protocol/JobValidationTest.kt
@@ -42,7 +42,7 @@
     @Test
     fun `every missing or invalid field is rejected with a message that names the field`() {
         for (name in good.keys - setOf("hulls", "yard", "dueS", "new")) {
-            val refused = assertThrows(Malformed::class.java) { JobValidation.parse(JsonObject(good - name)) }
+            val refused = assertThrows(MalformedRequestException::class.java) { JobValidation.parse(JsonObject(good - name)) }
             assert(refused.message!!.startsWith(name)) { "$name: ${refused.message}" }
         }
         val invalid = listOf(
@@ -54,9 +54,9 @@
             "owner" to JsonNull, "dueS" to JsonPrimitive(-5), "waitsOn" to JsonPrimitive("j-000001"),
             "waitsOn" to JsonArray(listOf(JsonPrimitive("job-1"))), "waitsOn" to JsonArray(listOf(JsonPrimitive(1))),
         )
-        for ((name, value) in invalid) assertThrows(Malformed::class.java, { JobValidation.parse(with(name, value)) }, name)
+        for ((name, value) in invalid) assertThrows(MalformedRequestException::class.java, { JobValidation.parse(with(name, value)) }, name)
         for (text in listOf("", "[]", "3", "{", "null")) {
-            assertThrows(Malformed::class.java, { JobValidation.parseObject(text) }, text)
+            assertThrows(MalformedRequestException::class.java, { JobValidation.parseObject(text) }, text)
         }
     }
 
@@ -66,7 +66,7 @@
         val teams = mapOf(team.id to team)
         val type = MachineType(TypeId("g8"), 96.0, 8.0, 768.0, 200.0, 1.0, 12.0, 4.5, 45.0, listOf(Zone("a")))
         fun why(body: JsonObject, types: List<MachineType> = listOf(type)) =
-            JobValidation.neverRuns(JobValidation.parse(body), teams, types)
+            JobValidation.explainNeverRuns(JobValidation.parse(body), teams, types)
         assertNull(why(good))
         assertNotNull(why(with("owner", JsonPrimitive("nobody"))))
         assertNotNull(why(with("vcpus", JsonPrimitive(97.0))))
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -192,7 +192,7 @@
 
         override fun setRole(leader: Boolean) = bucket.setRate(StoreRateQuota.writes(limits.known, NODES, leader))
 
-        override fun writeBudget(): WriteBudget = if (limits.enforcesRates) bucket.budget() else WriteBudget.AMPLE
+        override fun writeBudget(): WriteBudget = if (limits.enforcesRates) bucket.budget() else WriteBudget.UNLIMITED
 
         /** Asks for what [what] describes; [told] describes the answer. */
         private fun <T> ask(
--- a/src/test/kotlin/mountmast/storage/TextCodecTest.kt
+++ b/src/test/kotlin/mountmast/storage/TextCodecTest.kt
@@ -77,19 +77,19 @@
     @Test
     fun `a corrupted text is rejected, and decompression stops at the size limit`() {
         val packed = TextCodec.pack(starts(2000), 8192, compact = true).first().compressed!!
-        assertThrows(UnreadableText::class.java) { TextCodec.read("", packed.take(packed.length / 2)) }
-        assertThrows(UnreadableText::class.java) { TextCodec.read("", "not Base64!") }
-        assertThrows(UnreadableText::class.java) { TextCodec.read("", "") }
+        assertThrows(UnreadableTextException::class.java) { TextCodec.read("", packed.take(packed.length / 2)) }
+        assertThrows(UnreadableTextException::class.java) { TextCodec.read("", "not Base64!") }
+        assertThrows(UnreadableTextException::class.java) { TextCodec.read("", "") }
         val out = ByteArrayOutputStream()
         DeflaterOutputStream(out, Deflater(9, true)).use { it.write(ByteArray(50_000_000)) }
         val bomb = Base64.getEncoder().encodeToString(out.toByteArray())
-        val refused = assertThrows(UnreadableText::class.java) { TextCodec.read("", bomb) }
+        val refused = assertThrows(UnreadableTextException::class.java) { TextCodec.read("", bomb) }
         assertTrue("longer" in refused.message!!)
         repeat(500) {
             val broken = packed.toCharArray().also { it[random.nextInt(it.size)] = 'A' }.concatToString()
             try {
                 assertTrue(TextCodec.read("", broken).length <= TextCodec.MAX_READ_BYTES)
-            } catch (e: UnreadableText) {
+            } catch (e: UnreadableTextException) {
                 assertTrue(e.message!!.isNotEmpty())
             }
         }
