--- a/src/main/kotlin/mountmast/protocol/Ids.kt
+++ b/src/main/kotlin/mountmast/protocol/Ids.kt
@@ -41,7 +41,7 @@
 
 /**
  * Name of a rented machine, given by the cloud. Journal entries separate their fields by spaces and end with semicolons, so a name
- * that contains either is rejected with an [IllegalArgumentException].
+ * that is empty, or contains a space, a control character or a semicolon, is rejected with an [IllegalArgumentException].
  */
 @Serializable
 @JvmInline
--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -16,7 +16,8 @@
  * @property leads whether the sender is the leader, in the term of [token]
  * @property cancelled ids of jobs whose cancellation the sender committed; each is sent until the receiver has answered a heartbeat
  *   that carried it
- * @property formatVersion the [FORMAT_VERSION][mountmast.storage.FORMAT_VERSION] of the sender; 0 from versions without this field
+ * @property formatVersion version of the forms of stored records and sent messages that the sender reads; 0 from versions without this
+ *   field
  */
 @Serializable
 data class PeerHeartbeat(
--- a/src/test/kotlin/mountmast/protocol/JobValidationTest.kt
+++ b/src/test/kotlin/mountmast/protocol/JobValidationTest.kt
@@ -72,7 +72,7 @@
         assertNotNull(why(with("vcpus", JsonPrimitive(97.0))))
         assertNotNull(why(with("yard", JsonPrimitive("b"))))
         assertNotNull(why(with("vcpus", JsonPrimitive(65.0))), "an array's single task is over the limit")
-        // The 16 replicas of 8 CPUs exceed the limit of 64 at once; the tasks of an array may run one after another.
+        // Together the 16 replicas of 8 CPUs exceed the limit of 64; the tasks of an array may run one after another.
         assertNotNull(why(with("shape", JsonPrimitive("daemon"))))
     }
 }
