--- a/src/main/kotlin/mountmast/coordination/jobs/SubmissionValidator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/SubmissionValidator.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.json.JsonObject
 import mountmast.protocol.JobSpec
 import mountmast.protocol.JobValidation
-import mountmast.protocol.Malformed
+import mountmast.protocol.MalformedRequestException
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 
@@ -28,7 +28,7 @@
     fun check(submission: JsonObject): SubmissionCheck {
         val spec = try {
             JobValidation.parse(submission)
-        } catch (e: Malformed) {
+        } catch (e: MalformedRequestException) {
             return SubmissionCheck.Invalid(RequestRejection.MalformedBody(e.message))
         }
         val rejection = checkCanRun(spec) ?: checkPrerequisites(spec)
@@ -39,7 +39,7 @@
     private fun checkCanRun(spec: JobSpec): RequestRejection? {
         val types = machineTypes.types
         if (types.isEmpty()) return RequestRejection.MachineTypesUnknown
-        return JobValidation.neverRuns(spec, teams, types)?.let { RequestRejection.NeverRuns(it) }
+        return JobValidation.explainNeverRuns(spec, teams, types)?.let { RequestRejection.NeverRuns(it) }
     }
 
     /** Returns why the prerequisites in [spec] are rejected; null if all of them are valid. */
