--- a/src/main/kotlin/mountmast/CommandLineTool.kt
+++ b/src/main/kotlin/mountmast/CommandLineTool.kt
@@ -8,12 +8,16 @@
 import java.io.File
 import java.io.IOException
 
-/** Runs what a command line asks for; [serve] runs a node until its process ends. */
+/**
+ * Parses a command line and executes it.
+ *
+ * @property serve runs a node until the process ends; throws an [IOException] if one of the node's addresses cannot be bound
+ */
 internal class CommandLineTool(private val serve: (Settings, OperatorSettings) -> Unit) {
-    /** Runs one command and prints its result; returns its [ExitCode]. */
+    /** Executes the command line [args], prints its result and returns its [ExitCode]. */
     fun run(args: Array<String>): Int {
-        // The platform's own call needs no parser. picocli's classes are of a form that the class-data archive does not
-        // take, and reading them made up a third of a start.
+        // The platform starts a node with `--config FILE` alone, which needs no parser. The JVM's class-data archive cannot hold
+        // picocli's classes, and loading them took a third of the time of a start.
         if (args.size == 2 && args[0] == CONFIG && !args[1].startsWith("-")) return serveOrCheck(args[1], null, checkOnly = false)
         val line = CommandLine(CommandLineSyntax.root())
         line.setExecutionStrategy { execute(it) }
@@ -22,8 +26,8 @@
     }
 
     private fun execute(parsed: ParseResult): Int {
-        val helped = CommandLine.executeHelpRequest(parsed)
-        if (helped != null) return helped
+        val helpExitCode = CommandLine.executeHelpRequest(parsed)
+        if (helpExitCode != null) return helpExitCode
         return if (parsed.hasSubcommand()) sendRequest(parsed.subcommand()) else serveOrCheck(parsed)
     }
 
@@ -41,28 +45,28 @@
 
     private fun serveOrCheck(config: String, tuning: String?, checkOnly: Boolean): Int {
         val settings: Settings
-        val operators: OperatorSettings
+        val operatorSettings: OperatorSettings
         try {
             settings = Settings.read(File(config))
-            operators = readOperatorSettings(tuning, settings)
+            operatorSettings = readOperatorSettings(tuning, settings)
         } catch (e: InvalidSettingsException) {
             return printUsageError(e.message.orEmpty())
         }
-        if (!checkOnly) return serveUntilEnd(settings, operators)
+        if (!checkOnly) return serveUntilEnd(settings, operatorSettings)
         println("settings are valid: ${settings.node} of ${settings.nodes} nodes, ${settings.teams.size} teams")
         return ExitCode.DONE
     }
 
     private fun readOperatorSettings(tuning: String?, settings: Settings): OperatorSettings {
         if (tuning == null) return OperatorSettings()
-        val operators = OperatorSettings.read(tuning) { File(tuning).inputStream() }
-        val unknown = operators.scheduling.guaranteedFromOf.keys - settings.teams.keys
+        val operatorSettings = OperatorSettings.read(tuning) { File(tuning).inputStream() }
+        val unknown = operatorSettings.scheduling.guaranteedFromOf.keys - settings.teams.keys
         if (unknown.isNotEmpty()) throw InvalidSettingsException("$tuning: <guaranteed-from> names an unknown team ${unknown.first()}")
-        return operators
+        return operatorSettings
     }
 
-    private fun serveUntilEnd(settings: Settings, operators: OperatorSettings): Int = try {
-        serve(settings, operators)
+    private fun serveUntilEnd(settings: Settings, operatorSettings: OperatorSettings): Int = try {
+        serve(settings, operatorSettings)
         ExitCode.DONE
     } catch (e: IOException) {
         printFailure("cannot serve on ${settings.serveOn} and ${settings.peerListen}: ${e.message}")
--- a/src/main/kotlin/mountmast/ExitCode.kt
+++ b/src/main/kotlin/mountmast/ExitCode.kt
@@ -1,6 +1,6 @@
 package mountmast
 
-/** What the process tells whoever started it; documented in `--help`. */
+/** Exit codes of the process, as `--help` documents them. */
 internal object ExitCode {
     const val DONE = 0
 
@@ -11,13 +11,13 @@
     const val WRONG_USAGE = 2
 }
 
-/** Prints what is wrong with the command line or the settings; returns the exit code for it. */
+/** Prints to standard error what is wrong with the command line or the settings; returns [ExitCode.WRONG_USAGE]. */
 internal fun printUsageError(reason: String): Int {
     System.err.println("mountmast: $reason")
     return ExitCode.WRONG_USAGE
 }
 
-/** Prints why a command failed; returns the exit code for it. */
+/** Prints to standard error why a command failed; returns [ExitCode.FAILED]. */
 internal fun printFailure(reason: String): Int {
     System.err.println("mountmast: $reason")
     return ExitCode.FAILED
--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -25,45 +25,47 @@
     exitProcess(CommandLineTool(::serve).run(args))
 }
 
-/** Serves until the process is ended. */
-private fun serve(settings: Settings, operators: OperatorSettings) {
-    start(settings, operators)
+/** Runs a node; does not return, as the node serves until the process is terminated. */
+private fun serve(settings: Settings, operatorSettings: OperatorSettings) {
+    start(settings, operatorSettings)
     CountDownLatch(1).await()
 }
 
 /**
- * Starts a node on its own threads.
+ * Starts a node and returns; the node serves on threads of its own.
  *
  * @throws java.io.IOException if one of its addresses cannot be bound.
  */
-internal fun start(settings: Settings, operators: OperatorSettings) {
-    // The JDK's client would otherwise send a request again by itself, and its server delay small answers.
+internal fun start(settings: Settings, operatorSettings: OperatorSettings) {
+    // By default the JDK's HTTP client sends a failed POST again by itself, and the JDK's HTTP server delays small answers.
     System.setProperty("sun.net.http.retryPost", "false")
     System.setProperty("sun.net.httpserver.nodelay", "true")
-    // A request that never arrives whole must not hold one of the few threads that read; heartbeats may wait before their body is read.
+    // Seconds within which a request must have been read: one that never arrives whole must not hold one of the few threads that read
+    // requests. Heartbeats may wait in a queue before their body is read.
     System.setProperty("sun.net.httpserver.maxReqTime", "10")
     val connectionBudget = ConnectionBudget.of(settings.maxConnections)
     System.setProperty("sun.net.httpserver.maxIdleConnections", connectionBudget.idle.toString())
+    // Seconds after which an idle connection is closed.
     System.setProperty("sun.net.httpserver.idleInterval", "60")
     System.setProperty("jdk.httpserver.maxConnections", connectionBudget.accepted.toString())
     val metrics = Metrics()
-    val run = SecureRandom().nextLong().toULong().toString(Character.MAX_RADIX)
+    val runId = SecureRandom().nextLong().toULong().toString(Character.MAX_RADIX)
     val store = HttpStateStore(settings.state, settings.stateLimits, settings.nodes, metrics = metrics)
     store.setRole(leader = false)
     val controller = Controller(
         settings,
-        operators,
+        operatorSettings,
         ExternalSystems(store, HttpCloud(settings.cloud, settings.cloudRps), HttpWorkerClient(), HttpPeerClient()),
         SystemClock,
-        run,
+        runId,
         metrics,
     )
-    Node(settings, operators, controller, metrics).start()
+    Node(settings, operatorSettings, controller, metrics).start()
 }
 
 private fun configureLogging(level: String?) {
-    val known = setOf("error", "info", "debug")
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level?.lowercase()?.takeIf { it in known } ?: "info")
+    val knownLevels = setOf("error", "info", "debug")
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level?.lowercase()?.takeIf { it in knownLevels } ?: "info")
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true")
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS")
--- a/src/main/kotlin/mountmast/NodeClient.kt
+++ b/src/main/kotlin/mountmast/NodeClient.kt
@@ -6,11 +6,11 @@
 import java.io.IOException
 import java.net.InetSocketAddress
 
-/** The commands that send one request to a running node and print its response. */
+/** Executes the commands of the command line that send one request to a running node, and prints the node's response. */
 internal class NodeClient {
     /**
-     * Runs [command] (`submit`, `status` or `cancel`) on the node at [address], as `HOST:PORT`; [argument] is the job's file or
-     * its id. Returns the [ExitCode].
+     * Sends [command] (`submit`, `status` or `cancel`) to the node at [address] (`HOST:PORT`). [argument] is the file of the job for
+     * `submit`, with `-` for standard input, and the job's id for the others. Returns the [ExitCode].
      */
     fun run(command: String, argument: String, address: String): Int {
         val node = parseAddress(address) ?: return printUsageError("--node: not HOST:PORT")
@@ -43,12 +43,12 @@
             return printFailure("no answer from $node: ${e.message}; check the address or try another node")
         }
         val status = response.status
-        if (status !in 200..201) return printFailure("$node refused with $status: ${response.text}; ${advice(status)}")
+        if (status !in 200..201) return printFailure("$node refused with $status: ${response.text}; ${retryAdvice(status)}")
         println(response.text)
         return ExitCode.DONE
     }
 
-    private fun advice(status: Int): String =
+    private fun retryAdvice(status: Int): String =
         if (status == 429 || status >= 500) "try again in a second, or another node" else "this will not change by trying again"
 
     private companion object {
--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -32,21 +32,21 @@
 import java.util.jar.JarFile
 
 /**
- * Run once by the build: loads the classes that serving loads, so that the JVM can archive them when this ends.
- * It serves on loopback for a moment, with nobody behind the addresses of the cloud and the state service.
+ * Loads the classes that a serving node loads, so that the JVM can write them to its class-data archive when the process ends. The
+ * build runs it once. It serves on loopback for some seconds; the addresses of the cloud and the state service lead to no such service.
  */
 internal object WarmUp {
-    /** The only argument of a process that warms up. */
+    /** The only command-line argument of the process that writes the class-data archive. */
     const val COMMAND = "warm-up"
 
-    /** Starts a node, sends it one request of each kind, and returns once the classes are loaded. */
+    /** Starts a node, sends it one request of each kind, and returns after another [SERVE_MS], in which its threads load their classes. */
     fun run() {
         val (public, peer) = ServerSocket(0).use { a -> ServerSocket(0).use { b -> a.localPort to b.localPort } }
         start(Settings.parse(settings(public, peer)), OperatorSettings())
         CommandLineTool { _, _ -> }.run(arrayOf("--config", "/nonexistent"))
         loadOwnClasses()
-        requestAsWorkerAndUser(public)
-        requestAsPeer(peer)
+        sendWorkerAndUserRequests(public)
+        sendPeerRequests(peer)
         Thread.sleep(SERVE_MS)
     }
 
@@ -59,10 +59,10 @@
         }
     }
 
-    /** Sends what workers and users do. */
-    private fun requestAsWorkerAndUser(port: Int) {
+    /** Sends a heartbeat, a health check, and a user's submission and poll to the node's public [port]. */
+    private fun sendWorkerAndUserRequests(port: Int) {
         val caller = HttpCaller()
-        val self = InetSocketAddress("127.0.0.1", port)
+        val node = InetSocketAddress("127.0.0.1", port)
         val heartbeat = Heartbeat(
             MachineId("vm-1"), "127.0.0.1:1", TypeId("t"), Zone("z"), false, WorkerIncarnation(1u), HeartbeatSequence(1u),
             FencingToken(0u), null, listOf(ReportedTask("j-1/0", Attempt(1u), TaskState.RUNNING)),
@@ -70,17 +70,18 @@
         WireJson.encodeToString(HeartbeatResponse(FencingToken(1u), listOf(WorkerCommand(CommandType.START, "j-1/0", Attempt(1u)))))
         JobValidation.parse(JobValidation.parseObject(JOB))
         val bodies = listOf("/agent/beat" to WireJson.encodeToString(heartbeat), "/v1/jobs" to JOB)
-        for ((path, body) in bodies) caller.call(self, "POST", path, body.encodeToByteArray(), TIMEOUT_MS)
-        for (path in listOf("/ready", "/v1/jobs/j-1")) caller.call(self, "GET", path, null, TIMEOUT_MS)
+        for ((path, body) in bodies) caller.call(node, "POST", path, body.encodeToByteArray(), TIMEOUT_MS)
+        for (path in listOf("/ready", "/v1/jobs/j-1")) caller.call(node, "GET", path, null, TIMEOUT_MS)
     }
 
     /**
-     * Sends what nodes do to each other. A class that is in no archive is read from its jar while the node already serves; the
-     * JVM aborted in such a read (9e267033), and it costs a cold node time.
+     * Sends a heartbeat and a forwarded request to the [port] for other nodes, and commands as the leader sends them to workers. A class
+     * that is not in the archive is read from its jar while the node already serves; the JVM aborted in such a read (9e267033), and the
+     * read delays a node that was just started.
      */
-    private fun requestAsPeer(port: Int) {
-        val at = InetSocketAddress("127.0.0.1", port)
-        val member = Member(NodeId("warm-1"), Zone("z"), at)
+    private fun sendPeerRequests(port: Int) {
+        val address = InetSocketAddress("127.0.0.1", port)
+        val member = Member(NodeId("warm-1"), Zone("z"), address)
         val peers = HttpPeerClient()
         checkNotNull(peers.exchangeHeartbeats(member, PeerHeartbeat("warm-1", 0, serves = true, leads = false))) { "no peer heartbeat" }
         peers.forward(member, ForwardedRequest("GET", "/v1/jobs/j-1", ""))
@@ -125,6 +126,8 @@
     private const val JOB = """{"nameId":"j-000001","jobclass":"c","owner":"t","shape":"array","urgency":"high","pieces":1,
         "vcpus":1.0,"cards":0.0,"memGb":1.0,"bundle":"i","sizeGb":1.0,"hulls":null,"yard":null,"together":false,
         "scatter":false,"loaners":true,"expectedS":1.0,"markEveryS":0.0,"markCostS":0.0,"dueS":null}"""
+
+    /** How long the node serves after the last request. */
     private const val SERVE_MS = 2500L
     private const val TIMEOUT_MS = 3000
 }
--- a/src/main/kotlin/mountmast/transport/Admission.kt
+++ b/src/main/kotlin/mountmast/transport/Admission.kt
@@ -4,18 +4,19 @@
 import com.netflix.concurrency.limits.limiter.SimpleLimiter
 
 /**
- * Limits how many requests of a kind may be in progress at once. The limit follows the measured times of the requests. Health
- * checks, cancellations and workers' heartbeats do not pass through any. Thread-safe.
+ * Adaptive limit on the number of concurrent requests of one kind. It follows the measured durations of the requests; those that
+ * throw or are answered with a 5xx status are not measured. Health checks, cancellations and workers' heartbeats have no such limit.
+ * Thread-safe.
  *
  * @param minimum the lowest limit
- * @param maximum the highest limit; half of it is the first
+ * @param maximum the highest limit; the initial limit is half of it, but at least [minimum]
  */
 class AdmissionLimit(minimum: Int, maximum: Int) {
     private val limiter: SimpleLimiter<Unit> = SimpleLimiter.newBuilder()
         .limit(Gradient2Limit.newBuilder().minLimit(minimum).maxConcurrency(maximum).initialLimit(maxOf(minimum, maximum / 2)).build())
         .build<Unit>()
 
-    /** Runs [work] if the limit allows it; otherwise answers 429 at once. */
+    /** Runs [work] and returns its answer, or returns 429 with a `Retry-After` of 1 second at once if the limit is reached. */
     fun admit(work: () -> UserAnswer): UserAnswer {
         val permit = limiter.acquire(Unit).orElse(null) ?: return UserAnswer(429, errorBody("busy"), retryAfterS = 1)
         var answer: UserAnswer? = null
@@ -28,5 +29,5 @@
     }
 }
 
-/** The limits on users' requests, apart so that a flood of submissions keeps nobody from asking for a job's status. */
+/** The limits on users' requests: separate ones, so that a flood of submissions does not block polls of a job's status. */
 class AdmissionLimits(val submissions: AdmissionLimit, val polls: AdmissionLimit)
--- a/src/main/kotlin/mountmast/transport/BoundedServer.kt
+++ b/src/main/kotlin/mountmast/transport/BoundedServer.kt
@@ -19,31 +19,35 @@
 private val log = LoggerFactory.getLogger("mountmast.transport")
 
 /**
- * http4k on the JDK's server. http4k's own `SunHttp` binds every address and has an unbounded pool; this one binds the address it is
- * given and bounds threads and waiting requests. A request over the bound of its bulkhead is answered 503 at once; one over the bound
- * of the server is refused by closing its connection.
+ * Runs an http4k handler on the JDK's HTTP server. http4k's own `SunHttp` binds every address and has an unbounded thread pool; this
+ * server binds one address and bounds its threads and waiting requests. A request that exceeds the bound of its bulkhead is answered
+ * with 503 and `Retry-After: 1` at once; one that exceeds the bound of the server is refused by closing its connection.
  *
- * @property threads read requests, and answer those that no bulkhead takes. If bulkheads take all of them, few threads are enough and
- *   more do harm: on a node short of processor time each competes with the threads that answer, or renew a lease.
- * @property waiting the most requests that wait for one of these threads
+ * @property address address to bind
+ * @property name name of the server's threads; those of bulkheads have the suffix `-lane`
+ * @property threads number of threads that read requests, and answer those to paths without a bulkhead. If bulkheads cover all paths,
+ *   few threads are enough and more do harm: on a node short of processor time each competes with the threads that answer requests or
+ *   renew a lease.
+ * @property maxWaiting maximum number of requests that wait for one of these threads
+ * @property bulkheads bulkheads, each with a thread pool of its own, by path prefix
  */
 class BoundedServer(
-    private val at: InetSocketAddress,
+    private val address: InetSocketAddress,
     private val name: String,
     private val threads: Int,
-    private val waiting: Int,
+    private val maxWaiting: Int,
     private val bulkheads: List<RequestBulkhead> = emptyList(),
 ) : ServerConfig {
     override val stopMode = ServerConfig.StopMode.Immediate
 
     override fun toServer(http: HttpHandler): Http4kServer {
-        val server = HttpServer.create(at, maxOf(BACKLOG, waiting))
+        val server = HttpServer.create(address, maxOf(MIN_BACKLOG, maxWaiting))
         val handler = HttpExchangeHandler(http)
-        val pools = arrayListOf(pool(name, threads, waiting, QueueMetrics.NONE))
+        val pools = arrayListOf(createPool(name, threads, maxWaiting, QueueMetrics.NONE))
         server.executor = pools.first()
         if (bulkheads.none { it.path == ANY_PATH }) server.createContext(ANY_PATH, handler)
         for (bulkhead in bulkheads) {
-            val pool = pool("$name-lane", bulkhead.threads, bulkhead.waiting, bulkhead.metrics)
+            val pool = createPool("$name-lane", bulkhead.threads, bulkhead.maxWaiting, bulkhead.metrics)
             pools += pool
             server.createContext(bulkhead.path) { exchange -> enqueue(exchange, handler, pool, bulkhead) }
         }
@@ -58,23 +62,23 @@
         }
     }
 
-    private fun pool(name: String, threads: Int, waiting: Int, metrics: QueueMetrics): ThreadPoolExecutor {
+    private fun createPool(name: String, threads: Int, maxWaiting: Int, metrics: QueueMetrics): ThreadPoolExecutor {
         val pool = object : ThreadPoolExecutor(
             threads,
             threads,
-            IDLE_S,
+            THREAD_IDLE_S,
             TimeUnit.SECONDS,
-            LinkedBlockingQueue(waiting),
+            LinkedBlockingQueue(maxWaiting),
             { task -> Thread(null, task, name, STACK_BYTES).apply { isDaemon = true } },
         ) {
-            override fun execute(task: Runnable) = super.execute(timed(task, metrics))
+            override fun execute(task: Runnable) = super.execute(recordWait(task, metrics))
         }
-        metrics.onQueue { pool.queue.size }
+        metrics.registerQueueSize { pool.queue.size }
         pool.allowCoreThreadTimeOut(true)
         return pool
     }
 
-    /** Has another thread answer [exchange], so that the one that read it is free for the next. */
+    /** Queues [exchange] for a thread of [bulkhead], so that the thread that read its header is free for the next request. */
     private fun enqueue(exchange: HttpExchange, handler: JdkHandler, pool: ThreadPoolExecutor, bulkhead: RequestBulkhead) {
         val queuedAt = System.nanoTime()
         try {
@@ -83,7 +87,7 @@
                 if (bulkhead.isWorthAnswering(waitedMs)) answer(exchange, handler) else refuse(exchange, bulkhead)
             }
         } catch (e: RejectedExecutionException) {
-            log.debug("a request is refused: {}", e.message)
+            log.debug("request refused, as its bulkhead takes no more: {}", e.message)
             refuse(exchange, bulkhead)
         }
     }
@@ -94,7 +98,7 @@
             exchange.responseHeaders.add("Retry-After", "1")
             exchange.sendResponseHeaders(HttpURLConnection.HTTP_UNAVAILABLE, NO_BODY)
         } catch (e: IOException) {
-            log.debug("a refusal did not get out: {}", e.message)
+            log.debug("cannot send the refusal of a request: {}", e.message)
         }
         exchange.close()
     }
@@ -103,29 +107,31 @@
         try {
             handler.handle(exchange)
         } catch (e: IOException) {
-            log.debug("an answer did not get out: {}", e.message)
+            log.debug("cannot send the answer to a request: {}", e.message)
             exchange.close()
         }
     }
 
-    /** Records how long [task] waits for a thread, and logs a long wait at `debug`. */
-    private fun timed(task: Runnable, metrics: QueueMetrics): Runnable {
+    /** Wraps [task] so that its wait for a thread is recorded, and logged at `debug` from [SLOW_REQUEST_MS] on. */
+    private fun recordWait(task: Runnable, metrics: QueueMetrics): Runnable {
         val queuedAt = System.nanoTime()
         return Runnable {
             val waitedMs = (System.nanoTime() - queuedAt) / NANOS_PER_MS
             metrics.wait.record(waitedMs)
-            if (waitedMs >= SLOW_MS) log.debug("a request waited {} ms for a thread", waitedMs)
+            if (waitedMs >= SLOW_REQUEST_MS) log.debug("a request waited {} ms for a thread", waitedMs)
             task.run()
         }
     }
 
     companion object {
-        /** Threads that read the requests of users and workers, for bulkheads to answer. */
+        /** Number of threads that read the requests of users and workers; bulkheads answer them. */
         const val PUBLIC_READERS = 4
         private const val ANY_PATH = "/"
-        private const val BACKLOG = 128
+        private const val MIN_BACKLOG = 128
+
+        /** Response length that tells the JDK's server that there is no body. */
         private const val NO_BODY = -1L
-        private const val IDLE_S = 30L
+        private const val THREAD_IDLE_S = 30L
         private const val STACK_BYTES = 256L * 1024
     }
 }
--- a/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
+++ b/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
@@ -1,22 +1,22 @@
 package mountmast.transport
 
 /**
- * How a node divides its connections. Every worker and many users keep a connection open to the leader, so most are for inbound
- * requests. The rest stays free for peers, the state service, the cloud and direct commands, so that a flood from outside never keeps
- * a leader from renewing its lease.
+ * Division of a node's connections into inbound and outbound ones. Every worker and many users keep a connection open to the leader, so
+ * most are for inbound requests. The others are reserved for peers, the state service, the cloud and commands to workers, so that a
+ * flood of inbound requests never keeps a leader from renewing its lease.
  */
 data class ConnectionBudget(
-    /** The most inbound connections; further ones are closed at once. */
+    /** Maximum number of inbound connections; further ones are closed at once. */
     val accepted: Int,
-    /** Connections kept open between requests: closing those of workers only makes them connect again. */
+    /** Maximum number of inbound connections kept open between requests: workers whose connection is closed only connect again. */
     val idle: Int,
-    /** The most requests that wait for a thread. */
+    /** Maximum number of requests, other than heartbeats, that wait for a thread. */
     val waiting: Int,
-    /** Number of threads that deliver commands to workers, each over one connection. */
+    /** Number of threads that send commands to workers, each over one connection at a time. */
     val deliveryThreads: Int,
 ) {
     companion object {
-        /** Divides [total] connections. */
+        /** Divides [total] connections: the largest number that the node may have open. */
         fun of(total: Int): ConnectionBudget {
             val outbound = maxOf(minOf(MIN_OUTBOUND, total / 2), total / OUTBOUND_DIVISOR)
             val accepted = total - outbound
--- a/src/main/kotlin/mountmast/transport/HttpCaller.kt
+++ b/src/main/kotlin/mountmast/transport/HttpCaller.kt
@@ -7,10 +7,10 @@
 import java.net.NoRouteToHostException
 import java.net.URI
 
-/** A call that got no answer. [mayBeCarriedOut] is false only if the request certainly never left this node. */
+/** Thrown when a call got no answer. [mayBeCarriedOut] is false only if the request certainly never left this node. */
 class NoAnswerException(message: String, val mayBeCarriedOut: Boolean) : IOException(message)
 
-/** Status and body of an answer. */
+/** Status and body of an HTTP response. */
 class Reply(val status: Int, val bytes: ByteArray) {
     /** The body as text. */
     val text: String get() = bytes.decodeToString()
@@ -20,24 +20,29 @@
 }
 
 /**
- * Calls another host and waits for its answer, with a deadline. Thread-safe.
+ * HTTP client with timeouts for connecting and for reading. Thread-safe.
  *
- * http4k's own clients turn both a refused connection and a silent server into a status. Callers must distinguish requests that may
- * have been executed from those that were not, so this uses the JDK's client directly.
+ * http4k's own clients turn both a refused connection and a server that does not respond into a status. Callers must distinguish
+ * requests that may have been executed from those that were not, so this class uses the JDK's client directly.
  *
- * @property connectMs the most milliseconds to wait for a connection
+ * @property connectMs connect timeout in milliseconds; the timeout of the call applies if that is shorter
  */
 class HttpCaller(private val connectMs: Int = 1000) {
-    /** Calls [to] and waits up to [waitMs] milliseconds for each part of the answer. Throws a [NoAnswerException] if none came. */
+    /**
+     * Sends one request to [to] and returns the response, whatever its status; redirects are not followed. [timeoutMs] bounds each read
+     * of the response in milliseconds, not the whole call.
+     *
+     * @throws NoAnswerException if connecting failed, no response came, or reading the response failed.
+     */
     fun call(
         to: InetSocketAddress,
         method: String,
         path: String,
         body: ByteArray?,
-        waitMs: Int,
+        timeoutMs: Int,
         contentType: String = "application/json",
     ): Reply {
-        val connection = prepare(URI.create("http://${to.hostString}:${to.port}$path"), method, waitMs)
+        val connection = open(URI.create("http://${to.hostString}:${to.port}$path"), method, timeoutMs)
         if (body != null) connection.prepareBody(body, contentType)
         connect(connection, to)
         try {
@@ -52,11 +57,11 @@
         }
     }
 
-    private fun prepare(uri: URI, method: String, waitMs: Int): HttpURLConnection {
+    private fun open(uri: URI, method: String, timeoutMs: Int): HttpURLConnection {
         val connection = uri.toURL().openConnection() as HttpURLConnection
         connection.requestMethod = method
-        connection.connectTimeout = minOf(connectMs, waitMs)
-        connection.readTimeout = waitMs
+        connection.connectTimeout = minOf(connectMs, timeoutMs)
+        connection.readTimeout = timeoutMs
         connection.useCaches = false
         connection.instanceFollowRedirects = false
         return connection
--- a/src/main/kotlin/mountmast/transport/HttpMessages.kt
+++ b/src/main/kotlin/mountmast/transport/HttpMessages.kt
@@ -15,22 +15,25 @@
 
 private val log = LoggerFactory.getLogger("mountmast.transport")
 
-/** The largest body of a user's or worker's request. */
+/** Maximum size of the body of a user's or worker's request, in bytes. */
 const val MAX_BODY_BYTES = 64 * 1024
 
-/** The largest body between nodes: a forwarded request with its envelope. */
+/** Maximum size of the body of a request between nodes, in bytes: that of a forwarded request with its envelope. */
 private const val MAX_PEER_BODY_BYTES = 4 * MAX_BODY_BYTES
 
-/** From here on a request or call counts as slow: half of what users at large sites wait for a submission. */
-internal const val SLOW_MS = 100
+/** Duration from which on a request counts as slow: half of what users at large sites wait for a submission. */
+internal const val SLOW_REQUEST_MS = 100
 internal const val NANOS_PER_MS = 1_000_000L
 
-/** Returns the JSON body of an error response that says [why]. */
-fun errorBody(why: String): String = WireJson.encodeToString(ErrorResponse(why))
+/** Returns the JSON body of an error response with the message [message]. */
+fun errorBody(message: String): String = WireJson.encodeToString(ErrorResponse(message))
 
-/** Turns every exception of [handler] into an answer: no request may end a thread. */
-@Suppress("TooGenericExceptionCaught") // The last resort for faults in handlers, which are logged.
-internal fun guarded(handler: HttpHandler): HttpHandler = { request ->
+/**
+ * Returns [handler] with its exceptions turned into answers, so that no request ends the thread that handles it: 400 for a
+ * [SerializationException], 503 for an [IOException], and 500 for every other [RuntimeException].
+ */
+@Suppress("TooGenericExceptionCaught") // The last resort for faults in handlers: they are logged and answered with 500.
+internal fun answerExceptions(handler: HttpHandler): HttpHandler = { request ->
     try {
         handler(request)
     } catch (e: SerializationException) {
@@ -43,39 +46,39 @@
     }
 }
 
-/** Logs requests that took long at `debug`. */
-internal fun timed(handler: HttpHandler): HttpHandler = { request ->
-    val began = System.nanoTime()
+/** Returns [handler] with a log line at `debug` for each request that took [SLOW_REQUEST_MS] or longer. */
+internal fun logSlowRequests(handler: HttpHandler): HttpHandler = { request ->
+    val startedAt = System.nanoTime()
     val response = handler(request)
-    val tookMs = (System.nanoTime() - began) / NANOS_PER_MS
-    if (tookMs >= SLOW_MS) log.debug("{} {} got {} after {} ms", request.method, request.uri.path, response.status.code, tookMs)
+    val tookMs = (System.nanoTime() - startedAt) / NANOS_PER_MS
+    if (tookMs >= SLOW_REQUEST_MS) log.debug("{} {}: status {} after {} ms", request.method, request.uri.path, response.status.code, tookMs)
     response
 }
 
-/** Returns [answer] for the method [allowed], and 405 for every other. */
-internal inline fun Request.only(allowed: Method, answer: () -> Response): Response =
+/** Returns [answer] if the request's method is [allowed], else 405 with an `Allow` header. */
+internal inline fun Request.requireMethod(allowed: Method, answer: () -> Response): Response =
     if (method == allowed) answer() else json(405, errorBody("method not allowed")).header("Allow", allowed.name)
 
-/** Returns the body of a request between nodes, truncated at the largest size. */
-internal fun Request.bytes(): ByteArray = body.stream.readNBytes(MAX_PEER_BODY_BYTES)
+/** Reads the body of a request between nodes, truncated to [MAX_PEER_BODY_BYTES]. */
+internal fun Request.readPeerBody(): ByteArray = body.stream.readNBytes(MAX_PEER_BODY_BYTES)
 
-/** Returns the body, or null if it is larger than [MAX_BODY_BYTES]. */
-internal fun Request.boundedBody(): String? {
+/** Reads the body of a user's or worker's request; returns null if it is larger than [MAX_BODY_BYTES]. */
+internal fun Request.readBoundedBody(): String? {
     val bytes = body.stream.readNBytes(MAX_BODY_BYTES + 1)
     return if (bytes.size > MAX_BODY_BYTES) null else bytes.decodeToString()
 }
 
-/** Converts this answer to HTTP. */
+/** Converts this answer to an HTTP response. */
 internal fun UserAnswer.toResponse() = json(status, body, retryAfterS)
 
-/** Returns a response in JSON, with a `Retry-After` if [retryAfterS] is above 0. */
+/** Returns a response with the JSON [body], and with a `Retry-After` header if [retryAfterS] is above 0. */
 internal fun json(status: Int, body: String, retryAfterS: Int = 0): Response {
     val response = Response(Status(status, null)).header("Content-Type", "application/json").body(body)
     return if (retryAfterS > 0) response.header("Retry-After", retryAfterS.toString()) else response
 }
 
-/** Returns a successful response in plain text. */
+/** Returns a response with status 200 and a plain-text [body], as the metrics' exposition format requires. */
 internal fun text(body: String) = Response(Status.OK).header("Content-Type", "text/plain; version=0.0.4").body(body)
 
-/** Returns a successful response in protobuf. */
+/** Returns a response with status 200 and a body in protobuf. */
 internal fun protobuf(bytes: ByteArray) = Response(Status.OK).header("Content-Type", "application/x-protobuf").body(MemoryBody(bytes))
--- a/src/main/kotlin/mountmast/transport/Metrics.kt
+++ b/src/main/kotlin/mountmast/transport/Metrics.kt
@@ -4,24 +4,24 @@
 import java.util.concurrent.atomic.AtomicLong
 import java.util.concurrent.atomic.LongAdder
 
-/** A counter that only rises. Thread-safe and lock-free. */
+/** A counter that only increases. Thread-safe and lock-free. */
 class Counter {
     private val sum = LongAdder()
 
-    /** The present count. */
+    /** The current count. */
     val value: Long get() = sum.sum()
 
-    /** Adds [count]. */
+    /** Adds [count], which is not negative. */
     fun add(count: Long = 1) = sum.add(count)
 }
 
-/** Durations: their number, their sum, and the longest since it was last read. Thread-safe and lock-free. */
+/** Metric of durations: their number, their sum, and the longest since it was last read. Thread-safe and lock-free. */
 class Timing {
     private val recorded = LongAdder()
     private val sum = LongAdder()
     private val longest = AtomicLong()
 
-    /** How many durations were recorded. */
+    /** Number of recorded durations. */
     val count: Long get() = recorded.sum()
 
     /** Sum of all recorded durations in milliseconds. */
@@ -34,48 +34,48 @@
         if (ms > longest.get()) longest.accumulateAndGet(ms, ::maxOf)
     }
 
-    /** Returns the longest duration since the previous call, in milliseconds. */
+    /** Returns the longest duration recorded since the previous call in milliseconds, or 0 if none was recorded. */
     fun readAndResetLongestMs(): Long = longest.getAndSet(0)
 }
 
-/** The metrics of one process by name, for `GET /metrics` and the summary in the log. Thread-safe. */
+/** Registry of the metrics of one process by name, for `GET /metrics` and the load summary in the log. Thread-safe. */
 class Metrics {
     private val counters = ConcurrentHashMap<String, Counter>()
     private val timings = ConcurrentHashMap<String, Timing>()
     private val gauges = ConcurrentHashMap<String, () -> Number>()
 
-    /** Returns the counter [name]. */
+    /** Returns the counter [name], and creates it if there is none. */
     fun counter(name: String): Counter = counters.computeIfAbsent(name) { Counter() }
 
-    /** Returns the durations [name]. */
+    /** Returns the metric of durations [name], and creates it if there is none. */
     fun timing(name: String): Timing = timings.computeIfAbsent(name) { Timing() }
 
-    /** Registers [read] as the source of the gauge [name], in place of an earlier one. */
+    /** Registers [read] as the function that returns the value of the gauge [name]; it replaces an earlier one. */
     fun gauge(name: String, read: () -> Number) {
         gauges[name] = read
     }
 
-    /** Returns the present value of the gauge [name], or 0 if there is none. */
+    /** Returns the current value of the gauge [name], truncated to an integer, or 0 if there is no such gauge. */
     fun gaugeValue(name: String): Long = gauges[name]?.invoke()?.toLong() ?: 0
 
-    /** Returns all values, one a line, in the text exposition format. */
+    /** Returns all values in Prometheus' text exposition format, one per line: counters, durations, then gauges, each sorted by name. */
     fun render(): String = buildString {
-        for ((name, counter) in counters.toSortedMap()) line("${name}_total", counter.value)
+        for ((name, counter) in counters.toSortedMap()) appendMetric("${name}_total", counter.value)
         for ((name, timing) in timings.toSortedMap()) {
-            line("${name}_count", timing.count)
-            line("${name}_sum_ms", timing.sumMs)
+            appendMetric("${name}_count", timing.count)
+            appendMetric("${name}_sum_ms", timing.sumMs)
         }
-        for ((name, read) in gauges.toSortedMap()) line(name, read())
+        for ((name, read) in gauges.toSortedMap()) appendMetric(name, read())
     }
 
-    private fun StringBuilder.line(name: String, value: Number) = append(PREFIX).append(name).append(' ').append(value).append('\n')
+    private fun StringBuilder.appendMetric(name: String, value: Number) = append(PREFIX).append(name).append(' ').append(value).append('\n')
 
     private companion object {
         const val PREFIX = "mountmast_"
     }
 }
 
-/** Names of the metrics that more than one place uses. They are what operators know, and stay when names in the code change. */
+/** Names of the metrics that several files use. Operators rely on them, so they stay when identifiers in the code are renamed. */
 object MetricNames {
     const val HEARTBEATS_ANSWERED = "reports_answered"
     const val HEARTBEATS_REFUSED = "reports_refused"
--- a/src/main/kotlin/mountmast/transport/PeerClient.kt
+++ b/src/main/kotlin/mountmast/transport/PeerClient.kt
@@ -12,16 +12,16 @@
 
 private val log = LoggerFactory.getLogger("mountmast.peers")
 
-/** Calls to the other controller nodes. Each returns null if no well-formed answer came. Thread-safe. */
+/** Calls other controller nodes. Each call returns null if the other node sent no well-formed answer with status 200. Thread-safe. */
 interface PeerClient {
-    /** Sends [heartbeat] and returns that of the other node. */
+    /** Sends [heartbeat] and returns the heartbeat of the other node. */
     fun exchangeHeartbeats(to: Member, heartbeat: PeerHeartbeat): PeerHeartbeat?
 
-    /** Has the other node serve a user's request. */
+    /** Forwards a user's request to the other node and returns its response. */
     fun forward(to: Member, request: ForwardedRequest): ForwardedResponse?
 }
 
-/** Calls to the other controller nodes over HTTP, in protobuf. */
+/** Calls other controller nodes over HTTP, with bodies in protobuf. */
 @OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
 class HttpPeerClient(private val caller: HttpCaller = HttpCaller(connectMs = 500)) : PeerClient {
     override fun exchangeHeartbeats(to: Member, heartbeat: PeerHeartbeat): PeerHeartbeat? =
@@ -34,12 +34,12 @@
             ProtoBuf.decodeFromByteArray<ForwardedResponse>(answer)
         }
 
-    private fun <T> call(to: Member, path: String, body: ByteArray, waitMs: Int, decode: (ByteArray) -> T): T? = try {
-        caller.call(to.endpoint, "POST", path, body, waitMs, "application/x-protobuf").takeIf { it.ok }?.let { decode(it.bytes) }
+    private fun <T> call(to: Member, path: String, body: ByteArray, timeoutMs: Int, decode: (ByteArray) -> T): T? = try {
+        caller.call(to.endpoint, "POST", path, body, timeoutMs, "application/x-protobuf").takeIf { it.ok }?.let { decode(it.bytes) }
     } catch (e: NoAnswerException) {
         null
     } catch (e: SerializationException) {
-        log.warn("malformed answer of {}: {}", to.node, e.message)
+        log.warn("malformed answer of node {}: {}", to.node, e.message)
         null
     }
 
--- a/src/main/kotlin/mountmast/transport/PeerRoutes.kt
+++ b/src/main/kotlin/mountmast/transport/PeerRoutes.kt
@@ -8,16 +8,16 @@
 import mountmast.protocol.PeerHeartbeat
 import org.http4k.core.HttpHandler
 
-/** Returns the handler of all that is served to the other controller nodes. */
+/** Returns the handler of all requests of other controller nodes. */
 @OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
-fun peerRoutes(users: UserService, peers: PeerService): HttpHandler = guarded { request ->
+fun peerRoutes(users: UserService, peers: PeerService): HttpHandler = answerExceptions { request ->
     when (request.uri.path) {
         PeerPaths.HEARTBEAT -> {
-            val peerHeartbeat = ProtoBuf.decodeFromByteArray<PeerHeartbeat>(request.bytes())
+            val peerHeartbeat = ProtoBuf.decodeFromByteArray<PeerHeartbeat>(request.readPeerBody())
             protobuf(ProtoBuf.encodeToByteArray(peers.onPeerHeartbeat(peerHeartbeat)))
         }
         PeerPaths.FORWARD -> {
-            val forwarded = ProtoBuf.decodeFromByteArray<ForwardedRequest>(request.bytes())
+            val forwarded = ProtoBuf.decodeFromByteArray<ForwardedRequest>(request.readPeerBody())
             val id = forwarded.path.removePrefix("$JOBS_PATH/")
             val answer = when {
                 forwarded.path == JOBS_PATH -> users.submit(forwarded.body, isForwarded = true)
--- a/src/main/kotlin/mountmast/transport/QueueMetrics.kt
+++ b/src/main/kotlin/mountmast/transport/QueueMetrics.kt
@@ -1,15 +1,15 @@
 package mountmast.transport
 
 /**
- * Metrics of the requests that wait for a thread.
+ * Metrics of a queue of requests that wait for a thread.
  *
- * @property wait how long they waited
- * @property refused how many were refused
- * @property onQueue is given a function that returns how many wait at present
+ * @property wait how long each request waited, in milliseconds
+ * @property refused number of requests that were refused, because the queue was full or because they waited too long
+ * @property registerQueueSize called once with a function that returns how many requests wait at present
  */
-class QueueMetrics(val wait: Timing, val refused: Counter, val onQueue: (() -> Int) -> Unit) {
+class QueueMetrics(val wait: Timing, val refused: Counter, val registerQueueSize: (() -> Int) -> Unit) {
     companion object {
-        /** Counted, but exposed nowhere. */
+        /** Metrics that are recorded but not exposed. */
         val NONE = QueueMetrics(Timing(), Counter()) {}
     }
 }
--- a/src/main/kotlin/mountmast/transport/RequestBulkhead.kt
+++ b/src/main/kotlin/mountmast/transport/RequestBulkhead.kt
@@ -1,50 +1,51 @@
 package mountmast.transport
 
 /**
- * A bulkhead for the requests to one path: they have threads of their own, so that hundreds of them at once neither occupy all
- * threads nor compete for the processor with every other request.
+ * A bulkhead for the requests to paths with one prefix: they have threads and a queue of their own, so that hundreds of these requests
+ * at once neither occupy all threads nor compete for the processor with every other request.
  *
- * A request that has waited too long is refused without being handled: its sender is about to give up, and the time spent on it
- * is missing for requests that can still be answered in time.
+ * A request that has waited for [maxWaitMs] is refused without being handled: its sender is about to give up, and the processor time
+ * that it costs is better spent on requests that can still be answered in time.
  *
  * @property path prefix of the paths
  * @property threads number of threads that handle the requests
- * @property waiting the most requests that wait for a thread
- * @property patienceMs milliseconds after which a waiting request is refused
+ * @property maxWaiting maximum number of requests that wait for a thread
+ * @property metrics metrics of the requests that wait
+ * @property maxWaitMs milliseconds of waiting from which on a request is refused
  */
 class RequestBulkhead(
     val path: String,
     val threads: Int,
-    val waiting: Int,
+    val maxWaiting: Int,
     val metrics: QueueMetrics = QueueMetrics.NONE,
-    private val patienceMs: Long = Long.MAX_VALUE,
+    private val maxWaitMs: Long = Long.MAX_VALUE,
 ) {
-    /** Whether one more request may wait while [queued] do. */
-    fun admits(queued: Int): Boolean = queued < waiting
+    /** Whether one more request may wait while [queued] requests are waiting. */
+    fun admits(queued: Int): Boolean = queued < maxWaiting
 
-    /** Whether a request that has waited for [waitedMs] is still worth an answer. */
-    fun isWorthAnswering(waitedMs: Long): Boolean = waitedMs < patienceMs
+    /** Whether a request that has waited for [waitedMs] milliseconds is handled rather than refused. */
+    fun isWorthAnswering(waitedMs: Long): Boolean = waitedMs < maxWaitMs
 
     companion object {
-        /** Heartbeats are answered from memory, under the lock of the cluster state: more threads would only wait for one another. */
+        /** Heartbeats are answered from memory, under the lock of the cluster state: more threads would only contend for that lock. */
         private const val HEARTBEAT_THREADS = 4
 
-        /** Workers wait for four seconds; the rest is for the network, and for reading and answering. */
-        private const val HEARTBEAT_PATIENCE_MS = 3000L
+        /** Workers wait 4 seconds for the answer to a heartbeat; the other second is for the network, and for reading and answering it. */
+        private const val MAX_HEARTBEAT_WAIT_MS = 3000L
 
         /**
-         * Heartbeats are bounded by how long they wait, not by their number: each worker has one in flight, and one that is refused
-         * comes back sooner than one that is answered, at hardly less cost (docs/incidents/4000-machines.md, HeartbeatOverloadTest).
-         * This many only bound the memory.
+         * Only bounds the memory: what limits waiting heartbeats is how long they wait, not their number. Each worker has one heartbeat
+         * in flight, and a worker whose heartbeat was refused sends the next one sooner than one that got an answer, and a refusal costs
+         * hardly less than an answer (docs/incidents/4000-machines.md, HeartbeatOverloadTest).
          */
         private const val MAX_HEARTBEATS_WAITING = 16_384
 
-        /** The bulkhead of workers' heartbeats. */
+        /** Returns the bulkhead for workers' heartbeats. */
         fun forHeartbeats(metrics: QueueMetrics = QueueMetrics.NONE) =
-            RequestBulkhead(HEARTBEAT_PATH, HEARTBEAT_THREADS, MAX_HEARTBEATS_WAITING, metrics, HEARTBEAT_PATIENCE_MS)
+            RequestBulkhead(HEARTBEAT_PATH, HEARTBEAT_THREADS, MAX_HEARTBEATS_WAITING, metrics, MAX_HEARTBEAT_WAIT_MS)
 
-        /** The bulkhead of all requests that no other takes. */
-        fun forOthers(threads: Int, waiting: Int, metrics: QueueMetrics = QueueMetrics.NONE) =
-            RequestBulkhead("/", threads, waiting, metrics)
+        /** Returns the bulkhead for all requests that no bulkhead with a longer prefix takes. */
+        fun forOthers(threads: Int, maxWaiting: Int, metrics: QueueMetrics = QueueMetrics.NONE) =
+            RequestBulkhead("/", threads, maxWaiting, metrics)
     }
 }
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -13,7 +13,7 @@
 
 private val log = LoggerFactory.getLogger("mountmast.transport")
 
-/** Path of submissions; a job has its own path below. */
+/** Path of job submissions; the path of a job is this path, a slash and the job's id. */
 internal const val JOBS_PATH = "/v1/jobs"
 
 /** Path of workers' heartbeats. */
@@ -22,13 +22,13 @@
 /** Path of the metrics. */
 internal const val METRICS_PATH = "/metrics"
 
-/** Suffix of the path that cancels a job. */
+/** Suffix that is added to the path of a job to cancel the job. */
 internal const val CANCEL_SUFFIX = "/cancel"
 
-/** Returns the handler of all that is served to users, workers and health checks. */
+/** Returns the handler of all requests of users and workers, health checks and reads of the metrics. */
 fun publicRoutes(users: UserService, heartbeats: HeartbeatService, admission: AdmissionLimits, metrics: Metrics = Metrics()): HttpHandler {
     val answeredHeartbeats = metrics.counter(MetricNames.HEARTBEATS_ANSWERED)
-    return timed(guarded { request -> route(request, users, heartbeats, admission, metrics, answeredHeartbeats) })
+    return logSlowRequests(answerExceptions { request -> route(request, users, heartbeats, admission, metrics, answeredHeartbeats) })
 }
 
 private fun route(
@@ -41,34 +41,34 @@
 ): Response {
     val path = request.uri.path
     return when {
-        path == HEARTBEAT_PATH -> request.only(Method.POST) {
+        path == HEARTBEAT_PATH -> request.requireMethod(Method.POST) {
             answeredHeartbeats.add()
-            onHeartbeat(request, heartbeats)
+            handleHeartbeat(request, heartbeats)
         }
-        path == "/ready" -> request.only(Method.GET) {
+        path == "/ready" -> request.requireMethod(Method.GET) {
             if (users.isReady()) json(200, "ready") else json(503, "not ready", retryAfterS = 1)
         }
-        path == METRICS_PATH -> request.only(Method.GET) { text(metrics.render()) }
-        path == JOBS_PATH -> request.only(Method.POST) {
-            val body = request.boundedBody() ?: return@only json(400, errorBody("body: over 64 KiB"))
+        path == METRICS_PATH -> request.requireMethod(Method.GET) { text(metrics.render()) }
+        path == JOBS_PATH -> request.requireMethod(Method.POST) {
+            val body = request.readBoundedBody() ?: return@requireMethod json(400, errorBody("body: over 64 KiB"))
             admission.submissions.admit { users.submit(body, isForwarded = false) }.toResponse()
         }
-        path.startsWith("$JOBS_PATH/") && path.endsWith(CANCEL_SUFFIX) -> request.only(Method.POST) {
+        path.startsWith("$JOBS_PATH/") && path.endsWith(CANCEL_SUFFIX) -> request.requireMethod(Method.POST) {
             users.cancel(path.removePrefix("$JOBS_PATH/").removeSuffix(CANCEL_SUFFIX), isForwarded = false).toResponse()
         }
-        path.startsWith("$JOBS_PATH/") -> request.only(Method.GET) {
+        path.startsWith("$JOBS_PATH/") -> request.requireMethod(Method.GET) {
             admission.polls.admit { users.status(path.removePrefix("$JOBS_PATH/"), isForwarded = false) }.toResponse()
         }
         else -> json(404, errorBody("no such path"))
     }
 }
 
-private fun onHeartbeat(request: Request, heartbeats: HeartbeatService): Response {
-    val body = request.boundedBody() ?: return json(400, errorBody("body: over 64 KiB"))
+private fun handleHeartbeat(request: Request, heartbeats: HeartbeatService): Response {
+    val body = request.readBoundedBody() ?: return json(400, errorBody("body: over 64 KiB"))
     val heartbeat = try {
         WireJson.decodeFromString<Heartbeat>(body)
     } catch (e: IllegalArgumentException) {
-        log.warn("malformed report: {}", e.message?.lineSequence()?.firstOrNull())
+        log.warn("malformed heartbeat: {}", e.message?.lineSequence()?.firstOrNull())
         return json(400, errorBody("malformed report"))
     }
     return when (val outcome = heartbeats.onHeartbeat(heartbeat)) {
--- a/src/main/kotlin/mountmast/transport/WorkerClient.kt
+++ b/src/main/kotlin/mountmast/transport/WorkerClient.kt
@@ -7,33 +7,33 @@
 import mountmast.protocol.WireJson
 import java.net.InetSocketAddress
 
-/** The outcome of commands that were sent to a worker. */
+/** The outcome of a request with commands to a worker. */
 sealed interface CommandOutcome {
-    /** They were executed; [heartbeat] is the worker's answer. */
+    /** The worker executed the commands and answered with [heartbeat]. */
     data class Executed(val heartbeat: Heartbeat) : CommandOutcome
 
-    /** None was executed: the worker has seen a higher token, or is of another incarnation. */
+    /** The worker executed no command, as it has seen a higher fencing token or is of another incarnation; it answered with [heartbeat]. */
     data class Rejected(val heartbeat: Heartbeat) : CommandOutcome
 
     /** The request never left this node. */
     data object NotSent : CommandOutcome
 
-    /** They may have been executed, may be executed later, or never. */
+    /** The commands may have been executed, may be executed later, or may never be. */
     data object Unknown : CommandOutcome
 }
 
 /** Sends commands directly to workers. Thread-safe. */
 fun interface WorkerClient {
-    /** Sends [message] to the worker at [address], which is `HOST:PORT`. */
+    /** Sends [message] to the worker at [address] (`HOST:PORT`) and returns the outcome; does not throw if the call fails. */
     fun send(address: String, message: CommandRequest): CommandOutcome
 }
 
 /** Sends commands to workers over HTTP. */
 class HttpWorkerClient(private val caller: HttpCaller = HttpCaller(connectMs = 700)) : WorkerClient {
     override fun send(address: String, message: CommandRequest): CommandOutcome {
-        val to = parse(address) ?: return CommandOutcome.NotSent
+        val to = parseAddress(address) ?: return CommandOutcome.NotSent
         try {
-            val reply = caller.call(to, "POST", "/orders", WireJson.encodeToString(message).encodeToByteArray(), WAIT_MS)
+            val reply = caller.call(to, "POST", "/orders", WireJson.encodeToString(message).encodeToByteArray(), TIMEOUT_MS)
             return when (reply.status) {
                 200 -> CommandOutcome.Executed(WireJson.decodeFromString<Heartbeat>(reply.text))
                 409 -> CommandOutcome.Rejected(WireJson.decodeFromString<Heartbeat>(reply.text))
@@ -46,13 +46,13 @@
         }
     }
 
-    private fun parse(address: String): InetSocketAddress? {
+    private fun parseAddress(address: String): InetSocketAddress? {
         val colon = address.lastIndexOf(':')
         val port = address.substring(colon + 1).toIntOrNull()
         return if (colon <= 0 || port == null || port !in 1..65535) null else InetSocketAddress(address.substring(0, colon), port)
     }
 
     private companion object {
-        const val WAIT_MS = 1500
+        const val TIMEOUT_MS = 1500
     }
 }
--- a/src/test/kotlin/mountmast/transport/BoundedServerTest.kt
+++ b/src/test/kotlin/mountmast/transport/BoundedServerTest.kt
@@ -23,57 +23,58 @@
     fun `beyond its threads and waiting requests a server refuses at once, and serves again afterwards`() {
         val entered = CountDownLatch(THREADS)
         val release = CountDownLatch(1)
-        val inside = AtomicInteger()
-        var mostInside = 0
+        val handling = AtomicInteger()
+        var maxHandling = 0
         val server = { _: org.http4k.core.Request ->
-            synchronized(inside) { mostInside = maxOf(mostInside, inside.incrementAndGet()) }
+            synchronized(handling) { maxHandling = maxOf(maxHandling, handling.incrementAndGet()) }
             entered.countDown()
             release.await(20, TimeUnit.SECONDS)
-            inside.decrementAndGet()
+            handling.decrementAndGet()
             Response(Status.OK).body("served")
-        }.startWith()
+        }.startWithBulkheads()
         val at = server.address()
         val outcomes = ConcurrentLinkedQueue<String>()
-        fun ask() = thread {
+        fun sendRequest() = thread {
             outcomes += try {
                 HttpCaller().call(at, "GET", "/", null, 15_000).text
             } catch (e: NoAnswerException) {
                 "refused"
             }
         }
-        val first = List(THREADS) { ask() }
+        val first = List(THREADS) { sendRequest() }
         assertTrue(entered.await(10, TimeUnit.SECONDS))
-        val rest = List(WAITING + 6) { ask() }
+        val rest = List(WAITING + 6) { sendRequest() }
         while (outcomes.size < 6) Thread.sleep(10)
         assertEquals(List(6) { "refused" }, outcomes.toList())
         release.countDown()
         (first + rest).forEach { it.join() }
         assertEquals(THREADS + WAITING, outcomes.count { it == "served" })
-        assertEquals(THREADS, mostInside)
+        assertEquals(THREADS, maxHandling)
         assertEquals("served", HttpCaller().call(at, "GET", "/", null, 5000).text)
         server.stop()
     }
 
     @Test
-    fun `a bulkhead that is full refuses at once with a time to come back, and keeps nobody else from being served`() {
+    fun `a full bulkhead refuses at once with a Retry-After header, and requests to other paths are served`() {
         val entered = CountDownLatch(1)
         val release = CountDownLatch(1)
         var queued = { 0 }
-        val bulkhead = RequestBulkhead("/slow", threads = 1, waiting = 2, QueueMetrics(Timing(), Counter()) { queued = it })
+        val bulkhead = RequestBulkhead("/slow", threads = 1, maxWaiting = 2, QueueMetrics(Timing(), Counter()) { queued = it })
         val server = { request: org.http4k.core.Request ->
             if (request.uri.path == "/slow") {
                 entered.countDown()
                 release.await(20, TimeUnit.SECONDS)
             }
             Response(Status.OK).body("served")
-        }.startWith(bulkhead)
+        }.startWithBulkheads(bulkhead)
         val at = server.address()
         val answers = ConcurrentLinkedQueue<Int>()
-        fun askSlow() = thread { answers += HttpCaller().call(at, "GET", "/slow", null, 30_000).status }
-        val first = askSlow()
+        fun sendSlowRequest() = thread { answers += HttpCaller().call(at, "GET", "/slow", null, 30_000).status }
+        val first = sendSlowRequest()
         assertTrue(entered.await(10, TimeUnit.SECONDS))
-        // More than the server has threads: none of them is held. They come one after the other, as the server's own bound is near.
-        val rest = List(2) { askSlow() }
+        // As many requests as the server has threads wait, and none of these threads is held. Further requests are sent one after the
+        // other, as concurrent ones could exceed the server's own bound.
+        val rest = List(2) { sendSlowRequest() }
         while (queued() < 2) Thread.sleep(10)
         repeat(THREADS + 4) { assertEquals(503, HttpCaller().call(at, "GET", "/slow", null, 5000).status) }
         assertEquals(emptyList<Int>(), answers.toList())
@@ -94,19 +95,19 @@
         val handled = AtomicInteger()
         var queued = { 0 }
         val metrics = QueueMetrics(Timing(), Counter()) { queued = it }
-        val bulkhead = RequestBulkhead("/slow", threads = 1, waiting = 10, metrics, patienceMs = 300)
+        val bulkhead = RequestBulkhead("/slow", threads = 1, maxWaiting = 10, metrics, maxWaitMs = 300)
         val server = { _: org.http4k.core.Request ->
             handled.incrementAndGet()
             entered.countDown()
             release.await(20, TimeUnit.SECONDS)
             Response(Status.OK).body("served")
-        }.startWith(bulkhead)
+        }.startWithBulkheads(bulkhead)
         val at = server.address()
         val answers = ConcurrentLinkedQueue<Int>()
-        fun ask() = thread { answers += HttpCaller().call(at, "GET", "/slow", null, 30_000).status }
-        val first = ask()
+        fun sendRequest() = thread { answers += HttpCaller().call(at, "GET", "/slow", null, 30_000).status }
+        val first = sendRequest()
         assertTrue(entered.await(10, TimeUnit.SECONDS))
-        val late = List(2) { ask() }
+        val late = List(2) { sendRequest() }
         while (queued() < 2) Thread.sleep(10)
         Thread.sleep(400)
         release.countDown()
@@ -118,7 +119,7 @@
         server.stop()
     }
 
-    private fun HttpHandler.startWith(vararg bulkheads: RequestBulkhead): Http4kServer = asServer(
+    private fun HttpHandler.startWithBulkheads(vararg bulkheads: RequestBulkhead): Http4kServer = asServer(
         BoundedServer(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), "test", THREADS, WAITING, bulkheads.toList()),
     ).start()
 
--- a/src/test/kotlin/mountmast/transport/ConnectionBudgetTest.kt
+++ b/src/test/kotlin/mountmast/transport/ConnectionBudgetTest.kt
@@ -6,15 +6,15 @@
 
 class ConnectionBudgetTest {
     @Test
-    fun `every worker of the largest fleet keeps its connection, and the node keeps sockets of its own`() {
-        // With half of the sockets for idle connections, those of 1,680 workers were closed and opened again and again.
+    fun `every worker of the largest fleet keeps its connection, and outbound connections stay reserved`() {
+        // When only half of the connections could be idle, those of 1,680 workers were closed and opened again and again.
         val large = ConnectionBudget.of(2709)
         assertTrue(large.idle >= 1680 + 400, "$large")
-        for (most in listOf(16, 100, 800, 1800, 2709, 3265)) {
-            val sockets = ConnectionBudget.of(most)
-            assertTrue(sockets.accepted in 1..most && sockets.idle <= sockets.accepted, "$sockets")
-            assertTrue(most < 100 || sockets.accepted + sockets.deliveryThreads < most - 30, "$sockets")
-            assertTrue(sockets.waiting <= 1024 && sockets.deliveryThreads <= 16, "bounds do not grow with the fleet: $sockets")
+        for (total in listOf(16, 100, 800, 1800, 2709, 3265)) {
+            val budget = ConnectionBudget.of(total)
+            assertTrue(budget.accepted in 1..total && budget.idle <= budget.accepted, "$budget")
+            assertTrue(total < 100 || budget.accepted + budget.deliveryThreads < total - 30, "$budget")
+            assertTrue(budget.waiting <= 1024 && budget.deliveryThreads <= 16, "bounds do not grow with the fleet: $budget")
         }
         assertEquals(5, ConnectionBudget.of(800).deliveryThreads)
     }
--- a/src/test/kotlin/mountmast/transport/HeartbeatLoad.kt
+++ b/src/test/kotlin/mountmast/transport/HeartbeatLoad.kt
@@ -4,112 +4,112 @@
 import kotlin.random.Random
 
 /**
- * Workers that report to one node, as PROTOCOL describes them, and the processor of that node, in virtual time. Requests are read
- * by [readers] threads; whether a report may wait, and whether it is answered, is [bulkhead]'s to say. A worker that is refused or not
- * answered in time asks the next node, which sends it back.
+ * Simulates in virtual time workers that send heartbeats to one node, as PROTOCOL describes it, and the processor of that node. Requests
+ * are read by [readerThreads] threads; [bulkhead] decides whether a heartbeat may wait and whether it is answered. A worker whose
+ * heartbeat is refused or not answered in time turns to the next node, which redirects it back.
  */
-class HeartbeatLoad(seed: Long, workers: Int, private val readers: Int, private val bulkhead: RequestBulkhead) {
-    private class Worker(var answeredSentAt: Long = 0, var awaited: Request? = null)
+class HeartbeatLoad(seed: Long, workers: Int, private val readerThreads: Int, private val bulkhead: RequestBulkhead) {
+    private class Worker(var renewedAt: Long = 0, var pendingRequest: Request? = null)
 
     private class Request(val worker: Worker, val sentAt: Long, var queuedAt: Long = 0)
 
-    private class Event(val at: Long, val act: () -> Unit)
+    private class Event(val at: Long, val action: () -> Unit)
 
     private val random = Random(seed)
     private val events = PriorityQueue<Event>(compareBy { it.at })
     private var nowMicros = 0L
-    private var stoppedUntil = 0L
+    private var pausedUntil = 0L
     private val unread = ArrayDeque<Request>()
     private val queue = ArrayDeque<Request>()
     private var isBusy = false
     private var answeredInTime = 0
     private var sent = 0
 
-    /** How many times a worker's lease ran out. */
-    var leasesLost = 0
+    /** Number of times that a worker's lease expired. */
+    var expiredLeases = 0
         private set
 
-    /** How many of the reports sent were answered before their worker gave up. */
+    /** Share of the heartbeats sent that were answered before the worker's timeout, from 0 to 1. */
     val answeredShare: Double get() = answeredInTime.toDouble() / maxOf(1, sent)
 
     init {
         val all = List(workers) { Worker() }
-        for (worker in all) later(random.nextLong(HEARTBEAT_MICROS)) { send(worker) }
+        for (worker in all) schedule(random.nextLong(HEARTBEAT_MICROS)) { send(worker) }
         checkLeases(all)
     }
 
-    private fun later(inMicros: Long, act: () -> Unit) {
-        events += Event(nowMicros + inMicros, act)
+    private fun schedule(delayMicros: Long, action: () -> Unit) {
+        events += Event(nowMicros + delayMicros, action)
     }
 
-    /** Lets [ms] pass. */
+    /** Runs the simulation for [ms] milliseconds of virtual time. */
     fun run(ms: Long) {
         val until = nowMicros + ms * MICROS_PER_MS
         while (true) {
             val next = events.peek()?.takeIf { it.at <= until } ?: break
             events.poll()
             nowMicros = maxOf(nowMicros, next.at)
-            next.act()
+            next.action()
         }
         nowMicros = until
     }
 
-    /** The node does nothing for [ms]. */
-    fun stop(ms: Long) {
-        stoppedUntil = nowMicros + ms * MICROS_PER_MS
-        later(ms * MICROS_PER_MS) { work() }
+    /** Stops the node's processor for the next [ms] milliseconds; returns at once. */
+    fun pause(ms: Long) {
+        pausedUntil = nowMicros + ms * MICROS_PER_MS
+        schedule(ms * MICROS_PER_MS) { startNextOperation() }
     }
 
-    /** Counts from here on. */
-    fun forgetLosses() {
-        leasesLost = 0
+    /** Sets all counts to zero. */
+    fun resetCounts() {
+        expiredLeases = 0
         answeredInTime = 0
         sent = 0
     }
 
     private fun checkLeases(all: List<Worker>) {
         for (worker in all) {
-            if (nowMicros - worker.answeredSentAt <= LEASE_MICROS) continue
-            leasesLost++
-            worker.answeredSentAt = nowMicros
+            if (nowMicros - worker.renewedAt <= LEASE_MICROS) continue
+            expiredLeases++
+            worker.renewedAt = nowMicros
         }
-        later(MICROS_PER_S) { checkLeases(all) }
+        schedule(MICROS_PER_S) { checkLeases(all) }
     }
 
     private fun send(worker: Worker) {
         val request = Request(worker, nowMicros)
-        worker.awaited = request
+        worker.pendingRequest = request
         sent++
         unread += request
-        later(PATIENCE_MICROS) { if (worker.awaited === request) giveUp(worker) }
-        work()
+        schedule(TIMEOUT_MICROS) { if (worker.pendingRequest === request) retryLater(worker) }
+        startNextOperation()
     }
 
-    /** Another node says at once who leads. */
-    private fun giveUp(worker: Worker) {
-        worker.awaited = null
-        later(MICROS_PER_S + random.nextLong(MICROS_PER_S / 2)) { send(worker) }
+    /** Has [worker] send its next heartbeat after 1 to 1.5 seconds: another node answers at once with the leader's name. */
+    private fun retryLater(worker: Worker) {
+        worker.pendingRequest = null
+        schedule(MICROS_PER_S + random.nextLong(MICROS_PER_S / 2)) { send(worker) }
     }
 
-    /** The processor does one piece of work at a time, and is fair to the threads that have some. */
-    private fun work() {
-        if (isBusy || nowMicros < stoppedUntil) return
-        val reading = minOf(readers, unread.size)
+    /** Starts the next operation if the processor is free: it executes one at a time, of a thread chosen at random among the busy ones. */
+    private fun startNextOperation() {
+        if (isBusy || nowMicros < pausedUntil) return
+        val reading = minOf(readerThreads, unread.size)
         val answering = minOf(bulkhead.threads, queue.size)
         if (reading + answering == 0) return
         if (random.nextInt(reading + answering) < reading) read(unread.removeFirst()) else answer(queue.removeFirst())
     }
 
-    private fun spend(micros: Long, act: () -> Unit) {
+    private fun execute(micros: Long, action: () -> Unit) {
         isBusy = true
-        later(micros) {
+        schedule(micros) {
             isBusy = false
-            act()
-            work()
+            action()
+            startNextOperation()
         }
     }
 
-    private fun read(request: Request) = spend(READ_MICROS) {
+    private fun read(request: Request) = execute(READ_MICROS) {
         request.queuedAt = nowMicros
         if (bulkhead.admits(queue.size)) queue += request else refuse(request)
     }
@@ -117,36 +117,36 @@
     private fun answer(request: Request) {
         val waitedMs = (nowMicros - request.queuedAt) / MICROS_PER_MS
         if (!bulkhead.isWorthAnswering(waitedMs)) return refuse(request)
-        spend(ANSWER_MICROS) { answered(request) }
+        execute(ANSWER_MICROS) { onAnswered(request) }
     }
 
-    private fun refuse(request: Request) = spend(REFUSE_MICROS) {
-        if (request.worker.awaited === request) giveUp(request.worker)
+    private fun refuse(request: Request) = execute(REFUSE_MICROS) {
+        if (request.worker.pendingRequest === request) retryLater(request.worker)
     }
 
-    private fun answered(request: Request) {
+    private fun onAnswered(request: Request) {
         val worker = request.worker
-        if (worker.awaited !== request) return
-        worker.awaited = null
-        worker.answeredSentAt = request.sentAt
+        if (worker.pendingRequest !== request) return
+        worker.pendingRequest = null
+        worker.renewedAt = request.sentAt
         answeredInTime++
-        // Every fourth report tells of a change, the others are due.
-        val next = if (random.nextInt(CHANGES_ONE_IN) == 0) CHANGE_MICROS else HEARTBEAT_MICROS * random.nextLong(75, 125) / 100
-        later(next) { send(worker) }
+        // One in four heartbeats reports a change and is sent early; the others are sent at the regular interval.
+        val next = if (random.nextInt(HEARTBEATS_PER_CHANGE) == 0) CHANGE_MICROS else HEARTBEAT_MICROS * random.nextLong(75, 125) / 100
+        schedule(next) { send(worker) }
     }
 
     private companion object {
         const val MICROS_PER_MS = 1000L
         const val MICROS_PER_S = 1_000_000L
 
-        /** What a worker does, by the settings of the largest sites. */
+        /** Behaviour of a worker with the settings of the largest sites. */
         const val HEARTBEAT_MICROS = 5 * MICROS_PER_S
         const val CHANGE_MICROS = 500 * MICROS_PER_MS
-        const val CHANGES_ONE_IN = 4
+        const val HEARTBEATS_PER_CHANGE = 4
         const val LEASE_MICROS = 26_500 * MICROS_PER_MS
-        const val PATIENCE_MICROS = 4 * MICROS_PER_S
+        const val TIMEOUT_MICROS = 4 * MICROS_PER_S
 
-        /** Measured processor time, at a quarter of a core: reading a request, answering a report, and refusing one unread. */
+        /** Measured processor times on a quarter of a core: reading a request, answering a heartbeat, and refusing one unread. */
         const val READ_MICROS = 400L
         const val ANSWER_MICROS = 500L
         const val REFUSE_MICROS = 200L
--- a/src/test/kotlin/mountmast/transport/HeartbeatOverloadTest.kt
+++ b/src/test/kotlin/mountmast/transport/HeartbeatOverloadTest.kt
@@ -5,28 +5,29 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A leader whose processor takes hardly more reports than its workers send, in virtual time: after a stop of some seconds, in
- * which all of them give up and come back at once, it must serve them all again. The figures are those of a fleet of 4,000 machines
- * on a quarter of a core: what a report costs, and what a refused one costs, were measured.
+ * Guards against a leader that stays overloaded by heartbeats, in virtual time. Its processor can answer hardly more heartbeats than
+ * its workers send. During a pause of some seconds all workers' heartbeats time out, and all workers send again at once; the leader
+ * must then renew all leases again. The figures are those of a fleet of 4,000 machines and a leader with a quarter of a core; the
+ * processor times of an answered and of a refused heartbeat were measured.
  */
 class HeartbeatOverloadTest {
-    private fun play(seed: Long, stopMs: Long): HeartbeatLoad {
+    private fun simulate(seed: Long, pauseMs: Long): HeartbeatLoad {
         val load = HeartbeatLoad(seed, WORKERS, BoundedServer.PUBLIC_READERS, RequestBulkhead.forHeartbeats())
         load.run(20_000)
-        assertEquals(0, load.leasesLost, "leases lost before the stop, seed $seed")
-        load.stop(stopMs)
+        assertEquals(0, load.expiredLeases, "leases expired before the pause, seed $seed")
+        load.pause(pauseMs)
         load.run(60_000)
-        load.forgetLosses()
+        load.resetCounts()
         load.run(60_000)
         return load
     }
 
     @Test
-    fun `after a stop of the leader all workers are answered again`() {
+    fun `after a pause of the leader the heartbeats of all workers are answered again`() {
         for (seed in 1L..4L) {
-            val load = play(seed, stopMs = 6000)
-            assertEquals(0, load.leasesLost, "leases lost from a minute after the stop on, seed $seed")
-            assertTrue(load.answeredShare > 0.95, "${load.answeredShare} of the reports were answered in time, seed $seed")
+            val load = simulate(seed, pauseMs = 6000)
+            assertEquals(0, load.expiredLeases, "leases expired from a minute after the pause on, seed $seed")
+            assertTrue(load.answeredShare > 0.95, "${load.answeredShare} of the heartbeats were answered in time, seed $seed")
         }
     }
 
--- a/src/test/kotlin/mountmast/transport/MetricsTest.kt
+++ b/src/test/kotlin/mountmast/transport/MetricsTest.kt
@@ -8,7 +8,7 @@
     private val metrics = Metrics()
 
     @Test
-    fun `counters, durations and gauges are rendered one a line, by name`() {
+    fun `counters, durations and gauges are rendered one per line, each kind sorted by name`() {
         metrics.counter("b").add(3)
         metrics.counter("b").add()
         metrics.timing("a").record(20)
@@ -21,7 +21,7 @@
     }
 
     @Test
-    fun `the longest duration is taken once`() {
+    fun `the longest duration is reset when it is read`() {
         val timing = metrics.timing("t")
         listOf(4L, 9L, 2L).forEach(timing::record)
         assertEquals(9, timing.readAndResetLongestMs())
@@ -29,12 +29,12 @@
     }
 
     @Test
-    fun `a gauge that nobody registered is zero`() {
+    fun `the value of a gauge that is not registered is zero`() {
         assertEquals(0, metrics.gaugeValue("none"))
     }
 
     @Test
-    fun `many threads lose no count`() {
+    fun `concurrent additions to a counter are all counted`() {
         val threads = List(8) { kotlin.concurrent.thread { repeat(1000) { metrics.counter("n").add() } } }
         threads.forEach { it.join() }
         assertTrue(metrics.counter("n").value == 8000L)
--- a/src/test/kotlin/mountmast/transport/PeerClientTest.kt
+++ b/src/test/kotlin/mountmast/transport/PeerClientTest.kt
@@ -13,8 +13,8 @@
 
 class PeerClientTest {
     @Test
-    fun `a greeting is answered, and nonsense or silence counts as no answer`() {
-        var nonsense = false
+    fun `a heartbeat is answered, and a malformed answer or none at all returns null`() {
+        var isMalformed = false
         val own = PeerHeartbeat("n-2", 7, serves = true, leads = false)
         val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0)
         val users = object : UserService {
@@ -23,9 +23,9 @@
             override fun cancel(id: String, isForwarded: Boolean) = UserAnswer(200, "{}")
             override fun isReady() = true
         }
-        val real = org.http4k.server.HttpExchangeHandler(peerRoutes(users) { own })
+        val wellFormed = org.http4k.server.HttpExchangeHandler(peerRoutes(users) { own })
         server.createContext("/") { exchange ->
-            if (!nonsense) return@createContext real.handle(exchange)
+            if (!isMalformed) return@createContext wellFormed.handle(exchange)
             exchange.sendResponseHeaders(200, 3)
             exchange.responseBody.use { it.write(byteArrayOf(-1, -1, -1)) }
         }
@@ -33,7 +33,7 @@
         val member = Member(NodeId("n-2"), Zone("a"), InetSocketAddress(InetAddress.getLoopbackAddress(), server.address.port))
         val heartbeat = PeerHeartbeat("n-1", 3, serves = false, leads = true)
         assertEquals(own, HttpPeerClient().exchangeHeartbeats(member, heartbeat))
-        nonsense = true
+        isMalformed = true
         assertNull(HttpPeerClient().exchangeHeartbeats(member, heartbeat))
         server.stop(0)
         assertNull(HttpPeerClient().exchangeHeartbeats(member, heartbeat))
--- a/src/test/kotlin/mountmast/transport/RoutesTest.kt
+++ b/src/test/kotlin/mountmast/transport/RoutesTest.kt
@@ -15,7 +15,7 @@
 
 class RoutesTest {
     private val blocked = CountDownLatch(1)
-    private val entered = CountDownLatch(MOST)
+    private val entered = CountDownLatch(LIMIT)
 
     private inner class Users : UserService {
         override fun submit(body: String, isForwarded: Boolean): UserAnswer {
@@ -23,7 +23,7 @@
                 entered.countDown()
                 blocked.await(10, TimeUnit.SECONDS)
             }
-            if (body == "burst") error("on purpose")
+            if (body == "fail") error("on purpose")
             return UserAnswer(201, "{}")
         }
 
@@ -32,7 +32,7 @@
         override fun isReady() = true
     }
 
-    private val beats = HeartbeatService { heartbeat: Heartbeat ->
+    private val heartbeatService = HeartbeatService { heartbeat: Heartbeat ->
         if (heartbeat.machine.text ==
             "vm-1"
         ) {
@@ -41,7 +41,7 @@
             HeartbeatOutcome.Elsewhere(NodeId("n-2"))
         }
     }
-    private val routes = publicRoutes(Users(), beats, AdmissionLimits(AdmissionLimit(MOST, MOST), AdmissionLimit(MOST, MOST)))
+    private val routes = publicRoutes(Users(), heartbeatService, AdmissionLimits(AdmissionLimit(LIMIT, LIMIT), AdmissionLimit(LIMIT, LIMIT)))
 
     private fun call(method: Method, path: String, body: String = "") = routes(Request(method, path).body(body))
 
@@ -49,7 +49,7 @@
         """"watch":1,"tally":1,"helm":0,"pieces":[],"more":1}"""
 
     @Test
-    fun `paths and methods are told apart`() {
+    fun `each path and method has its status, and a body over the limit is refused`() {
         assertEquals(404, call(Method.GET, "/nothing").status.code)
         assertEquals(405, call(Method.GET, "/v1/jobs").status.code)
         assertEquals(405, call(Method.POST, "/v1/jobs/j-1").status.code)
@@ -57,7 +57,7 @@
         assertEquals("j-1", call(Method.POST, "/v1/jobs/j-1/cancel").bodyString())
         assertEquals(400, call(Method.POST, "/v1/jobs", "x".repeat(MAX_BODY_BYTES + 1)).status.code)
         assertEquals(201, call(Method.POST, "/v1/jobs", "x".repeat(MAX_BODY_BYTES)).status.code)
-        assertEquals(500, call(Method.POST, "/v1/jobs", "burst").status.code)
+        assertEquals(500, call(Method.POST, "/v1/jobs", "fail").status.code)
     }
 
     @Test
@@ -65,20 +65,20 @@
         assertEquals("""{"helm":7,"orders":[]}""", call(Method.POST, "/agent/beat", heartbeat("vm-1")).bodyString())
         val elsewhere = call(Method.POST, "/agent/beat", heartbeat("vm-2"))
         assertEquals(421 to """{"bridge":"n-2"}""", elsewhere.status.code to elsewhere.bodyString())
-        for (absurd in listOf(
+        for (malformedBody in listOf(
             "",
             "[]",
             "{}",
             heartbeat("vm-1").replace("\"watch\":1", "\"watch\":-1"),
             heartbeat("vm-1").replace("\"watch\":1", "\"watch\":\"x\""),
         )) {
-            assertEquals(400, call(Method.POST, "/agent/beat", absurd).status.code, absurd)
+            assertEquals(400, call(Method.POST, "/agent/beat", malformedBody).status.code, malformedBody)
         }
     }
 
     @Test
-    fun `over the limit submissions are refused at once, while the rest is served`() {
-        val busy = List(MOST) { thread { call(Method.POST, "/v1/jobs", "block") } }
+    fun `submissions over the limit are refused at once, while other requests are served`() {
+        val busy = List(LIMIT) { thread { call(Method.POST, "/v1/jobs", "block") } }
         assertTrue(entered.await(10, TimeUnit.SECONDS))
         val refused = call(Method.POST, "/v1/jobs", "{}")
         assertEquals(429, refused.status.code)
@@ -92,6 +92,6 @@
     }
 
     private companion object {
-        const val MOST = 4
+        const val LIMIT = 4
     }
 }
