--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -44,10 +44,10 @@
     // requests. Heartbeats may wait in a queue before their body is read.
     System.setProperty("sun.net.httpserver.maxReqTime", "10")
     val connectionBudget = ConnectionBudget.of(settings.maxConnections)
-    System.setProperty("sun.net.httpserver.maxIdleConnections", connectionBudget.idle.toString())
+    System.setProperty("sun.net.httpserver.maxIdleConnections", connectionBudget.maxIdle.toString())
     // Seconds after which an idle connection is closed.
     System.setProperty("sun.net.httpserver.idleInterval", "60")
-    System.setProperty("jdk.httpserver.maxConnections", connectionBudget.accepted.toString())
+    System.setProperty("jdk.httpserver.maxConnections", connectionBudget.maxInbound.toString())
     val metrics = Metrics()
     val runId = SecureRandom().nextLong().toULong().toString(Character.MAX_RADIX)
     val store = HttpStateStore(settings.state, settings.stateLimits, settings.nodes, metrics = metrics)
--- a/src/main/kotlin/mountmast/coordination/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/HeartbeatRouter.kt
@@ -25,7 +25,7 @@
         // The components follow the lease a moment later, and until then belong to no term or a former one.
         val leaderTerm = leader.get()?.leaderTerm?.takeIf { it.leaderLease === leaderLease }
         val isSuperseded = !election.mayRenewWorkerLeases() || heartbeat.token.term > leaderLease.token.term
-        if (isSuperseded || leaderTerm == null || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Elsewhere(null)
+        if (isSuperseded || leaderTerm == null || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Redirected(null)
         return HeartbeatOutcome.Accepted(respond(heartbeat, leaderTerm, leaderLease))
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -40,10 +40,10 @@
         // When all workers connect at once, after an election, users would wait behind hundreds of heartbeats.
         val bulkheads = listOf(
             RequestBulkhead.forHeartbeats(heartbeatQueueMetrics()),
-            RequestBulkhead.forOthers(USER_THREADS, connectionBudget.waiting, requestQueueMetrics()),
+            RequestBulkhead.forOthers(USER_THREADS, connectionBudget.maxWaitingRequests, requestQueueMetrics()),
         )
         publicRoutes(controller.users, controller, admission, metrics)
-            .asServer(BoundedServer(settings.serveOn, "serve", BoundedServer.PUBLIC_READERS, connectionBudget.accepted, bulkheads))
+            .asServer(BoundedServer(settings.serveOn, "serve", BoundedServer.PUBLIC_READER_THREADS, connectionBudget.maxInbound, bulkheads))
             .start()
         peerRoutes(controller.users, controller)
             .asServer(BoundedServer(settings.peerListen, "peer", PEER_THREADS, PEER_WAITING)).start()
--- a/src/main/kotlin/mountmast/coordination/workers/LeaseRenewalDelegate.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaseRenewalDelegate.kt
@@ -29,7 +29,7 @@
      */
     fun renewOnBehalf(heartbeat: Heartbeat): HeartbeatOutcome {
         val token = election.delegatedToken()
-        if (token == null || !claimRenewal(heartbeat, token)) return HeartbeatOutcome.Elsewhere(election.leader)
+        if (token == null || !claimRenewal(heartbeat, token)) return HeartbeatOutcome.Redirected(election.leader)
         return HeartbeatOutcome.Accepted(HeartbeatResponse(maxOf(token, heartbeat.token), stopCommandsFor(heartbeat)))
     }
 
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -72,7 +72,7 @@
     override fun list(prefix: String, after: String?, limit: Int): EntryPage {
         val from = after?.let { "&from=$it" } ?: ""
         val reply = call("GET", "/store?starts=$prefix$from&page=$limit", null)
-        if (!reply.ok) throw unavailable(reply)
+        if (!reply.isOk) throw unavailable(reply)
         val page = decode<PageBody>(reply)
         return EntryPage(page.items.map { it.toEntry() }, page.more, page.revision)
     }
@@ -90,7 +90,7 @@
         )
         val reply = call("POST", "/commit", WireJson.encodeToString(body))
         return when {
-            reply.ok -> TransactionResult.Committed(decode<RevisionBody>(reply).revision)
+            reply.isOk -> TransactionResult.Committed(decode<RevisionBody>(reply).revision)
             reply.status == 409 -> TransactionResult.CompareFailed(decode<CompareFailedBody>(reply).failed)
             reply.status == 400 && "no such lease" in reply.text ->
                 throw StoreLeaseExpiredException(transaction.writes.firstNotNullOf { (it as? Write.Put)?.storeLease })
@@ -101,7 +101,7 @@
 
     override fun grantLease(ttlMs: Long): StoreLeaseId {
         val reply = call("POST", "/holds", WireJson.encodeToString(TtlBody(ttlMs)))
-        if (!reply.ok) throw unavailable(reply)
+        if (!reply.isOk) throw unavailable(reply)
         return decode<LeaseBody>(reply).storeLease
     }
 
--- a/src/main/kotlin/mountmast/transport/Api.kt
+++ b/src/main/kotlin/mountmast/transport/Api.kt
@@ -35,7 +35,7 @@
     data class Accepted(val answer: HeartbeatResponse) : HeartbeatOutcome
 
     /** This node does not renew the worker's lease: the worker should send its heartbeat to [node], or to any other node if null. */
-    data class Elsewhere(val node: NodeId?) : HeartbeatOutcome
+    data class Redirected(val node: NodeId?) : HeartbeatOutcome
 }
 
 /** Receives workers' heartbeats. */
--- a/src/main/kotlin/mountmast/transport/BoundedServer.kt
+++ b/src/main/kotlin/mountmast/transport/BoundedServer.kt
@@ -125,7 +125,7 @@
 
     companion object {
         /** Number of threads that read the requests of users and workers; bulkheads answer them. */
-        const val PUBLIC_READERS = 4
+        const val PUBLIC_READER_THREADS = 4
         private const val ANY_PATH = "/"
         private const val MIN_BACKLOG = 128
 
--- a/src/main/kotlin/mountmast/transport/Cloud.kt
+++ b/src/main/kotlin/mountmast/transport/Cloud.kt
@@ -59,7 +59,7 @@
     override fun rent(request: RentalRequest): RentalOutcome {
         val reply = call("POST", "/machines", WireJson.encodeToString(request))
         return when {
-            reply.ok -> RentalOutcome.Rented(decode<MachineNames>(reply).machines)
+            reply.isOk -> RentalOutcome.Rented(decode<MachineNames>(reply).machines)
             reply.status == 503 && "no capacity" in reply.text -> RentalOutcome.NoCapacity
             else -> throw CloudException("rental failed: status ${reply.status}", mayBeCarriedOut = false)
         }
@@ -76,7 +76,7 @@
 
     private fun callOrThrow(method: String, path: String, body: String?): Reply {
         val reply = call(method, path, body)
-        if (!reply.ok) throw CloudException("$path failed: status ${reply.status}", mayBeCarriedOut = false)
+        if (!reply.isOk) throw CloudException("$path failed: status ${reply.status}", mayBeCarriedOut = false)
         return reply
     }
 
--- a/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
+++ b/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
@@ -7,11 +7,11 @@
  */
 data class ConnectionBudget(
     /** Maximum number of inbound connections; further ones are closed at once. */
-    val accepted: Int,
+    val maxInbound: Int,
     /** Maximum number of inbound connections kept open between requests: workers whose connection is closed only connect again. */
-    val idle: Int,
+    val maxIdle: Int,
     /** Maximum number of requests, other than heartbeats, that wait for a thread. */
-    val waiting: Int,
+    val maxWaitingRequests: Int,
     /** Number of threads that send commands to workers, each over one connection at a time. */
     val deliveryThreads: Int,
 ) {
@@ -19,20 +19,20 @@
         /** Divides [total] connections: the largest number that the node may have open. */
         fun of(total: Int): ConnectionBudget {
             val outbound = maxOf(minOf(MIN_OUTBOUND, total / 2), total / OUTBOUND_DIVISOR)
-            val accepted = total - outbound
+            val inbound = total - outbound
             return ConnectionBudget(
-                accepted,
-                accepted,
-                (total / WAITING_DIVISOR).coerceIn(MIN_WAITING, MAX_WAITING),
+                inbound,
+                inbound,
+                (total / WAITING_REQUESTS_DIVISOR).coerceIn(MIN_WAITING_REQUESTS, MAX_WAITING_REQUESTS),
                 (total / CONNECTIONS_PER_DELIVERY_THREAD).coerceIn(MIN_DELIVERY_THREADS, MAX_DELIVERY_THREADS),
             )
         }
 
         private const val MIN_OUTBOUND = 64
         private const val OUTBOUND_DIVISOR = 10
-        private const val WAITING_DIVISOR = 4
-        private const val MIN_WAITING = 64
-        private const val MAX_WAITING = 4096
+        private const val WAITING_REQUESTS_DIVISOR = 4
+        private const val MIN_WAITING_REQUESTS = 64
+        private const val MAX_WAITING_REQUESTS = 4096
         private const val CONNECTIONS_PER_DELIVERY_THREAD = 150
         private const val MIN_DELIVERY_THREADS = 4
         private const val MAX_DELIVERY_THREADS = 16
--- a/src/main/kotlin/mountmast/transport/HttpCaller.kt
+++ b/src/main/kotlin/mountmast/transport/HttpCaller.kt
@@ -16,7 +16,7 @@
     val text: String get() = bytes.decodeToString()
 
     /** Whether the status is 200. */
-    val ok: Boolean get() = status == HttpURLConnection.HTTP_OK
+    val isOk: Boolean get() = status == HttpURLConnection.HTTP_OK
 }
 
 /**
--- a/src/main/kotlin/mountmast/transport/PeerClient.kt
+++ b/src/main/kotlin/mountmast/transport/PeerClient.kt
@@ -35,7 +35,7 @@
         }
 
     private fun <T> call(to: Member, path: String, body: ByteArray, timeoutMs: Int, decode: (ByteArray) -> T): T? = try {
-        caller.call(to.endpoint, "POST", path, body, timeoutMs, "application/x-protobuf").takeIf { it.ok }?.let { decode(it.bytes) }
+        caller.call(to.endpoint, "POST", path, body, timeoutMs, "application/x-protobuf").takeIf { it.isOk }?.let { decode(it.bytes) }
     } catch (e: NoAnswerException) {
         null
     } catch (e: SerializationException) {
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -73,6 +73,6 @@
     }
     return when (val outcome = heartbeats.onHeartbeat(heartbeat)) {
         is HeartbeatOutcome.Accepted -> json(200, WireJson.encodeToString(outcome.answer))
-        is HeartbeatOutcome.Elsewhere -> json(421, WireJson.encodeToString(Redirect(outcome.node)))
+        is HeartbeatOutcome.Redirected -> json(421, WireJson.encodeToString(Redirect(outcome.node)))
     }
 }
--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -84,8 +84,8 @@
     private val beats = HeartbeatService { heartbeat ->
         when (heartbeat.machine.text) {
             "vm-1" -> HeartbeatOutcome.Accepted(HeartbeatResponse(FencingToken(7u), emptyList()))
-            "vm-2" -> HeartbeatOutcome.Elsewhere(NodeId("n-2"))
-            else -> HeartbeatOutcome.Elsewhere(null)
+            "vm-2" -> HeartbeatOutcome.Redirected(NodeId("n-2"))
+            else -> HeartbeatOutcome.Redirected(null)
         }
     }
 
--- a/src/test/kotlin/mountmast/soak/SoakRun.kt
+++ b/src/test/kotlin/mountmast/soak/SoakRun.kt
@@ -240,7 +240,7 @@
         .firstOrNull { it.startsWith("mountmast_invariant_violations_total") }?.substringAfter(' ')?.toLong() ?: 0
 
     private fun get(port: Int, path: String): String? = try {
-        HttpCaller().call(InetSocketAddress(InetAddress.getLoopbackAddress(), port), "GET", path, null, ASK_MS).takeIf { it.ok }?.text
+        HttpCaller().call(InetSocketAddress(InetAddress.getLoopbackAddress(), port), "GET", path, null, ASK_MS).takeIf { it.isOk }?.text
     } catch (e: NoAnswerException) {
         null
     }
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/Network.kt
@@ -194,7 +194,7 @@
             time.record {
                 val answer = when (outcome) {
                     is HeartbeatOutcome.Accepted -> WireJson.encodeToString(outcome.answer)
-                    is HeartbeatOutcome.Elsewhere -> "elsewhere ${outcome.node?.text}"
+                    is HeartbeatOutcome.Redirected -> "elsewhere ${outcome.node?.text}"
                 }
                 "heartbeat ${host.number} ${heartbeat.machine.text} answered $answer"
             }
@@ -230,7 +230,7 @@
                     time.later(delay) { worker.answered(outcome.answer.token, outcome.answer.commands, sentAt, heartbeat.incarnation) }
                 }
             }
-            is HeartbeatOutcome.Elsewhere -> {
+            is HeartbeatOutcome.Redirected -> {
                 val next = if (isAnswerLost) -1 else world.hosts.indexOfFirst { it.name == outcome.node }
                 worker.target = if (next < 0 || next == worker.target) (worker.target + 1) % world.hosts.size else next
             }
--- a/src/test/kotlin/mountmast/transport/ConnectionBudgetTest.kt
+++ b/src/test/kotlin/mountmast/transport/ConnectionBudgetTest.kt
@@ -9,12 +9,12 @@
     fun `every worker of the largest fleet keeps its connection, and outbound connections stay reserved`() {
         // When only half of the connections could be idle, those of 1,680 workers were closed and opened again and again.
         val large = ConnectionBudget.of(2709)
-        assertTrue(large.idle >= 1680 + 400, "$large")
+        assertTrue(large.maxIdle >= 1680 + 400, "$large")
         for (total in listOf(16, 100, 800, 1800, 2709, 3265)) {
             val budget = ConnectionBudget.of(total)
-            assertTrue(budget.accepted in 1..total && budget.idle <= budget.accepted, "$budget")
-            assertTrue(total < 100 || budget.accepted + budget.deliveryThreads < total - 30, "$budget")
-            assertTrue(budget.waiting <= 1024 && budget.deliveryThreads <= 16, "bounds do not grow with the fleet: $budget")
+            assertTrue(budget.maxInbound in 1..total && budget.maxIdle <= budget.maxInbound, "$budget")
+            assertTrue(total < 100 || budget.maxInbound + budget.deliveryThreads < total - 30, "$budget")
+            assertTrue(budget.maxWaitingRequests <= 1024 && budget.deliveryThreads <= 16, "bounds do not grow with the fleet: $budget")
         }
         assertEquals(5, ConnectionBudget.of(800).deliveryThreads)
     }
--- a/src/test/kotlin/mountmast/transport/HeartbeatOverloadTest.kt
+++ b/src/test/kotlin/mountmast/transport/HeartbeatOverloadTest.kt
@@ -12,7 +12,7 @@
  */
 class HeartbeatOverloadTest {
     private fun simulate(seed: Long, pauseMs: Long): HeartbeatLoad {
-        val load = HeartbeatLoad(seed, WORKERS, BoundedServer.PUBLIC_READERS, RequestBulkhead.forHeartbeats())
+        val load = HeartbeatLoad(seed, WORKERS, BoundedServer.PUBLIC_READER_THREADS, RequestBulkhead.forHeartbeats())
         load.run(20_000)
         assertEquals(0, load.expiredLeases, "leases expired before the pause, seed $seed")
         load.pause(pauseMs)
--- a/src/test/kotlin/mountmast/transport/RoutesTest.kt
+++ b/src/test/kotlin/mountmast/transport/RoutesTest.kt
@@ -38,10 +38,11 @@
         ) {
             HeartbeatOutcome.Accepted(HeartbeatResponse(FencingToken(7u), emptyList()))
         } else {
-            HeartbeatOutcome.Elsewhere(NodeId("n-2"))
+            HeartbeatOutcome.Redirected(NodeId("n-2"))
         }
     }
-    private val routes = publicRoutes(Users(), heartbeatService, AdmissionLimits(AdmissionLimit(LIMIT, LIMIT), AdmissionLimit(LIMIT, LIMIT)))
+    private val routes =
+        publicRoutes(Users(), heartbeatService, AdmissionLimits(AdmissionLimit(LIMIT, LIMIT), AdmissionLimit(LIMIT, LIMIT)))
 
     private fun call(method: Method, path: String, body: String = "") = routes(Request(method, path).body(body))
 
