--- a/src/main/kotlin/mountmast/transport/HttpCaller.kt
+++ b/src/main/kotlin/mountmast/transport/HttpCaller.kt
@@ -42,7 +42,7 @@
         timeoutMs: Int,
         contentType: String = "application/json",
     ): Reply {
-        val connection = open(URI.create("http://${to.hostString}:${to.port}$path"), method, timeoutMs)
+        val connection = createConnection(URI.create("http://${to.hostString}:${to.port}$path"), method, timeoutMs)
         if (body != null) connection.prepareBody(body, contentType)
         connect(connection, to)
         try {
@@ -57,7 +57,7 @@
         }
     }
 
-    private fun open(uri: URI, method: String, timeoutMs: Int): HttpURLConnection {
+    private fun createConnection(uri: URI, method: String, timeoutMs: Int): HttpURLConnection {
         val connection = uri.toURL().openConnection() as HttpURLConnection
         connection.requestMethod = method
         connection.connectTimeout = minOf(connectMs, timeoutMs)
