--- a/src/main/kotlin/mountmast/transport/QueueMetrics.kt
+++ b/src/main/kotlin/mountmast/transport/QueueMetrics.kt
@@ -5,7 +5,7 @@
  *
  * @property wait how long each request waited, in milliseconds
  * @property refused number of requests that were refused, because the queue was full or because they waited too long
- * @property registerQueueSize called once with a function that returns how many requests wait at present
+ * @property registerQueueSize called with a function that returns how many requests wait at present
  */
 class QueueMetrics(val wait: Timing, val refused: Counter, val registerQueueSize: (() -> Int) -> Unit) {
     companion object {
