--- a/src/main/kotlin/mountmast/coordination/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/HeartbeatRouter.kt
@@ -25,7 +25,7 @@
         // The election loop sets the components shortly after the lease: until then there are none, or those of a former term.
         val leaderTerm = leaderComponents.get()?.leaderTerm?.takeIf { it.leaderLease === leaderLease }
         val isSuperseded = !election.mayRenewWorkerLeases() || heartbeat.token.term > leaderLease.token.term
-        if (isSuperseded || leaderTerm == null || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Elsewhere(null)
+        if (isSuperseded || leaderTerm == null || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Redirected(null)
         return HeartbeatOutcome.Accepted(respond(heartbeat, leaderTerm, leaderLease))
     }
 
