--- a/src/main/kotlin/mountmast/coordination/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/Autoscaler.kt
@@ -9,21 +9,24 @@
 private val log = LoggerFactory.getLogger("mountmast.fleet")
 
 /**
- * Keeps the number of machines in line with the work during one leader's term: reads what the cloud lists, scales in machines that
- * nobody needs and scales out for tasks that found no machine. Not thread-safe: called by one thread.
+ * Adapts the number of machines to the load during one leader's term: reads the cloud's list of machines, scales in machines that are
+ * no longer needed and scales out for tasks that found no machine. Not thread-safe: called by one thread.
  */
 class Autoscaler(
     context: AutoscalingContext,
     cloud: Cloud,
     private val clock: Clock,
-    /** Begins the ids of scale-out requests; no other process ever uses the same. */
+    /** The prefix of the ids of scale-out requests; no other process and no other term ever uses the same prefix. */
     requestPrefix: String,
     policy: AutoscalingPolicy,
     timing: LeaseTiming,
-    /** Calls per second that the cloud accepts. */
+    /** The number of calls per second that the cloud accepts. */
     cloudRatePerS: Double,
 ) {
-    /** A round comes once a second; how many calls it may make is limited by the cloud alone. */
+    /**
+     * How many calls to the cloud scale in may make in a round, and scale out likewise. A round takes place about once a second, so this
+     * follows from the rate that the cloud accepts.
+     */
     private val callsPerRound = maxOf(1, (cloudRatePerS * Cloud.RATE_SHARE).toInt())
     private val history = OfferingHistory(context.cluster)
     private val inventory = MachineInventory(context, cloud, policy)
@@ -32,8 +35,8 @@
     private var isCloudFailing = false
 
     /**
-     * Runs one round; called about once a second. A round ends at the first call that the cloud fails, which is logged once
-     * until a round succeeds.
+     * Runs one round; called about once a second. A round ends at the first call to the cloud that fails. The failure is logged only
+     * if the previous round succeeded.
      */
     fun runRound() {
         try {
--- a/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
@@ -6,24 +6,24 @@
 import mountmast.protocol.MachineTypes
 import java.util.concurrent.locks.ReentrantLock
 
-/** What the autoscaler needs of the leader's term that it works for. Guarded by [lock]. */
+/** What the autoscaler needs of the leader's term in which it runs. Guarded by [lock]. */
 interface AutoscalingContext {
-    /** Guards everything named here. Held for moments; never during I/O. */
+    /** The lock of the leader's term, which guards all other properties. Held only briefly, and never during I/O. */
     val lock: ReentrantLock
     val cluster: ClusterState
 
-    /** Wakes the thread that writes the journal after a change. */
+    /** Wakes the thread that writes the journal; used after a change that has to be stored. */
     val signals: TermSignals
 
-    /** Machine types that the store does not hold yet, or null. */
+    /** The machine types to write to the store, or null if the store holds the current ones. */
     var pendingTypes: MachineTypes?
 
-    /** Open tasks that found no machine in the last scheduling cycle. */
+    /** The open tasks that found no machine in the last scheduling cycle. */
     val unplacedTasks: List<UnplacedTasks>
 
-    /** How long a worker may be unreachable before its machine is scaled in, in milliseconds. */
+    /** For how long a worker may be unreachable before its machine is scaled in, in milliseconds. */
     val unreachableTimeoutMs: Long
 
-    /** Whether so many workers are unreachable that the fault must be this node's. */
+    /** Whether so many workers are unreachable that the fault must lie with this node. */
     fun areMostUnreached(): Boolean
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingPolicy.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingPolicy.kt
@@ -1,13 +1,16 @@
 package mountmast.coordination.autoscaling
 
-/** When machines are scaled in and how often the cloud is asked; operators may set each value. All times are in milliseconds. */
+/** When machines are scaled in and how often the cloud is called. Operators may set each value. All times are in milliseconds. */
 data class AutoscalingPolicy(
-    /** How long a machine stays idle before it is scaled in; longer for types that boot slowly, see [ScaleInRules]. */
+    /**
+     * For how long a machine is idle before it is scaled in; longer for types that boot slowly and shorter for on-demand machines, see
+     * [ScaleInRules].
+     */
     val idleTimeoutMs: Long = 60_000,
-    /** How long an offering is not requested again after the cloud had no capacity for it. */
+    /** For how long an offering is not requested again after the cloud had no capacity for it. */
     val noCapacityBackoffMs: Long = 10_000,
-    /** How often the machines are listed; more rarely if the list is long. */
+    /** The time between two reads of the cloud's list of machines; longer if the list is long, see [MachineInventory]. */
     val listIntervalMs: Long = 5_000,
-    /** How often the machine types, with their prices, are read. */
+    /** The time between two reads of the machine types and their prices. */
     val typesIntervalMs: Long = 60_000,
 )
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ExpectedMachines.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ExpectedMachines.kt
@@ -4,8 +4,8 @@
 import mountmast.protocol.Resources
 
 /**
- * Machines that will be available soon, with the free capacity that is not yet reserved for unplaced tasks. Machines of one offering
- * with the same free capacity are counted rather than listed: thousands may boot at a time. Not thread-safe.
+ * The machines that are expected to be usable soon, with the free capacity that is not yet reserved for unplaced tasks. Machines of one
+ * offering with the same free capacity are counted rather than listed, as thousands may boot at a time. Not thread-safe.
  */
 internal class ExpectedMachines {
     private data class Key(val offering: MachineOffering, val freeCapacity: Resources)
@@ -19,7 +19,7 @@
         if (count > 0) counts.merge(key, count, Int::plus)
     }
 
-    /** Reserves capacity for up to [maxTasks] tasks of [job] on any of the machines; returns for how many. */
+    /** Reserves capacity for up to [maxTasks] tasks of [job] on any of the machines, within [zones]; returns for how many tasks. */
     fun reserve(job: Job, maxTasks: Int, zones: ZoneBudget): Int {
         var reserved = 0
         for (key in counts.keys.toList()) {
@@ -29,7 +29,10 @@
         return reserved
     }
 
-    /** Does the same on machines of [offering] that have exactly [freeCapacity]. */
+    /**
+     * Reserves capacity for up to [maxTasks] tasks of [job] on the machines of [offering] that have exactly [freeCapacity], within [zones];
+     * returns for how many tasks.
+     */
     fun reserveOn(offering: MachineOffering, freeCapacity: Resources, job: Job, maxTasks: Int, zones: ZoneBudget): Int =
         reserveOn(Key(offering, freeCapacity.rounded()), job, maxTasks, zones)
 
@@ -38,14 +41,14 @@
         val allowed = if (key.offering.isAllowedFor(job.spec)) minOf(maxTasks, zones.remaining(key.offering.zone)) else 0
         val perMachine = if (allowed > 0) job.perTask.instancesWithin(key.freeCapacity, allowed) else 0
         if (perMachine == 0) return 0
-        val filled = minOf(count, allowed / perMachine)
-        // The last machine takes the remainder, if any machine is left for it.
-        val onLast = if (filled < count) allowed - filled * perMachine else 0
+        val filledMachines = minOf(count, allowed / perMachine)
+        // The tasks that do not fill a whole machine go to one more machine, if there is one.
+        val tasksOnLast = if (filledMachines < count) allowed - filledMachines * perMachine else 0
         counts.remove(key)
-        add(key, count - filled - (if (onLast > 0) 1 else 0))
-        add(key.withTasks(job, perMachine), filled)
-        if (onLast > 0) add(key.withTasks(job, onLast), 1)
-        val reserved = filled * perMachine + onLast
+        add(key, count - filledMachines - (if (tasksOnLast > 0) 1 else 0))
+        add(key.withTasks(job, perMachine), filledMachines)
+        if (tasksOnLast > 0) add(key.withTasks(job, tasksOnLast), 1)
+        val reserved = filledMachines * perMachine + tasksOnLast
         zones.consume(key.offering.zone, reserved)
         return reserved
     }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
@@ -12,33 +12,33 @@
 import kotlin.concurrent.withLock
 
 /**
- * Updates the machine types and machines of the cluster state from what the cloud lists. Called by one thread; acquires the lock
- * of [AutoscalingContext], never during a call to the cloud.
+ * Updates the machine types and the machines of the cluster state from the cloud's lists. Called by one thread; acquires the lock
+ * of [AutoscalingContext], but never during a call to the cloud.
  */
 internal class MachineInventory(private val context: AutoscalingContext, private val cloud: Cloud, private val policy: AutoscalingPolicy) {
     private val cluster get() = context.cluster
     private var typesReadAt: MonotonicTime? = null
     private var machinesReadAt: MonotonicTime? = null
 
-    /** How many pages the list of machines had last. */
+    /** The number of pages of the cloud's list of machines when the list was last read. */
     private var pageCount = 0
 
     /**
-     * Reads types and machines if their interval has passed. Throws [CloudException] if the machines cannot be read, or the types
-     * cannot and none are known.
+     * Reads the machine types and the machines, each if its interval has passed. Throws [CloudException] if the machines cannot be read,
+     * or if the types cannot be read and none are known.
      */
     fun refresh(now: MonotonicTime) {
         if (isDue(typesReadAt, policy.typesIntervalMs, now)) refreshTypes(now)
-        if (isDue(machinesReadAt, maxOf(policy.listIntervalMs, pageCount * MS_PER_PAGE), now)) refreshMachines(now)
+        if (isDue(machinesReadAt, maxOf(policy.listIntervalMs, pageCount * LIST_INTERVAL_MS_PER_PAGE), now)) refreshMachines(now)
     }
 
-    private fun isDue(last: MonotonicTime?, intervalMs: Long, now: MonotonicTime) = last == null || now - last >= intervalMs
+    private fun isDue(readAt: MonotonicTime?, intervalMs: Long, now: MonotonicTime) = readAt == null || now - readAt >= intervalMs
 
     private fun refreshTypes(now: MonotonicTime) {
         val types = try {
             cloud.machineTypes()
         } catch (e: CloudException) {
-            // The store keeps the types, so that an outage of the cloud stops nobody from submitting.
+            // The types stay known, from the store after an election, so that jobs can be submitted during an outage of the cloud.
             if (context.lock.withLock { cluster.types.isEmpty() }) throw e
             return
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** A change of prices alone is not worth a write to the store. */
+    /** Returns copies of [types] without prices, as a change of prices alone is not worth a write to the store. */
     private fun withoutPrices(types: Collection<MachineType>) = types.map { it.copy(price = 0.0, spotPrice = 0.0) }
 
     private fun refreshMachines(now: MonotonicTime) {
@@ -76,7 +76,10 @@
         if (listed.state == ListedState.FAILED) cluster.machines[listed.id]?.rental?.markListedFailed()
     }
 
-    /** Returns the machine as listed, with all that was [known] of it before its type was. */
+    /**
+     * Returns the machine as [listed], with the state, the lease renewal and the assignments of [known], the entry of the same machine
+     * while only its name was known, if there is one.
+     */
     private fun createMachine(listed: ListedMachine, known: Machine?, now: MonotonicTime): Machine {
         val machine = Machine(listed.id, listed.type, listed.zone, listed.spot, known?.state ?: MachineState.BOOTING)
         machine.rental.recordRental(rented = now + -(listed.ageS * MS_PER_S).toLong(), known = now)
@@ -90,7 +93,10 @@
     private companion object {
         const val MS_PER_S = 1000
 
-        /** A long list is read less often, as each page is a call that scale out and scale in have to wait for. */
-        const val MS_PER_PAGE = 1000L
+        /**
+         * The list is read at most once in this time for each of its pages: a page is a call to the cloud, for which scale out and scale in
+         * have to wait.
+         */
+        const val LIST_INTERVAL_MS_PER_PAGE = 1000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
@@ -6,14 +6,14 @@
 import mountmast.protocol.MonotonicTime
 
 /**
- * What became of the machines of each [MachineOffering] recently: spot machines that were lost, and machines that did not boot in
- * time. The counts decay with each round. Guarded by the lock of [AutoscalingContext].
+ * Counts the recent failures of each [MachineOffering]: spot machines that were lost, and machines that did not boot in time. The
+ * counts decay with each round. Guarded by the lock of [AutoscalingContext].
  */
 internal class OfferingHistory(private val cluster: ClusterState) {
     private val spotLosses = HashMap<MachineOffering, Double>()
     private val failedBoots = HashMap<MachineOffering, Double>()
 
-    /** Counts a machine that is about to be scaled in, if it was lost or did not boot. */
+    /** Counts [machine], which is about to be scaled in, if it is a lost spot machine or did not boot in time. */
     fun recordScaleIn(machine: Machine) {
         val offering = machine.offering() ?: return
         if (machine.state == MachineState.BOOTING && !machine.isListedFailed) failedBoots.merge(offering, 1.0, Double::plus)
@@ -24,18 +24,18 @@
         }
     }
 
-    /** Lowers the weight of earlier events; called once in each round. */
-    fun ageCounts() {
+    /** Lowers the counts by the decay of one round; called once in each round. */
+    fun decayCounts() {
         spotLosses.replaceAll { _, count -> count * DECAY_PER_ROUND }
         failedBoots.replaceAll { _, count -> count * DECAY_PER_ROUND }
     }
 
-    /** Returns the factor, at least 1, by which recent losses make [offering] count as dearer than its price. */
-    fun priceFactor(offering: MachineOffering): Double = 1 + (spotLosses[offering] ?: 0.0) * LOSS_WEIGHT
+    /** Returns the factor, at least 1, by which recent losses of spot machines make [offering] count as more expensive than its price. */
+    fun priceFactor(offering: MachineOffering): Double = 1 + (spotLosses[offering] ?: 0.0) * PRICE_INCREASE_PER_LOSS
 
     /**
-     * Whether a machine has been booting for longer than machines mostly take. It may still come up, and is used then; but the
-     * tasks that wait for it get another machine meanwhile.
+     * Whether [machine], which is booting, was rented longer ago than machines of its type mostly take to boot. Another machine may be
+     * requested for the tasks that wait for it; if [machine] still comes up, it is used. False if its type is not known.
      */
     fun isBootOverdue(machine: Machine, now: MonotonicTime): Boolean {
         val type = cluster.types[machine.type] ?: return false
@@ -43,32 +43,35 @@
     }
 
     /**
-     * Returns the offerings of which most recent machines are overdue or never booted: whatever is scaled out there next would
-     * be overdue as well. They are avoided while others are available. Among many machines a few that never boot mean nothing.
+     * Returns the offerings with at least [MIN_OVERDUE_MACHINES] machines that are overdue or did not boot, if the recently rented
+     * machines that did boot are fewer. More machines of such an offering would be overdue as well, so it is avoided while other
+     * offerings are available. A few machines that do not boot, among many that do, say nothing about their offering.
      */
     fun overdueOfferings(now: MonotonicTime): Set<MachineOffering> {
-        val overdue = HashMap<MachineOffering, Double>(failedBoots)
-        val booted = HashMap<MachineOffering, Int>()
+        val overdueCounts = HashMap<MachineOffering, Double>(failedBoots)
+        val bootedCounts = HashMap<MachineOffering, Int>()
         for (machine in cluster.machines.values) {
             val offering = machine.offering() ?: continue
             if (machine.state != MachineState.BOOTING) {
-                if (now - machine.rentedAt < RECENT_MS) booted.merge(offering, 1, Int::plus)
+                if (now - machine.rentedAt < RECENT_RENTAL_MS) bootedCounts.merge(offering, 1, Int::plus)
             } else if (!machine.isDeleting && !machine.isListedRunning && isBootOverdue(machine, now)) {
-                overdue.merge(offering, 1.0, Double::plus)
+                overdueCounts.merge(offering, 1.0, Double::plus)
             }
         }
-        return overdue.filter { (offering, count) -> count >= MIN_OVERDUE_MACHINES && count > (booted[offering] ?: 0) }.keys
+        return overdueCounts.filter { (offering, count) -> count >= MIN_OVERDUE_MACHINES && count > (bootedCounts[offering] ?: 0) }.keys
     }
 
     private companion object {
         const val MS_PER_S = 1000
         const val DECAY_PER_ROUND = 0.99
-        const val LOSS_WEIGHT = 0.1
+        const val PRICE_INCREASE_PER_LOSS = 0.1
 
-        /** Machines mostly boot within 1.5 times the stated time. */
+        /** How many times the boot time that the cloud states a boot may take; machines mostly boot within 1.5 times that time. */
         const val OVERDUE_BOOT_FACTOR = 2.0
         const val OVERDUE_BOOT_MARGIN_MS = 5000L
+
+        /** Fewer machines that are overdue or did not boot are no reason to avoid their offering. */
         const val MIN_OVERDUE_MACHINES = 3
-        const val RECENT_MS = 300_000L
+        const val RECENT_RENTAL_MS = 300_000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleIn.kt
@@ -12,8 +12,8 @@
 private val log = LoggerFactory.getLogger("mountmast.fleet")
 
 /**
- * Deletes the machines that [ScaleInRules] choose. A machine once chosen is deleted for certain: the request is repeated until
- * the cloud answers it. Called by one thread; acquires the lock of [AutoscalingContext], never during a call to the cloud.
+ * Deletes the machines that [ScaleInRules] choose. The choice of a machine is final: the deletion is requested in each round until the
+ * cloud confirms it. Called by one thread; acquires the lock of [AutoscalingContext], but never during a call to the cloud.
  */
 internal class ScaleIn(
     private val context: AutoscalingContext,
@@ -21,12 +21,15 @@
     private val clock: Clock,
     private val rules: ScaleInRules,
     private val history: OfferingHistory,
-    /** Calls to the cloud that a round may make. */
+    /** The number of calls to the cloud that a round may make at most. */
     private val callsPerRound: Int,
 ) {
     private val cluster get() = context.cluster
 
-    /** Scales in what is to be deleted as of [now]. Throws [CloudException] if a call fails; the machines stay chosen. */
+    /**
+     * Deletes the machines that are to be scaled in as of [now]. Throws [CloudException] if a call fails; machines that were not deleted
+     * stay chosen.
+     */
     fun runRound(now: MonotonicTime) {
         val chosen = context.lock.withLock { chooseMachines(now) }
         for (batch in chosen.chunked(Cloud.MAX_PER_DELETION).take(callsPerRound)) {
@@ -41,7 +44,7 @@
         context.signals.wakeWriter()
     }
 
-    /** Returns the machines to delete, those chosen in earlier rounds and not yet deleted among them. */
+    /** Returns the machines to delete, including those that were chosen in earlier rounds and are not deleted yet. */
     private fun chooseMachines(now: MonotonicTime): List<MachineId> {
         val chosen = cluster.machines.values.filter {
             it.id !in cluster.tombstones && (it.isDeleting || rules.shouldScaleIn(it, now))
@@ -57,7 +60,7 @@
     }
 
     private companion object {
-        /** For how long the ids of deleted machines are remembered. */
+        /** For how long the ids of deleted machines are kept, so that an outdated list does not add the machines again, in milliseconds. */
         const val TOMBSTONE_MS = 600_000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
@@ -6,7 +6,7 @@
 import mountmast.protocol.MachineType
 import mountmast.protocol.MonotonicTime
 
-/** Why a machine is scaled in, with the word that the log gives. */
+/** The reason for which a machine is scaled in; [text] stands for the reason in the log. */
 internal enum class ScaleInReason(val text: String) {
     LISTED_AS_FAILED("failed"),
     LEASE_EXPIRED("lease-expired"),
@@ -18,15 +18,15 @@
 }
 
 /**
- * Decides which machines are scaled in: those that are idle, dead, quarantined or unreachable.
- * Guarded by the lock of [AutoscalingContext].
+ * Decides which machines are scaled in: those that are idle, have failed, did not boot, are quarantined, are unreachable or will be
+ * reclaimed. Guarded by the lock of [AutoscalingContext].
  */
 internal class ScaleInRules(
     private val context: AutoscalingContext,
     private val policy: AutoscalingPolicy,
     private val timing: LeaseTiming,
 ) {
-    /** Returns the reason to give for scaling in [machine]. */
+    /** Returns the reason to log for scaling in [machine]. If several apply, it is the first one in this order. */
     fun reason(machine: Machine): ScaleInReason = when {
         machine.isListedFailed -> ScaleInReason.LISTED_AS_FAILED
         machine.state == MachineState.EXPIRED -> ScaleInReason.LEASE_EXPIRED
@@ -42,12 +42,12 @@
         val type = context.cluster.types[machine.type] ?: return false
         return machine.isListedFailed ||
             when (machine.state) {
-                // A machine that hung or was cut off comes back with its images, sooner than another one boots; one that is
-                // dead is listed as failed soon, and costs nothing.
+                // A machine that hung or was partitioned is kept for one more lease duration: it comes back with its images sooner
+                // than another machine boots. A failed machine is soon listed as failed, and is not billed.
                 MachineState.EXPIRED -> now - machine.expiredAt > timing.leaseExpiryMs
                 MachineState.SILENT -> false
                 MachineState.BOOTING -> hasBootTimedOut(machine, type, now)
-                MachineState.UP -> isUnreachableForGood(machine, now) || (machine.live.isEmpty() && isUnneeded(machine, type, now))
+                MachineState.UP -> isUnreachableTooLong(machine, now) || (machine.live.isEmpty() && isUnneeded(machine, type, now))
             }
     }
 
@@ -57,8 +57,11 @@
         return now - bootingSince > BOOT_TIMEOUT_FACTOR * bootMs + BOOT_TIMEOUT_MARGIN_MS
     }
 
-    /** Its tasks are free once it is deleted; but if most workers are unreachable, the fault is not the machines'. */
-    private fun isUnreachableForGood(machine: Machine, now: MonotonicTime): Boolean {
+    /**
+     * Whether the worker of [machine] has been unreachable for too long. The deletion of the machine then releases its tasks. False while
+     * most workers are unreachable, as the fault does not lie with the machines then.
+     */
+    private fun isUnreachableTooLong(machine: Machine, now: MonotonicTime): Boolean {
         val since = machine.unreachableSince ?: return false
         return now - since > context.unreachableTimeoutMs && !context.areMostUnreached()
     }
@@ -67,10 +70,13 @@
         if (machine.isQuarantined || machine.isReclaimNoticed) return true
         return machine.reservedFor == null &&
             now - machine.idleSince > idleTimeoutMs(machine, type) &&
-            now - machine.rentedAt > MIN_BILLED_MS
+            now - machine.rentedAt > MIN_RENTAL_MS
     }
 
-    /** Machines that boot slowly are kept longer, and those that cost more than need be shorter. */
+    /**
+     * Returns for how long [machine] may be idle, in milliseconds: the policy's timeout, or twice the boot time of [type] if that is
+     * longer. For an on-demand machine the time is shortened in the ratio of the spot price to its price.
+     */
     private fun idleTimeoutMs(machine: Machine, type: MachineType): Long {
         val timeoutMs = maxOf(policy.idleTimeoutMs, (2 * type.bootS * MS_PER_S).toLong())
         return if (machine.spot) timeoutMs else (timeoutMs * minOf(1.0, type.spotPrice / type.price)).toLong()
@@ -79,11 +85,14 @@
     private companion object {
         const val MS_PER_S = 1000
 
-        /** Some machines take several times the stated time to boot; those that exceed this are given up. */
+        /**
+         * A machine is scaled in if it does not boot within this multiple of the boot time that the cloud states, plus the margin; some
+         * machines take several times the stated time.
+         */
         const val BOOT_TIMEOUT_FACTOR = 4
         const val BOOT_TIMEOUT_MARGIN_MS = 15_000L
 
-        /** A machine is billed for at least a minute, so scaling it in sooner saves nothing. */
-        const val MIN_BILLED_MS = 55_000L
+        /** For how long a machine is rented before it may count as idle: machines are billed for at least a minute. */
+        const val MIN_RENTAL_MS = 55_000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOut.kt
@@ -15,9 +15,9 @@
 private val log = LoggerFactory.getLogger("mountmast.fleet")
 
 /**
- * Requests the machines that [ScaleOutPlanner] plans. Requests are idempotent by an id that no other process uses: one whose outcome
- * is unknown is repeated with the same id before any other is made, so that none is carried out twice. Called by one thread;
- * acquires the lock of [AutoscalingContext], never during a call to the cloud.
+ * Requests the machines that [ScaleOutPlanner] plans. Requests are idempotent by an id that no other process uses: a request whose
+ * outcome is unknown is repeated with the same id before any other request is sent, so that no request is carried out twice.
+ * Called by one thread; acquires the lock of [AutoscalingContext], but never during a call to the cloud.
  */
 internal class ScaleOut(
     private val context: AutoscalingContext,
@@ -25,9 +25,9 @@
     policy: AutoscalingPolicy,
     timing: LeaseTiming,
     history: OfferingHistory,
-    /** Begins the ids of requests. */
+    /** The prefix of the ids of requests. */
     private val requestPrefix: String,
-    /** Calls to the cloud that a round may make. */
+    /** The number of calls to the cloud that a round may make at most. */
     callsPerRound: Int,
 ) {
     private val cluster get() = context.cluster
@@ -35,10 +35,13 @@
     private val planner = ScaleOutPlanner(context, timing, history, backoff, callsPerRound * Cloud.MAX_PER_RENTAL)
     private var requestCount = 0
 
-    /** The request whose outcome is unknown, if any. */
+    /** The request whose outcome is unknown, or null if there is none. */
     private var inDoubtRequest: RentalRequest? = null
 
-    /** Scales out as planned as of [now], or repeats the request in doubt. Throws [CloudException] if a call fails. */
+    /**
+     * Plans as of [now] and requests the planned machines, or only repeats the request whose outcome is unknown. Throws [CloudException]
+     * if a call fails.
+     */
     fun runRound(now: MonotonicTime) {
         inDoubtRequest?.let { return send(it, now) }
         val plan = context.lock.withLock { planner.plan(now) }
@@ -46,12 +49,12 @@
     }
 
     private fun requestMachines(offering: MachineOffering, wanted: Int, now: MonotonicTime) {
-        var left = wanted
-        while (left > 0 && !backoff.isBackedOff(offering, now)) {
-            val count = minOf(left, Cloud.MAX_PER_RENTAL)
+        var remaining = wanted
+        while (remaining > 0 && !backoff.isBackedOff(offering, now)) {
+            val count = minOf(remaining, Cloud.MAX_PER_RENTAL)
             val id = RentalRequestId("$requestPrefix-${++requestCount}")
             send(RentalRequest(id, offering.type, offering.zone, offering.isSpot, count), now)
-            left -= count
+            remaining -= count
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
@@ -8,22 +8,22 @@
 import mountmast.protocol.MonotonicTime
 
 /**
- * Decides how many machines to request: for the unplaced tasks that those still booting will not have capacity for.
- * Guarded by the lock of [AutoscalingContext].
+ * Decides how many machines of each offering to request, for the unplaced tasks that the machines expected soon will not have capacity
+ * for. Guarded by the lock of [AutoscalingContext].
  */
 internal class ScaleOutPlanner(
     private val context: AutoscalingContext,
     private val timing: LeaseTiming,
     private val history: OfferingHistory,
     private val backoff: OfferingBackoff,
-    /** How many machines can be requested in a round at most. */
+    /** The number of machines that can be requested in a round at most. */
     private val maxMachinesPerRound: Int,
 ) {
     private val cluster get() = context.cluster
 
-    /** Returns how many machines to request of each offering, in the order of the tasks that need them. */
+    /** Returns how many machines of each offering to request, in the order of the unplaced tasks that need them. */
     fun plan(now: MonotonicTime): Map<MachineOffering, Int> {
-        history.ageCounts()
+        history.decayCounts()
         val round = Round(now, history.overdueOfferings(now))
         for (unplaced in context.unplacedTasks) {
             val job = cluster.jobs[unplaced.job] ?: continue
@@ -35,11 +35,11 @@
     private inner class Round(private val now: MonotonicTime, private val overdueOfferings: Set<MachineOffering>) {
         val machinesToRequest = LinkedHashMap<MachineOffering, Int>()
         private var machineCount = 0
-        private val expected = ExpectedMachines().apply { offeringsOfExpected().forEach { add(it.offering, it.type.capacity) } }
+        private val expected = ExpectedMachines().apply { expectedOfferings().forEach { add(it.offering, it.type.capacity) } }
 
-        private fun offeringsOfExpected(): List<TypedOffering> {
-            // If nothing else is available, or one offering after the other is overdue, more machines would only be overdue as
-            // well: scale out must not run away.
+        private fun expectedOfferings(): List<TypedOffering> {
+            // If no other offering is available, or several offerings are overdue, further machines would likely be overdue as well.
+            // All machines of overdue offerings therefore count as expected, so that scale out does not request ever more machines.
             val hasAlternative = overdueOfferings.size < MANY_OVERDUE_OFFERINGS &&
                 allOfferings().any { it !in overdueOfferings && !backoff.isBackedOff(it, now) }
             return cluster.machines.values
@@ -48,32 +48,35 @@
                 .mapNotNull { offering -> cluster.types[offering.type]?.let { TypedOffering(offering, it) } }
         }
 
-        /** Reserves capacity for [count] tasks of [job], on expected machines first, then on machines to request. */
+        /** Reserves capacity for [count] tasks of [job] on expected machines, then on machines that it adds to [machinesToRequest]. */
         fun coverTasks(job: Job, count: Int) {
             val zones = ZoneBudget.of(job)
-            var left = count - expected.reserve(job, count, zones)
-            while (left > 0 && machineCount < maxMachinesPerRound) {
-                val best = bestOffering(job, left, zones) ?: return
+            var remaining = count - expected.reserve(job, count, zones)
+            while (remaining > 0 && machineCount < maxMachinesPerRound) {
+                val best = bestOffering(job, remaining, zones) ?: return
                 machinesToRequest.merge(best.offering, 1, Int::plus)
                 machineCount++
                 expected.add(best.offering, best.type.capacity)
-                val reserved = expected.reserveOn(best.offering, best.type.capacity, job, left, zones)
+                val reserved = expected.reserveOn(best.offering, best.type.capacity, job, remaining, zones)
                 if (reserved == 0) return
-                left -= reserved
+                remaining -= reserved
             }
         }
 
         private fun bestOffering(job: Job, wanted: Int, zones: ZoneBudget): PricedOffering? {
-            val isUsable = allOfferings().mapNotNull { price(it, job, wanted, zones) }.toList()
-            val punctual = isUsable.filter { it.offering !in overdueOfferings }
-            val choices = punctual.ifEmpty { isUsable }
+            val usable = allOfferings().mapNotNull { price(it, job, wanted, zones) }.toList()
+            val notOverdue = usable.filter { it.offering !in overdueOfferings }
+            val choices = notOverdue.ifEmpty { usable }
             val cheapest = choices.minOfOrNull { it.pricePerTask } ?: return null
-            // Small machines become idle sooner and leave the large ones, of which there are few, to tasks that need them.
+            // Small machines become idle sooner, and leave the large machines, of which the cloud has few, to tasks that need them.
             return choices.filter { it.pricePerTask <= cheapest * NEARLY_CHEAPEST_FACTOR }
                 .minWith(compareBy({ it.type.cpus }, { it.pricePerTask }))
         }
 
-        /** Returns [offering] with its price for each of the [wanted] tasks that fit, or null if none of them can run there. */
+        /**
+         * Returns [offering] with its price for each of the tasks that fit on one of its machines, at most [wanted]; null if no task can
+         * run there or the offering is backed off.
+         */
         private fun price(offering: MachineOffering, job: Job, wanted: Int, zones: ZoneBudget): PricedOffering? {
             val type = cluster.types[offering.type] ?: return null
             val taskCount = job.perTask.instancesWithin(type.capacity, minOf(wanted, zones.remaining(offering.zone)))
@@ -87,7 +90,10 @@
         type.zones.asSequence().flatMap { zone -> sequenceOf(MachineOffering(type.id, zone, true), MachineOffering(type.id, zone, false)) }
     }
 
-    /** Whether the machine boots, or its worker has yet to show this leader's token: no cycle has given it tasks so far. */
+    /**
+     * Whether tasks can likely be placed on [machine] soon, but not yet: it boots and is not overdue, or its worker runs but has not
+     * yet sent a heartbeat that shows this leader's fencing token.
+     */
     private fun isExpectedSoon(machine: Machine, now: MonotonicTime): Boolean = !machine.isDeleting &&
         !machine.isReclaimNoticed &&
         when (machine.state) {
@@ -97,7 +103,10 @@
             else -> false
         }
 
-    /** The worker of a machine that was running when this leader's term began sends a heartbeat within this time, or never. */
+    /**
+     * The worker of a machine that was already running when this leader learned of it is expected to send a heartbeat within this time,
+     * in milliseconds, or not at all.
+     */
     private val firstHeartbeatMs get() = timing.quietMs + SLOW_NODE_MARGIN_MS
 
     private class TypedOffering(val offering: MachineOffering, val type: MachineType)
@@ -105,12 +114,13 @@
     private class PricedOffering(val offering: MachineOffering, val type: MachineType, val pricePerTask: Double)
 
     private companion object {
+        /** From this number of overdue offerings on, the cause is taken to be common to all offerings. */
         const val MANY_OVERDUE_OFFERINGS = 2
 
-        /** Up to this many times the lowest price per task, the smallest machine is chosen. */
+        /** Of the offerings that cost at most this many times the lowest price per task, the one with the smallest machines is chosen. */
         const val NEARLY_CHEAPEST_FACTOR = 1.2
 
-        /** Beyond the time in which any worker sends a heartbeat, for a node that is still slow. */
+        /** Added to the time within which any worker sends a heartbeat, as a node that has just become leader may still be slow. */
         const val SLOW_NODE_MARGIN_MS = 2000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ZoneBudget.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ZoneBudget.kt
@@ -5,8 +5,8 @@
 import mountmast.protocol.Zone
 
 /**
- * How many more of a job's tasks each zone may hold. A job that is bound to the zone of its first tasks once had machines
- * scaled out in the other, cheaper one, and waited beside them. Not thread-safe.
+ * How many more of a job's tasks each zone may hold. Scale out has to respect this: otherwise, for a job whose tasks must run in the
+ * zone of its first tasks, it requests machines in a cheaper zone, where the job cannot use them. Not thread-safe.
  */
 internal class ZoneBudget(private val spec: JobSpec) {
     private val tasksPerZone = HashMap<Zone, Int>()
@@ -18,13 +18,13 @@
         else -> Int.MAX_VALUE
     }
 
-    /** Counts [tasks] more tasks in [zone]. */
+    /** Counts [tasks] further tasks in [zone]. */
     fun consume(zone: Zone, tasks: Int) {
         if (tasks > 0) tasksPerZone.merge(zone, tasks, Int::plus)
     }
 
     companion object {
-        /** Returns the budget that the tasks of [job] on machines leave. */
+        /** Returns the budget that remains to [job] besides its tasks that are already on machines. */
         fun of(job: Job) = ZoneBudget(job.spec).apply {
             if (job.spec.singleZone || job.spec.spreadAcrossZones) for (assignment in job.live.values) consume(assignment.zone, 1)
         }
--- a/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
@@ -5,20 +5,26 @@
 import mountmast.protocol.TeamId
 import mountmast.protocol.TeamQuota
 
-/** To what degree the teams' guarantees are met, and which tasks they cover. */
+/** The degrees to which the teams' guarantees are met, and how many tasks of each job the guarantees cover. */
 internal class Assurance(
     /** The smoothed degree of assurance of each team, between 0 and 1. */
     val degrees: Map<TeamId, Double>,
-    /** How many tasks of each job its team's guarantee covers; those on machines are counted first. */
+    /**
+     * How many tasks of each job its team's guarantee covers; the job's tasks on machines are covered first. Jobs that have no claim
+     * on the guarantee are absent.
+     */
     val guaranteedTasks: Map<JobId, Int>,
 ) {
     /** Returns the smoothed degree of assurance of [team]; 1 if the team is unknown. */
     fun degree(team: TeamId): Double = degrees[team] ?: 1.0
 }
 
-/** Splits each team's work into guaranteed and borrowed, and computes degrees of assurance (the paper's Eq. 1 and 2). */
+/**
+ * Splits each team's tasks into guaranteed ones, which the guaranteed part of the team's quota covers, and borrowed ones; computes
+ * each team's degree of assurance (Eq. 1 and 2 of the paper).
+ */
 internal class AssuranceAssessment(private val policy: SchedulingPolicy) {
-    /** Returns the assurance of all teams in [snapshot], smoothed with that of the cycle before. */
+    /** Returns the assurance of all teams in [snapshot], smoothed with the degrees of the previous scheduling cycle. */
     fun assess(snapshot: ClusterSnapshot): Assurance {
         val guaranteedTasks = HashMap<JobId, Int>()
         val degrees = HashMap<TeamId, Double>()
@@ -34,7 +40,7 @@
         return Assurance(smoothed, guaranteedTasks)
     }
 
-    /** A job that fails everywhere makes no claim: it would preempt others for doomed tasks. */
+    /** A job that fails on every machine has no claim: other tasks would be preempted for tasks that fail anyway. */
     private fun isGuaranteed(job: JobView, quota: TeamQuota) =
         quota.hasGuarantee && job.spec.urgency <= policy.threshold(job.spec.team) && !job.isPoisoned
 
@@ -42,28 +48,31 @@
         if (previous == null) degree else policy.smoothing * degree + (1 - policy.smoothing) * previous
 }
 
-/** Covers one team's jobs by its guarantee, one after the other. */
+/** Divides one team's guarantee among its jobs, in the order of the calls of [cover]. */
 private class GuaranteeCoverage(private val quota: TeamQuota) {
     private var claimed = Resources.NONE
     private var allocated = Resources.NONE
     private var demanded = Resources.NONE
 
-    /** Claims what is left of the guarantee for [job]; returns how many of its tasks that covers. */
+    /** Claims for [job] what earlier jobs left of the guarantee; returns how many unfinished tasks of [job] that covers. */
     fun cover(job: JobView): Int {
-        val left = Resources(quota.cpus - claimed.cpus, quota.gpus - claimed.gpus, Double.MAX_VALUE)
-        val covered = job.spec.perTask.copy(memoryGb = 0.0).instancesWithin(left, job.tasks.unfinishedCount)
+        val unclaimed = Resources(quota.cpus - claimed.cpus, quota.gpus - claimed.gpus, Double.MAX_VALUE)
+        val covered = job.spec.perTask.copy(memoryGb = 0.0).instancesWithin(unclaimed, job.tasks.unfinishedCount)
         claimed += job.spec.perTask * covered
         demanded += job.spec.perTask * job.tasks.unfinishedCount
         allocated += job.spec.perTask * minOf(covered, job.tasks.assignedCount)
         return covered
     }
 
-    /** Returns the degree of assurance of the jobs covered so far, between 0 and 1. */
+    /**
+     * Returns the degree of assurance of the jobs covered so far, between 0 and 1: the resources of their covered tasks that are on
+     * machines, divided by the guarantee or by the jobs' demand, whichever is less. The lower of the ratios for CPUs and GPUs counts.
+     */
     fun degree(): Double {
-        val ofCpus = ratio(allocated.cpus, minOf(quota.cpus, demanded.cpus))
-        val ofGpus = ratio(allocated.gpus, minOf(quota.gpus, demanded.gpus))
-        return minOf(ofCpus, ofGpus)
+        val cpuDegree = ratio(allocated.cpus, minOf(quota.cpus, demanded.cpus))
+        val gpuDegree = ratio(allocated.gpus, minOf(quota.gpus, demanded.gpus))
+        return minOf(cpuDegree, gpuDegree)
     }
 
-    private fun ratio(allocated: Double, owed: Double) = if (owed <= 0) 1.0 else minOf(1.0, allocated / owed)
+    private fun ratio(allocated: Double, entitled: Double) = if (entitled <= 0) 1.0 else minOf(1.0, allocated / entitled)
 }
--- a/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
@@ -3,51 +3,68 @@
 import mountmast.protocol.Resources
 import mountmast.protocol.TeamQuota
 
-/** The orders in which jobs are placed, and the jobs to which the exceptions to the design apply. Immutable. */
+/**
+ * The orders in which the tasks of jobs are placed, and the conditions of the exceptions to the order and the bounds that [Scheduler]
+ * describes. Immutable.
+ */
 internal class JobPriorities(private val snapshot: ClusterSnapshot, private val policy: SchedulingPolicy, assurance: Assurance) {
-    /** The design's order: rising degree of assurance, then shorter remaining run. */
+    /**
+     * The regular order: the team with the lowest degree of assurance first, then the shortest estimated run time, then the job
+     * queued earliest.
+     */
     val byAssurance: Comparator<JobView> =
-        compareBy({ assurance.degree(it.spec.team) }, { it.timing.remainingS }, { it.timing.queuedAt }, { it.spec.id })
+        compareBy({ assurance.degree(it.spec.team) }, { it.timing.estimatedRunS }, { it.timing.queuedAt }, { it.spec.id })
 
-    /** Exception: teams without a guarantee all have degree 1, so among equals the more urgent goes first. */
+    /**
+     * The order for borrowed tasks. Exception to the regular order: teams without a guarantee all have degree 1, so among jobs whose
+     * teams have the same degree the more urgent job goes first, then the one that can still meet its deadline, then the one
+     * with the least slack.
+     */
     val byUrgency: Comparator<JobView> =
         compareBy<JobView>({ assurance.degree(it.spec.team) }, { it.spec.urgency }, { isDeadlineUnlikely(it) }, { slackS(it) })
             .then(byAssurance)
 
     /**
-     * Whether the job has no guarantee and will hardly meet its deadline any more: it lets those go first that can meet
-     * theirs.
+     * Whether the job would miss its deadline by more than [UNLIKELY_OVERRUN_SHARE] of its run time even if it started now. Jobs that can
+     * still meet their deadlines go before such a job. False if the job's team has a guarantee.
      */
-    fun isDeadlineUnlikely(job: JobView): Boolean = slackS(job) < -UNLIKELY_OVERRUN_SHARE * job.timing.remainingS
+    fun isDeadlineUnlikely(job: JobView): Boolean = slackS(job) < -UNLIKELY_OVERRUN_SHARE * job.timing.estimatedRunS
 
     /**
-     * Exception: where no team has a guarantee the degree orders nothing, and shorter runs alone would keep long
-     * jobs waiting for good; so among them the one with the least slack goes first.
+     * The slack of a job whose team has no guarantee, in seconds; 0 for any other job. Exception to the regular order: among teams
+     * without a guarantee the degree of assurance orders nothing, and an order by run time alone would starve long jobs, so the job
+     * with the least slack goes first.
      */
     private fun slackS(job: JobView): Double = if (hasGuarantee(job)) 0.0 else job.timing.slackS
 
-    /** Whether the job has waited for so long that bounds of the design are lifted for it. */
+    /**
+     * Whether no task of the job was placed for more than [LONGEST_WAIT_S] although tasks of the job may start. Some restrictions are
+     * lifted for such a job.
+     */
     fun hasWaitedTooLong(job: JobView): Boolean = job.timing.waitedS > LONGEST_WAIT_S && job.mayStart
 
-    /** Whether the job has waited too long and has no task on any machine. */
+    /** Whether the job has waited too long, has no task on any machine and does not fail on every machine. */
     fun isStarved(job: JobView): Boolean = hasWaitedTooLong(job) && job.tasks.assignedCount == 0 && !job.isPoisoned
 
-    /** Whether restrictions that a long wait lifts may keep the job's tasks off free capacity. */
+    /**
+     * Whether a restriction that a long wait lifts may keep the job's tasks off free capacity: the bound on borrowing, or
+     * machines that are excluded because tasks of the job failed there.
+     */
     fun hasLiftableRestrictions(job: JobView): Boolean = hasGuarantee(job) || job.excludedMachines.isNotEmpty()
 
     /**
-     * Whether a team may borrow up to [usage]. Exception: a team without a guarantee has no bound on borrowing, as any
-     * multiple of nothing would starve it for good.
+     * Whether the bound on borrowing lets the team of [quota] use [usage] in all. Exception: a team without a guarantee has no
+     * bound on borrowing, as any multiple of a guarantee of zero is zero and would starve the team.
      */
     fun mayBorrow(quota: TeamQuota, usage: Resources): Boolean = !quota.hasGuarantee || quota.guaranteeCovers(usage, policy.borrowingFactor)
 
     private fun hasGuarantee(job: JobView) = snapshot.quotas[job.spec.team]?.hasGuarantee == true
 
     private companion object {
-        /** A deadline that is missed by more than this share of a run is unlikely to be met. */
+        /** A job that is late by more than this share of its estimated run time is unlikely to meet its deadline. */
         const val UNLIKELY_OVERRUN_SHARE = 0.5
 
-        /** After so long without any start a job is given one, whatever goes before it: users count 90 s. */
+        /** A job without a start for longer than this, in seconds, gets one ahead of all others; users expect a start within 90 s. */
         const val LONGEST_WAIT_S = 70.0
     }
 }
--- a/src/main/kotlin/mountmast/coordination/scheduling/JobView.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/JobView.kt
@@ -5,42 +5,42 @@
 import mountmast.protocol.WallTime
 import mountmast.protocol.Zone
 
-/** A job that has tasks to place or on machines, as the scheduler sees it. */
+/** The scheduler's view of a job that has tasks to place or tasks on machines. */
 class JobView(
-    /** The job as submitted, with the urgency that it has or inherits. */
+    /** The job as submitted, except that its urgency may be inherited from a more urgent dependent. */
     val spec: JobSpec,
     val tasks: JobTasks,
     val timing: JobTiming,
     /** Machines on which tasks of the job failed. */
     val excludedMachines: Set<MachineId>,
-    /** Whether the job's tasks fail wherever they run. */
+    /** Whether the job's tasks fail on every machine. */
     val isPoisoned: Boolean,
-    /** False while the job is backed off after failures. */
+    /** Whether tasks of the job may be placed now; false while the job is backed off after failures. */
     val mayStart: Boolean,
 )
 
-/** How many tasks a job has, by what became of them so far. */
+/** The number of a job's tasks in each state. */
 class JobTasks(
-    /** Tasks to place. */
+    /** Tasks to place: neither done nor assigned. */
     val openCount: Int,
     /** Tasks that are not done: open and assigned ones. */
     val unfinishedCount: Int,
     /** Tasks that are on machines. */
     val assignedCount: Int,
-    /** The tasks on machines by zone; empty unless the job restricts the zones of its tasks. */
+    /** Tasks that are on machines, by zone; empty unless the job requires a single zone or is spread across zones. */
     val assignedPerZone: Map<Zone, Int>,
-    /** Returns the indices of the first `count` open tasks, in ascending order. */
+    /** Returns the indices of the first `count` open tasks, in ascending order; there must be as many. */
     val firstOpen: (count: Int) -> IntArray,
 )
 
-/** What the order of jobs depends on. */
+/** The times on which the order of jobs depends. */
 class JobTiming(
-    /** When it was submitted, or when the last of the jobs that it depends on was done. */
+    /** When the job was submitted, or when the last of its prerequisites was done if that was later. */
     val queuedAt: WallTime,
-    /** How long one of its tasks runs, by estimate, in seconds. */
-    val remainingS: Double,
-    /** How much later than now its tasks could start and still meet the deadline, in seconds; negative if they no longer can. */
+    /** The estimated run time of one task of the job from its start, in seconds. */
+    val estimatedRunS: Double,
+    /** For how many more seconds the job's tasks can wait and still meet the deadline; negative if they can no longer meet it. */
     val slackS: Double,
-    /** The time since a task of the job was last placed, or since this leader learned of it or its dependencies were met, in seconds. */
+    /** The time since a task of the job was last placed, or else since the job was released or this leader learned of it, in seconds. */
     val waitedS: Double,
 )
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineGroup.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineGroup.kt
@@ -4,7 +4,10 @@
 import mountmast.protocol.Resources
 import java.util.TreeSet
 
-/** Machines of one kind with the same free capacity, in the order of their ids. Changed by [MachineIndex] alone, and guarded as that is. */
+/**
+ * Machines of one kind with the same free capacity, in the order of their ids. Changed by [MachineIndex] alone. Not thread-safe:
+ * guarded by the lock of the leader's term.
+ */
 internal class MachineGroup(val kind: MachineKind, val freeCapacity: Resources) {
     private val machines = TreeSet(MachineView.BY_ID)
     private val machinesByImage = HashMap<ImageId, TreeSet<MachineView>>()
@@ -26,16 +29,19 @@
         }
     }
 
-    /** Returns the machine that follows [previous], or the first if that is null; null if there is none. */
+    /** Returns the machine that follows [previous], or the first one if [previous] is null; null if there is no further machine. */
     fun next(previous: MachineView?): MachineView? = machines.next(previous)
 
-    /** Does the same among the machines that hold [image]. */
+    /**
+     * Returns the machine that follows [previous] among the machines that hold [image], or the first of those if [previous] is null;
+     * null if there is no further one.
+     */
     fun nextHolding(image: ImageId, previous: MachineView?): MachineView? = machinesByImage[image]?.next(previous)
 
-    /** Whether some machine holds [image]. */
+    /** Whether at least one machine of the group holds [image]. */
     fun holds(image: ImageId): Boolean = image in machinesByImage
 
-    /** Whether every machine holds [image]. */
+    /** Whether every machine of the group holds [image]. */
     fun allHold(image: ImageId): Boolean = machinesByImage[image]?.size == machines.size
 
     private fun TreeSet<MachineView>.next(previous: MachineView?): MachineView? = when {
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineIndex.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineIndex.kt
@@ -6,57 +6,58 @@
 import mountmast.protocol.Zone
 
 /**
- * The machines that a scheduling cycle may place tasks on, grouped by all that decides how well a task fits, the image apart:
- * kind and free capacity. Machines are many, groups are few, so the search for free capacity goes through groups. Kept from
- * cycle to cycle and updated as machines change. Not thread-safe: guarded by the lock of the leader's term.
+ * The machines on which a scheduling cycle may place tasks, grouped by kind and free capacity. Apart from its images, a machine's
+ * kind and free capacity decide how well a task fits on it. There are far fewer groups than machines, so the search for free
+ * capacity goes through groups. Kept from cycle to cycle and updated as machines change. Not thread-safe: guarded by the lock
+ * of the leader's term.
  */
 class MachineIndex {
     private val groupsByKey = LinkedHashMap<GroupKey, MachineGroup>()
-    private val reserved = LinkedHashMap<JobId, LinkedHashSet<MachineView>>()
+    private val reservedByJob = LinkedHashMap<JobId, LinkedHashSet<MachineView>>()
 
-    /** All groups that have a machine. */
+    /** All groups; each has at least one machine. */
     internal val groups: Collection<MachineGroup> get() = groupsByKey.values
 
-    /** How many machines are reserved, for any job. */
+    /** The number of machines that are reserved, for whichever job. */
     internal var reservedCount: Int = 0
         private set
 
     /** All machines that are reserved. */
-    internal val reservedMachines: Sequence<MachineView> get() = reserved.values.asSequence().flatten()
+    internal val reservedMachines: Sequence<MachineView> get() = reservedByJob.values.asSequence().flatten()
 
     /** Returns the machines that are reserved for [job]. */
-    internal fun reservedFor(job: JobId): Collection<MachineView> = reserved[job].orEmpty()
+    internal fun reservedFor(job: JobId): Collection<MachineView> = reservedByJob[job].orEmpty()
 
-    /** Adds [machine], which must not be in an index yet, to the group of its kind and free capacity. */
+    /** Adds [machine], which must not be in any index, to the group of its kind and free capacity. */
     fun add(machine: MachineView) {
         addToGroup(machine)
         machine.reservedFor?.let { addReserved(machine, it) }
     }
 
-    /** Removes [machine]; does nothing if it is not in the index. */
+    /** Removes [machine]; does nothing if [machine] is not in the index. */
     fun remove(machine: MachineView) {
         removeFromGroup(machine)
         val job = machine.reservedFor ?: return
-        val sameJob = reserved[job] ?: return
+        val sameJob = reservedByJob[job] ?: return
         if (sameJob.remove(machine)) reservedCount--
-        if (sameJob.isEmpty()) reserved.remove(job)
+        if (sameJob.isEmpty()) reservedByJob.remove(job)
     }
 
-    /** Sets the [freeCapacity] that a plan leaves on [machine], and moves it to the group of that. */
+    /** Sets the free capacity of [machine] to [freeCapacity], which a plan leaves, and moves [machine] to the group that matches. */
     internal fun updateFreeCapacity(machine: MachineView, freeCapacity: Resources) {
         removeFromGroup(machine)
         machine.updateFreeCapacity(freeCapacity)
         addToGroup(machine)
     }
 
-    /** Reserves [machine], which must not be reserved yet, for [job]. */
+    /** Reserves [machine], which must not be reserved for any job, for [job]. */
     internal fun reserve(machine: MachineView, job: JobId) {
         machine.reserveFor(job)
         addReserved(machine, job)
     }
 
     private fun addReserved(machine: MachineView, job: JobId) {
-        if (reserved.getOrPut(job) { LinkedHashSet() }.add(machine)) reservedCount++
+        if (reservedByJob.getOrPut(job) { LinkedHashSet() }.add(machine)) reservedCount++
     }
 
     private fun addToGroup(machine: MachineView) {
@@ -72,7 +73,7 @@
         if (group.isEmpty) groupsByKey.remove(GroupKey(group.kind, group.freeCapacity))
     }
 
-    /** Names the type by its id alone, as that is cheaper to compare. */
+    /** The kind and free capacity of a group. Holds the id of the machine type in place of the type, as ids are cheaper to compare. */
     private data class GroupKey(val type: TypeId, val zone: Zone, val isSpot: Boolean, val freeCapacity: Resources) {
         constructor(kind: MachineKind, freeCapacity: Resources) : this(kind.type.id, kind.zone, kind.isSpot, freeCapacity)
     }
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
@@ -1,51 +1,60 @@
 package mountmast.coordination.scheduling
 
 /**
- * Exception to the design: reserves the machines on which capacity for large tasks becomes free soonest, and preempts nothing;
- * otherwise smaller tasks would take each piece of capacity as it becomes free, and the large ones would wait for good.
- * Not thread-safe: one for each cycle.
+ * Reserves the machines on which capacity for large tasks becomes free soonest, without preempting any task. Exception to the
+ * order of [JobPriorities]: otherwise smaller tasks would take capacity as soon as it becomes free, and the large tasks would
+ * starve. Not thread-safe: one for each cycle.
  */
 internal class MachineReservations(private val snapshot: ClusterSnapshot, private val constraints: PlacementConstraints) {
     private val smallestOpenCpus = snapshot.jobs.filter { it.tasks.openCount > 0 }.minOfOrNull { it.spec.cpus } ?: 0.0
-    private var jobCount = 0
-    private val planned = ArrayList<MachineReservation>()
+    private var reservingJobCount = 0
+    private val plannedReservations = ArrayList<MachineReservation>()
 
     /** The reservations made in this cycle. */
-    val reservations: List<MachineReservation> get() = planned
+    val reservations: List<MachineReservation> get() = plannedReservations
 
     /** Whether machines may be reserved for one more job in this cycle. */
-    fun mayReserveForAnother(): Boolean = jobCount < MAX_JOBS_PER_CYCLE
+    fun mayReserveForAnother(): Boolean = reservingJobCount < MAX_JOBS_PER_CYCLE
 
-    /** Reserves machines for [blocked] tasks of [job], unless no open task is smaller and would take their capacity. */
-    fun reserveFor(job: JobView, blocked: Int) {
+    /**
+     * Reserves machines for [blockedCount] tasks of [job] that found no free capacity. Reserves none if no open task needs
+     * fewer CPUs than those tasks, as no smaller task competes with them then.
+     */
+    fun reserveFor(job: JobView, blockedCount: Int) {
         if (job.spec.cpus <= smallestOpenCpus) return
-        var left = blocked - snapshot.reservedCapacity(job, blocked)
+        var remaining = blockedCount - snapshot.reservedCapacity(job, blockedCount)
         val maxMachines = (snapshot.machines.size * MAX_RESERVED_SHARE).toInt() - snapshot.index.reservedCount
-        if (left <= 0 || maxMachines <= 0) return
-        jobCount++
+        if (remaining <= 0 || maxMachines <= 0) return
+        reservingJobCount++
         for (machine in soonestFreeFor(job, maxMachines)) {
-            if (left <= 0) break
+            if (remaining <= 0) break
             snapshot.index.reserve(machine, job.spec.id)
-            planned += MachineReservation(machine.id, job.spec.id)
-            left -= job.spec.perTask.instancesWithin(machine.type.capacity, left)
+            plannedReservations += MachineReservation(machine.id, job.spec.id)
+            remaining -= job.spec.perTask.instancesWithin(machine.type.capacity, remaining)
         }
     }
 
-    /** Returns up to [maxMachines] machines that have capacity for a task of [job] within the horizon, the soonest first. */
+    /**
+     * Returns up to [maxMachines] machines that have free capacity for a task of [job] within [RESERVATION_HORIZON_S], the machine on
+     * which the capacity is free soonest first.
+     */
     private fun soonestFreeFor(job: JobView, maxMachines: Int): List<MachineView> {
-        val canServe = constraints.servingMachines(job)
+        val isEligible = constraints.eligibleWhenEmpty(job)
         return snapshot.machines
-            .filter { it.reservedFor == null && canServe(it) }
-            .map { TimedMachine(it, freeInS(job, it)) }
-            .filter { it.freeInS <= HORIZON_S }
+            .filter { it.reservedFor == null && isEligible(it) }
+            .map { MachineAvailability(it, freeInS(job, it)) }
+            .filter { it.freeInS <= RESERVATION_HORIZON_S }
             .sortedBy { it.freeInS }
             .take(maxMachines)
             .map { it.machine }
     }
 
-    private class TimedMachine(val machine: MachineView, val freeInS: Double)
+    private class MachineAvailability(val machine: MachineView, val freeInS: Double)
 
-    /** Returns in how many seconds [machine] has free capacity for a task of [job], by the estimates of its tasks. */
+    /**
+     * Returns in how many seconds [machine] has free capacity for a task of [job], by the estimated remaining run times of the tasks on
+     * [machine]; [Double.MAX_VALUE] if [machine] is too small.
+     */
     private fun freeInS(job: JobView, machine: MachineView): Double {
         var freeCapacity = machine.freeCapacity
         if (job.spec.perTask.fitsWithin(freeCapacity)) return 0.0
@@ -57,10 +66,10 @@
     }
 
     private companion object {
-        /** Machines are reserved if they have capacity within this time. */
-        const val HORIZON_S = 20.0
+        /** Only machines on which the capacity becomes free within this time, in seconds, are reserved. */
+        const val RESERVATION_HORIZON_S = 20.0
 
-        /** At most this share of all machines is reserved. */
+        /** No more machines are reserved here once this share of the usable machines is reserved, those for preemptions included. */
         const val MAX_RESERVED_SHARE = 0.3
         const val MAX_JOBS_PER_CYCLE = 2
     }
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineView.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineView.kt
@@ -14,28 +14,34 @@
 /** A task that is assigned to a machine, as the scheduler sees it. */
 class AssignedTask(
     val task: TaskId,
-    /** The specification of its job. */
+    /** The specification of the job that the task belongs to, with the urgency that the job has or inherits. */
     val spec: JobSpec,
-    /** How long it still runs, by estimate, in seconds; above 0. */
+    /** The estimated remaining run time of the task, in seconds; above 0. */
     val remainingS: Double,
-    /** How often it was preempted before. */
+    /** How often the task was preempted before. */
     val preemptions: Int,
-    /** Whether it is being stopped already. */
+    /** Whether the task is already being stopped or has ended. */
     val isStopping: Boolean,
 ) {
     val team: TeamId get() = spec.team
     val urgency: Urgency get() = spec.urgency
 }
 
-/** What machines have in common that are alike to a job, their free capacity and images apart. */
+/**
+ * The type and zone of a machine and whether it is a spot machine. Machines of the same kind differ for the scheduler only in free
+ * capacity, images and reservation.
+ */
 class MachineKind(val type: MachineType, val zone: Zone, val isSpot: Boolean)
 
-/** A machine that can take tasks, as the scheduler sees it. Changed by [MachineIndex] alone, and guarded as that is. */
+/**
+ * The scheduler's view of a machine on which tasks may be placed. Its free capacity, reservation and group are changed by [MachineIndex]
+ * alone. Not thread-safe: guarded by the lock of the leader's term.
+ */
 class MachineView(
     val id: MachineId,
     val kind: MachineKind,
     freeCapacity: Resources,
-    /** Images that its cache is thought to hold. */
+    /** The images that the machine's cache is expected to hold. */
     val images: Set<ImageId>,
     reservedFor: JobId?,
     private val findAssignedTasks: () -> List<AssignedTask>,
@@ -43,29 +49,32 @@
     val type: MachineType get() = kind.type
     val zone: Zone get() = kind.zone
 
-    /** Rounded, so that machines with the same tasks have the same free capacity whatever came and went before. */
+    /**
+     * The resources that are free on the machine. Rounded, so that machines with the same tasks have exactly the same free capacity
+     * and fall into one group, whichever tasks were assigned and released before.
+     */
     var freeCapacity: Resources = freeCapacity.rounded()
         private set
 
-    /** The job that the machine is reserved for, if any. */
+    /** The job that the machine is reserved for, or null if the machine is not reserved. */
     var reservedFor: JobId? = reservedFor
         private set
 
     /** The group that the machine is in now, or null while it is in no index. */
     internal var group: MachineGroup? = null
 
-    /** Whether a plan has changed this view: the next cycle has to create it anew. */
+    /** Whether a plan has changed the free capacity or the reservation; if so, the next cycle has to replace this view. */
     var isModifiedByPlan: Boolean = false
         private set
-    private var knownAssignedTasks: List<AssignedTask>? = null
+    private var cachedAssignedTasks: List<AssignedTask>? = null
 
-    /** The tasks on this machine, determined on first use: most cycles place tasks without regard to what runs. */
+    /** The tasks on this machine. Determined on first use, as most cycles place tasks without looking at those already assigned. */
     val assignedTasks: List<AssignedTask>
-        get() = knownAssignedTasks ?: findAssignedTasks().also { knownAssignedTasks = it }
+        get() = cachedAssignedTasks ?: findAssignedTasks().also { cachedAssignedTasks = it }
 
-    /** Discards [assignedTasks] at the begin of a cycle, as the remaining times differ from those of the cycle before. */
+    /** Discards the cached [assignedTasks] at the beginning of a cycle, as the remaining run times have changed since the previous one. */
     fun invalidateAssignedTasks() {
-        knownAssignedTasks = null
+        cachedAssignedTasks = null
     }
 
     internal fun updateFreeCapacity(freeCapacity: Resources) {
@@ -79,7 +88,7 @@
     }
 
     internal companion object {
-        /** The order in which the cloud names machines. */
+        /** Ascending order of machine ids, by text; the cloud lists machines in this order. */
         val BY_ID: Comparator<MachineView> = Comparator { one, other -> one.id.text.compareTo(other.id.text) }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
@@ -4,7 +4,7 @@
 import mountmast.protocol.Resources
 import mountmast.protocol.TeamId
 
-/** The starts that one cycle decides on, and the free capacity and usage that they leave. Not thread-safe: one for each cycle. */
+/** The starts of tasks that one cycle decides on, and the teams' usage that results from them. Not thread-safe: one for each cycle. */
 internal class Placement(
     private val snapshot: ClusterSnapshot,
     private val policy: SchedulingPolicy,
@@ -13,32 +13,32 @@
     private val usage: HashMap<TeamId, Resources> = HashMap(snapshot.usage)
     private val machinesWithStart = HashSet<MachineId>()
 
-    /** Machines chosen for each job's first open tasks. */
-    private val chosen = LinkedHashMap<JobView, ArrayList<MachineId>>()
+    /** The machines chosen for each job's first open tasks, in the order of the tasks. */
+    private val chosenMachines = LinkedHashMap<JobView, ArrayList<MachineId>>()
     private var startedCount = 0
 
-    /** Returns every task placed so far, with its machine. */
-    fun starts(): List<Start> = chosen.flatMap { (job, machines) ->
+    /** Returns the starts that this cycle has decided on so far: each task with its machine. */
+    fun starts(): List<Start> = chosenMachines.flatMap { (job, machines) ->
         val indices = job.tasks.firstOpen(machines.size)
         machines.mapIndexed { i, machine -> Start(job.spec.id, indices[i], machine) }
     }
 
     /** Returns how many tasks of [job] this cycle has placed. */
-    fun startedCount(job: JobView): Int = chosen[job]?.size ?: 0
+    fun startedCount(job: JobView): Int = chosenMachines[job]?.size ?: 0
 
     /** Whether this cycle has placed a task on [machine]. */
     fun hasStartOn(machine: MachineView): Boolean = machine.id in machinesWithStart
 
     /**
-     * Places up to [wanted] tasks, as far as the team's limit and [isWithinBound] of the team's usage allow. Returns how many of
-     * those allowed found no free capacity; 0 once the cycle has reached its limit of starts.
+     * Places up to [wanted] tasks of [job], as long as the team's usage including them stays within the team's limit and satisfies
+     * [isWithinBound]. Returns how many of the tasks so allowed found no free capacity; 0 if the cycle reaches its limit of starts.
      */
     fun place(job: JobView, wanted: Int, isWithinBound: (Resources) -> Boolean): Int =
         placeAllowed(job, allowedCount(job, wanted, isWithinBound), ignoresReservations = false)
 
     /**
-     * Places one task, also on a machine that is reserved for another job, as part of such a machine is idle meanwhile.
-     * Returns 1 if no machine has free capacity for it, otherwise as [place] does.
+     * Places one task of [job], even on a machine that is reserved for another job, as part of a reserved machine is idle until that
+     * job's tasks start. Returns 1 if the team's limit allows the task and no machine has free capacity for it, else 0.
      */
     fun placeOnAnyMachine(job: JobView): Int = placeAllowed(job, allowedCount(job, 1) { true }, ignoresReservations = true)
 
@@ -48,7 +48,7 @@
         while (placed < allowed) {
             if (startedCount >= policy.startsPerCycle) return 0
             val machine = candidates.poll() ?: break
-            // Each start changes the free capacity, and may reach the limit of the zone.
+            // Earlier starts may have used up the machine's free capacity or reached the limit of tasks in its zone.
             if (!canTake(machine, job, ignoresReservations)) continue
             start(job, machine)
             placed++
@@ -71,7 +71,7 @@
 
     private fun start(job: JobView, machine: MachineView) {
         val spec = job.spec
-        chosen.getOrPut(job) { ArrayList() } += machine.id
+        chosenMachines.getOrPut(job) { ArrayList() } += machine.id
         startedCount++
         machinesWithStart += machine.id
         snapshot.index.updateFreeCapacity(machine, machine.freeCapacity - spec.perTask)
@@ -79,11 +79,14 @@
         constraints.countStart(job, machine.zone)
     }
 
-    /** Returns the machines with free capacity for a task of [job], the best first; null if it needs a single zone and none can take it. */
+    /**
+     * Returns the machines with free capacity for a task of [job], the best first; null if the tasks of [job] must run in a single zone
+     * and no zone has a machine that they may use.
+     */
     private fun candidates(job: JobView, ignoresReservations: Boolean): PlacementCandidates? {
-        val homeZone = if (job.spec.singleZone) constraints.homeZone(job, ignoresReservations) ?: return null else null
+        val requiredZone = if (job.spec.singleZone) constraints.requiredZone(job, ignoresReservations) ?: return null else null
         val groups = snapshot.index.groups.filter {
-            (homeZone == null || it.kind.zone == homeZone) && constraints.allowsKind(job, it.kind)
+            (requiredZone == null || it.kind.zone == requiredZone) && constraints.allowsKind(job, it.kind)
         }
         return PlacementCandidates(job, groups) { constraints.allows(job, it, ignoresReservations) }
     }
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
@@ -3,28 +3,28 @@
 import java.util.PriorityQueue
 
 /**
- * A queue of the machines that a job's tasks may go to, the one with the lowest [PlacementScore] first; of machines with the same
- * score the one with the lowest id. All machines of a [MachineGroup] have the same score but for the image, so groups are scored,
- * and their machines are examined only as far as they are needed. Used for one job, while nothing but that job's tasks is
- * placed. Not thread-safe.
+ * A priority queue of the machines on which a job's tasks may be placed: the machine with the lowest [PlacementScore] first, and among
+ * equal scores the one with the lowest id. The score of a machine depends on its [MachineGroup] and on whether it holds the job's
+ * image, so groups are scored, and their machines are examined only when needed. Used for one job, while only tasks of that job
+ * are placed. Not thread-safe.
  */
 internal class PlacementCandidates(
     private val job: JobView,
     groups: Iterable<MachineGroup>,
-    /** Whether the job's tasks may go to a machine that has free capacity for them. */
+    /** Whether the constraints allow the job's tasks on a machine; its free capacity is not considered. */
     private val isAllowed: (MachineView) -> Boolean,
 ) {
     private val image = job.spec.image
-    private val runs = PriorityQueue<Run>()
+    private val sortedRuns = PriorityQueue<SortedRun>()
 
-    /** Machines that got a task meanwhile are in the queue by themselves, whatever group they are in now. */
+    /** Machines that got a task of this job: they are queued one by one if at all, so the sorted runs of groups skip them. */
     private val movedMachines = HashSet<MachineView>()
 
     init {
         for (group in groups) {
             if (!job.spec.perTask.fitsWithin(group.freeCapacity)) continue
-            if (group.holds(image)) runs += Run(PlacementScore.of(job, group, true)) { group.nextHolding(image, it) }
-            if (!group.allHold(image)) runs += Run(PlacementScore.of(job, group, false)) { nextWithoutImage(group, it) }
+            if (group.holds(image)) sortedRuns += SortedRun(PlacementScore.of(job, group, true)) { group.nextHolding(image, it) }
+            if (!group.allHold(image)) sortedRuns += SortedRun(PlacementScore.of(job, group, false)) { nextWithoutImage(group, it) }
         }
     }
 
@@ -34,41 +34,41 @@
         return next
     }
 
-    /** Removes and returns the best machine, or returns null if none is left. */
+    /** Removes and returns the machine with the lowest score and, among equals, the lowest id; returns null if none is left. */
     fun poll(): MachineView? {
         while (true) {
-            val run = runs.poll() ?: return null
+            val run = sortedRuns.poll() ?: return null
             val machine = run.head
             run.advance()
-            if (run.head != null) runs += run
+            if (run.head != null) sortedRuns += run
             if (machine != null) return machine
         }
     }
 
-    /** Puts back [machine], which was polled, got a task and has free capacity for another. */
+    /** Puts back [machine], which was polled and got a task, and has free capacity for another task of the job. */
     fun requeue(machine: MachineView) {
         movedMachines += machine
         val group = checkNotNull(machine.group)
-        runs += Run(PlacementScore.of(job, group, image in machine.images), machine) { null }
+        sortedRuns += SortedRun(PlacementScore.of(job, group, image in machine.images), machine) { null }
     }
 
-    /** Keeps out [machine], which was polled, got a task and has no free capacity for another. */
+    /** Keeps [machine], which was polled and got a task, out of the queue, as it cannot take another task of the job. */
     fun markFull(machine: MachineView) {
         movedMachines += machine
     }
 
-    /** Machines of the same score in the order of their ids. [head] is null until the first is determined. */
-    private inner class Run(val score: Double, var head: MachineView? = null, private val next: (MachineView?) -> MachineView?) :
-        Comparable<Run> {
-        /** Sets [head] to the next machine that is allowed, or to null after the last. */
+    /** A sorted run: machines with the same score in the order of their ids. [head] is null until the first machine is determined. */
+    private inner class SortedRun(val score: Double, var head: MachineView? = null, private val next: (MachineView?) -> MachineView?) :
+        Comparable<SortedRun> {
+        /** Sets [head] to the next machine that is allowed and has not moved, or to null after the last one. */
         fun advance() {
             do head = next(head) while (head.let { it != null && (it in movedMachines || !isAllowed(it)) })
         }
 
-        /** A run whose first machine is not determined yet comes first among equals, so that it will be. */
-        override fun compareTo(other: Run): Int {
-            val byScore = score.compareTo(other.score)
-            if (byScore != 0) return byScore
+        /** Orders by score, then by the id of [head]. Among equal scores a run whose [head] is not determined comes first. */
+        override fun compareTo(other: SortedRun): Int {
+            val scoreOrder = score.compareTo(other.score)
+            if (scoreOrder != 0) return scoreOrder
             val machine = head ?: return if (other.head == null) 0 else -1
             return other.head?.let { MachineView.BY_ID.compare(machine, it) } ?: 1
         }
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementScore.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementScore.kt
@@ -1,30 +1,36 @@
 package mountmast.coordination.scheduling
 
-/** How well machines suit a job's tasks. */
+/** Scores how well machines suit a job's tasks. */
 internal object PlacementScore {
-    /** Work with more slack than this, in seconds, is patient. */
-    private const val PATIENT_S = 200.0
+    /** A job with more slack than this, in seconds, can repeat tasks that are lost with a spot machine and still meet its deadline. */
+    private const val LONG_SLACK_S = 200.0
 
-    /** Work that saves nothing and is pressed is better off on machines that the cloud does not reclaim. */
-    private const val WRONG_KIND_PENALTY = 0.5
+    /**
+     * Added to the score of on-demand machines for jobs with long slack that allow spot machines, and to the score of spot machines for
+     * jobs with short slack that save no checkpoints: a reclaimed spot machine would cost those all of their progress.
+     */
+    private const val SPOT_MISMATCH_PENALTY = 0.5
 
     /**
-     * Returns the score of a machine of [group], which holds the job's image or not. Lower is better: the sum of the time to
-     * fetch the image in seconds, the share of capacity that a task would leave free, and a penalty for spot machines
-     * where on-demand ones suit the job better, or the reverse.
+     * Returns the score of a machine of [group] that holds the job's image if [holdsImage]; lower is better. The score is the sum of the
+     * time to fetch the image in seconds, the share of the machine's CPUs or memory, whichever is larger, that a task would leave
+     * free, and [SPOT_MISMATCH_PENALTY] if it applies.
      */
     fun of(job: JobView, group: MachineGroup, holdsImage: Boolean): Double {
         val spec = job.spec
         val type = group.kind.type
         val fetchS = if (holdsImage) 0.0 else spec.imageGb / type.fetchGbPerS
-        val left = group.freeCapacity - spec.perTask
-        val leftShare = maxOf(left.cpus / type.cpus, left.memoryGb / type.memoryGb)
-        return fetchS + leftShare + (if (isWrongKind(job, group.kind)) WRONG_KIND_PENALTY else 0.0)
+        val freeAfter = group.freeCapacity - spec.perTask
+        val freeShareAfter = maxOf(freeAfter.cpus / type.cpus, freeAfter.memoryGb / type.memoryGb)
+        return fetchS + freeShareAfter + (if (isSpotMismatch(job, group.kind)) SPOT_MISMATCH_PENALTY else 0.0)
     }
 
-    /** Work that can be repeated in time goes to spot machines, so that on-demand ones become idle and are scaled in. */
-    private fun isWrongKind(job: JobView, kind: MachineKind): Boolean {
-        val isPatient = job.timing.slackS > PATIENT_S
-        return if (isPatient) !kind.isSpot && job.spec.spotAllowed else kind.isSpot && job.spec.checkpointEveryS <= 0
+    /**
+     * Jobs with long slack prefer spot machines, so that the more expensive on-demand machines become idle and are scaled in; jobs with
+     * short slack and without checkpoints prefer on-demand machines.
+     */
+    private fun isSpotMismatch(job: JobView, kind: MachineKind): Boolean {
+        val hasLongSlack = job.timing.slackS > LONG_SLACK_S
+        return if (hasLongSlack) !kind.isSpot && job.spec.spotAllowed else kind.isSpot && job.spec.checkpointEveryS <= 0
     }
 }
--- a/src/main/kotlin/mountmast/coordination/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PreemptionPlanner.kt
@@ -9,8 +9,8 @@
 import mountmast.protocol.Zone
 
 /**
- * Reserves machines for blocked tasks by preempting all tasks on them; the paper calls this eviction (Eq. 3 to 5).
- * Not thread-safe: one for each cycle.
+ * Reserves machines for tasks that found no free capacity, by preempting all tasks on those machines. The paper calls this eviction
+ * (Eq. 3 to 5). Not thread-safe: one for each cycle.
  */
 internal class PreemptionPlanner(
     private val snapshot: ClusterSnapshot,
@@ -19,23 +19,29 @@
     private val placement: Placement,
     private val constraints: PlacementConstraints,
 ) {
-    private val planned = ArrayList<Preemption>()
+    private val plannedPreemptions = ArrayList<Preemption>()
 
     /** The preemptions decided on in this cycle. */
-    val preemptions: List<Preemption> get() = planned
+    val preemptions: List<Preemption> get() = plannedPreemptions
 
-    /** A larger cluster gives its guarantees as fast as a small one only if it may preempt on as large a share of it. */
+    /**
+     * How many machines this cycle may preempt. Grows with the number of machines: a large cluster meets its guarantees as fast as a
+     * small one only if a cycle may preempt as large a share of its machines.
+     */
     private val maxPreemptions = maxOf(policy.preemptionsPerCycle, snapshot.machines.size / MACHINES_PER_PREEMPTION)
 
-    /** Machines whose tasks may all be preempted if the tasks themselves allow it, the cheapest first. */
+    /**
+     * The machines that are not reserved and have tasks of which none is stopping, the machine that is cheapest to preempt first. Whether
+     * a job may preempt those tasks is not considered here.
+     */
     private val preemptableMachines: List<MachineView> by lazy(LazyThreadSafetyMode.NONE) {
         snapshot.machines.filter { isPreemptable(it) }.sortedBy { cost(it) }
     }
 
-    /** Demands that no preemption could meet in this cycle, so that equal ones are not searched for again. */
+    /** Demands that preemptions could not meet in this cycle. The search is not repeated for an equal demand. */
     private val unmetDemands = HashSet<Demand>()
 
-    /** Everything about a job that decides which machines may be preempted for it. */
+    /** Everything in a job's specification that decides which machines may be preempted for the job. */
     private data class Demand(
         val team: TeamId,
         val urgency: Urgency,
@@ -46,24 +52,30 @@
         val isGuaranteed: Boolean,
     )
 
-    /** Preempts the cheapest machines for [blocked] tasks of [job], up to the limit of a cycle. */
-    fun preemptFor(job: JobView, blocked: Int, isGuaranteed: Boolean) {
+    /**
+     * Preempts machines, the cheapest first, for [blockedCount] tasks of [job] that found no free capacity, until the capacity reserved
+     * for [job] suffices or the cycle's limit is reached. [isGuaranteed] tells whether the team's guarantee covers those tasks.
+     */
+    fun preemptFor(job: JobView, blockedCount: Int, isGuaranteed: Boolean) {
         val demand = demand(job, isGuaranteed)
-        if (planned.size >= maxPreemptions || (demand != null && demand in unmetDemands)) return
-        var left = blocked - snapshot.reservedCapacity(job, blocked)
-        if (left <= 0) return
-        val canServe = constraints.servingMachines(job)
+        if (plannedPreemptions.size >= maxPreemptions || (demand != null && demand in unmetDemands)) return
+        var remaining = blockedCount - snapshot.reservedCapacity(job, blockedCount)
+        if (remaining <= 0) return
+        val isEligible = constraints.eligibleWhenEmpty(job)
         for (machine in preemptableMachines) {
-            if (left <= 0 || planned.size >= maxPreemptions) return
-            if (!mayPreempt(machine, job, isGuaranteed) || !canServe(machine)) continue
-            planned += Preemption(machine.id, job.spec.id, machine.assignedTasks.map { it.task })
+            if (remaining <= 0 || plannedPreemptions.size >= maxPreemptions) return
+            if (!mayPreempt(machine, job, isGuaranteed) || !isEligible(machine)) continue
+            plannedPreemptions += Preemption(machine.id, job.spec.id, machine.assignedTasks.map { it.task })
             snapshot.index.reserve(machine, job.spec.id)
-            left -= job.spec.perTask.instancesWithin(machine.type.capacity, left)
+            remaining -= job.spec.perTask.instancesWithin(machine.type.capacity, remaining)
         }
-        if (left > 0 && demand != null) unmetDemands += demand
+        if (remaining > 0 && demand != null) unmetDemands += demand
     }
 
-    /** Returns what decides on machines for [job], or null if that is more than its own specification. */
+    /**
+     * Returns the demand of [job], or null if more than that decides which machines may be preempted: the zones of the job's other tasks
+     * or the machines excluded after failures.
+     */
     private fun demand(job: JobView, isGuaranteed: Boolean): Demand? {
         val spec = job.spec
         if (spec.singleZone || spec.spreadAcrossZones || job.excludedMachines.isNotEmpty()) return null
@@ -78,7 +90,11 @@
         return machine.assignedTasks.all { mayPreempt(it, job, isGuaranteed) }
     }
 
-    /** Only borrowed work is preempted, and only as the protocol's "Preemption" allows. */
+    /**
+     * Whether the assigned task may be preempted for [job], by the protocol's rules on preemption. For guaranteed tasks: a borrowed task
+     * that is less urgent, or that belongs to another team whose usage exceeds its guarantee. For borrowed tasks: a less urgent
+     * task of a team without a guarantee.
+     */
     private fun mayPreempt(assigned: AssignedTask, job: JobView, isGuaranteed: Boolean): Boolean {
         val isLessUrgent = assigned.urgency > job.spec.urgency
         if (!isGuaranteed) return isLessUrgent && snapshot.quotas[assigned.team]?.hasGuarantee != true
@@ -91,6 +107,7 @@
         return snapshot.quotas[team]?.guaranteeCovers(usage) == false
     }
 
+    /** The tasks on machines that no guarantee covers. Of the tasks of a job, those with the lowest indices are covered first. */
     private val borrowedTasks: Set<TaskId> by lazy(LazyThreadSafetyMode.NONE) {
         val countPerJob = HashMap<JobId, Int>()
         val borrowed = HashSet<TaskId>()
@@ -102,7 +119,10 @@
         borrowed
     }
 
-    /** Φ of the paper's Eq. 4: the cost of preempting all tasks of a machine. */
+    /**
+     * Returns the cost of preempting all tasks of [machine] (Φ in Eq. 4 of the paper). It is the higher, the more tasks there are, the
+     * less run time remains to them, and the more often they were preempted before.
+     */
     private fun cost(machine: MachineView): Double {
         val victims = machine.assignedTasks
         val meanRemainingS = victims.sumOf { it.remainingS } / victims.size
@@ -111,7 +131,7 @@
     }
 
     private companion object {
-        /** One machine in so many may be preempted in a cycle, if that is more than the policy says. */
+        /** A cycle may preempt one in this many machines if that is more than [SchedulingPolicy.preemptionsPerCycle]. */
         const val MACHINES_PER_PREEMPTION = 250
     }
 }
--- a/src/main/kotlin/mountmast/coordination/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Scheduler.kt
@@ -4,14 +4,16 @@
 import mountmast.protocol.Urgency
 
 /**
- * Decides what a scheduling cycle does, by the design: guaranteed jobs within quota by rising smoothed assurance, then shorter
- * remaining run; then borrowed jobs up to η times quota; a blocked guaranteed task reserves the machine that is cheapest to
- * preempt. Pure: equal snapshots give equal plans. Has no state of its own; the snapshot's lock guards a call.
+ * Plans scheduling cycles. Places the tasks that the teams' guarantees cover first, in the order of rising smoothed degree of assurance,
+ * then of shorter estimated run time; then borrowed tasks, up to η times the team's guarantee. A guaranteed task that finds no
+ * free capacity preempts the tasks of the machine that is cheapest to preempt, and reserves that machine. Comments that begin with
+ * "Exception" name the deviations from this order and these bounds. Stateless: equal snapshots give equal plans. A call is guarded
+ * by the lock that guards its snapshot.
  */
 class Scheduler(private val policy: SchedulingPolicy) {
     private val assessment = AssuranceAssessment(policy)
 
-    /** Returns the plan for [snapshot], whose machines afterwards have the free capacity and reservations of the plan. */
+    /** Returns the plan for [snapshot]. Updates the free capacity and the reservations of the machines in [snapshot] by the plan. */
     fun plan(snapshot: ClusterSnapshot): SchedulingPlan = Cycle(snapshot).plan()
 
     private inner class Cycle(private val snapshot: ClusterSnapshot) {
@@ -29,16 +31,17 @@
             for (job in open.filter { priorities.isStarved(it) }.sortedBy { it.timing.queuedAt }) placeStarved(job)
             for (job in open.sortedWith(priorities.byAssurance)) placeGuaranteed(job)
             for (job in open.sortedWith(priorities.byUrgency)) placeBorrowed(job)
-            // For jobs without a restriction to lift, the search for free capacity would give the same as before.
+            // Jobs without a restriction to lift are left out: another search for free capacity would find nothing more for them.
             val longWaiting = open.filter { priorities.hasWaitedTooLong(it) && priorities.hasLiftableRestrictions(it) }
             for (job in longWaiting.sortedBy { it.timing.queuedAt }) placeLongWaiting(job)
             return SchedulingPlan(placement.starts(), preemptions.preemptions, reservations.reservations, unplaced, assurance.degrees)
         }
 
         /**
-         * Exception: shorter runs, urgency and smaller tasks may otherwise go before a job for good. One that has had
-         * nothing on any machine for so long is given a single task first, and a machine is reserved for it if none has free
-         * capacity; the bounds of its team stay.
+         * Exception: jobs with shorter run times, higher urgency or smaller tasks could otherwise starve a job. A job that has waited too
+         * long without a task on any machine gets one task before all other jobs. If no machine has free capacity for that
+         * task, not even one reserved for another job, a machine is reserved for it. The team's limit and the bound on
+         * borrowing apply.
          */
         private fun placeStarved(job: JobView) {
             val quota = snapshot.quotas[job.spec.team] ?: return
@@ -50,39 +53,40 @@
             val covered = assurance.guaranteedTasks[job.spec.id] ?: return
             val wanted = minOf(job.tasks.openCount, covered - job.tasks.assignedCount) - placement.startedCount(job)
             if (wanted <= 0 || !job.mayStart) return
-            val blocked = placement.place(job, wanted) { true }
-            if (blocked <= 0) return
-            unplaced += UnplacedTasks(job.spec.id, blocked, isGuaranteed = true)
+            val blockedCount = placement.place(job, wanted) { true }
+            if (blockedCount <= 0) return
+            unplaced += UnplacedTasks(job.spec.id, blockedCount, isGuaranteed = true)
             jobsWithUnplacedGuaranteed += job.spec.id
-            preemptions.preemptFor(job, blocked, isGuaranteed = true)
+            preemptions.preemptFor(job, blockedCount, isGuaranteed = true)
         }
 
         private fun placeBorrowed(job: JobView) {
             val quota = snapshot.quotas[job.spec.team] ?: return
             val wanted = job.tasks.openCount - placement.startedCount(job)
             if (!job.mayStart || wanted <= 0 || job.spec.id in jobsWithUnplacedGuaranteed) return
-            // A job that fails everywhere tries one task at a time.
-            val tried = if (job.isPoisoned) minOf(wanted, maxOf(0, 1 - job.tasks.assignedCount)) else wanted
-            val blocked = placement.place(job, tried) { priorities.mayBorrow(quota, it) }
-            if (blocked <= 0) return
-            unplaced += UnplacedTasks(job.spec.id, blocked, isGuaranteed = false)
-            if (!quota.hasGuarantee && !job.isPoisoned) claimWithoutGuarantee(job, blocked)
+            // A job that fails on every machine runs one task at a time.
+            val attemptedCount = if (job.isPoisoned) minOf(wanted, maxOf(0, 1 - job.tasks.assignedCount)) else wanted
+            val blockedCount = placement.place(job, attemptedCount) { priorities.mayBorrow(quota, it) }
+            if (blockedCount <= 0) return
+            unplaced += UnplacedTasks(job.spec.id, blockedCount, isGuaranteed = false)
+            if (!quota.hasGuarantee && !job.isPoisoned) claimWithoutGuarantee(job, blockedCount)
         }
 
         /**
-         * Exception: without guarantees only urgency can claim capacity, as the protocol allows. Capacity mostly becomes
-         * free sooner than preempted tasks have saved, so it is waited for first.
+         * Exception: for teams without a guarantee, only urgency gives a claim to capacity, as the protocol allows. Tasks more urgent than
+         * [Urgency.NORMAL] preempt others after [PREEMPTION_DELAY_S], not at once: mostly, capacity becomes free sooner than
+         * preempted tasks have saved their state.
          */
-        private fun claimWithoutGuarantee(job: JobView, blocked: Int) {
-            val isPressing = job.spec.urgency < Urgency.NORMAL && job.timing.waitedS >= PREEMPTION_PATIENCE_S
-            if (isPressing) preemptions.preemptFor(job, blocked, isGuaranteed = false)
-            if (reservations.mayReserveForAnother() && !priorities.isDeadlineUnlikely(job)) reservations.reserveFor(job, blocked)
+        private fun claimWithoutGuarantee(job: JobView, blockedCount: Int) {
+            val mayPreempt = job.spec.urgency < Urgency.NORMAL && job.timing.waitedS >= PREEMPTION_DELAY_S
+            if (mayPreempt) preemptions.preemptFor(job, blockedCount, isGuaranteed = false)
+            if (reservations.mayReserveForAnother() && !priorities.isDeadlineUnlikely(job)) reservations.reserveFor(job, blockedCount)
         }
 
         /**
-         * Exception: what has waited for so long may take capacity that nobody else wants, beyond the bound on borrowing and on
-         * machines where its tasks failed before; only the team's limit stays. Nothing is preempted, reserved or scaled out
-         * for it.
+         * Exception: a job that has waited too long may use capacity that all other jobs left free, beyond the bound on borrowing and
+         * on machines where its tasks failed before. The team's limit applies. No tasks are preempted and no machines are
+         * reserved or requested for tasks that still find no free capacity.
          */
         private fun placeLongWaiting(job: JobView) {
             val allowed = if (job.isPoisoned) minOf(job.tasks.openCount, 1 - job.tasks.assignedCount) else job.tasks.openCount
@@ -92,7 +96,7 @@
     }
 
     private companion object {
-        /** How long urgent work waits for free capacity before others are preempted for it. */
-        const val PREEMPTION_PATIENCE_S = 2.0
+        /** How long a job of a team without a guarantee waits for free capacity before tasks are preempted for the job, in seconds. */
+        const val PREEMPTION_DELAY_S = 2.0
     }
 }
--- a/src/main/kotlin/mountmast/coordination/scheduling/SchedulingPolicy.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/SchedulingPolicy.kt
@@ -4,31 +4,31 @@
 import mountmast.protocol.Urgency
 
 /**
- * The parameters that the paper leaves open and the limits of a scheduling cycle. Each is a setting of its own with one XML
- * element in the operators' file, so they stand side by side rather than in groups.
+ * The scheduling parameters λ, η, α and β that the paper leaves open, and the limits of a scheduling cycle. Each property is set by
+ * one XML element in the operators' file, so the properties are not grouped.
  */
 data class SchedulingPolicy(
-    /** λ of the paper: the weight of the newest degree of assurance against the smoothed one before, from 0 to 1. */
+    /** λ of the paper: the weight of a team's current degree of assurance against the previous smoothed degree, from 0 to 1. */
     val smoothing: Double = 0.3,
-    /** η of the paper: a team's usage, with what it borrows, may reach this many times its guarantee. */
+    /** η of the paper: the bound on a team's usage, borrowed resources included, as a multiple of the team's guarantee. */
     val borrowingFactor: Double = 3.0,
-    /** α of the paper: the weight of a task's earlier preemptions in the cost of another one. */
+    /** α of the paper: the weight of a task's earlier preemptions in the cost of preempting that task again. */
     val overheadWeight: Double = 0.5,
-    /** β of the paper: the weight of the number of tasks preempted on one machine in their cost. */
+    /** β of the paper: the weight of the number of tasks on a machine in the cost of preempting all of them. */
     val fragmentationWeight: Double = 0.3,
-    /** The least urgency at which jobs are covered by their team's guarantee. */
+    /** The lowest urgency at which a team's guarantee covers the team's jobs. */
     val guaranteedFrom: Urgency = Urgency.NORMAL,
-    /** Teams for which another urgency than [guaranteedFrom] applies. */
+    /** The lowest urgency of covered jobs for teams to which [guaranteedFrom] does not apply. */
     val guaranteedFromOf: Map<TeamId, Urgency> = emptyMap(),
     /** The longest time between two scheduling cycles, in milliseconds. */
     val cycleMs: Long = 1000,
-    /** How many machines a cycle may preempt; more in a large cluster, see [PreemptionPlanner]. */
+    /** On how many machines a cycle may preempt the tasks; more in a large cluster, see [PreemptionPlanner]. */
     val preemptionsPerCycle: Int = 4,
-    /** How many tasks a cycle may start. */
+    /** The number of tasks that a cycle may start at most. */
     val startsPerCycle: Int = 2000,
-    /** The weight of earlier runs in a team's mean run time, from 0 to 1. */
+    /** The weight of the previous mean of a team's run times when a completed run is averaged in, from 0 to 1. */
     val runDecay: Double = 0.7,
 ) {
-    /** The least urgency at which jobs of [team] are covered by its guarantee. */
+    /** Returns the lowest urgency at which the guarantee of [team] covers its jobs. */
     fun threshold(team: TeamId): Urgency = guaranteedFromOf[team] ?: guaranteedFrom
 }
--- a/src/test/kotlin/mountmast/coordination/autoscaling/LargeClusterTest.kt
+++ b/src/test/kotlin/mountmast/coordination/autoscaling/LargeClusterTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A cluster of some 1,700 machines. Operations are counted, not timed. */
+/** Operations of a cluster of about 1,700 machines. Requests, writes and commands are counted rather than timed. */
 class LargeClusterTest {
     private val world = World(90, quietNetwork = true, perOffer = 213)
 
@@ -45,23 +45,23 @@
         val started = world.rules.started
         assertTrue(machines in 1550..1704, "$machines machines")
         assertTrue(started in 7500..8400, "$started starts")
-        // A command holds all starts of a machine that one scheduling cycle decided on.
+        // One command carries all starts on a machine that one scheduling cycle decided on.
         assertTrue(world.network.commandsSent <= started, "${world.network.commandsSent} commands for $started starts")
-        // Hundreds of starts share a record, and polls of unfinished jobs cost one request each.
+        // Hundreds of starts share one record of the store. A poll of an unfinished job costs one request.
         assertTrue(world.store.writes < 3000, "${world.store.writes} writes")
         assertTrue(world.store.mostOps <= 8, "${world.store.mostOps} in one transaction")
         assertTrue(world.store.largestValue < 2 * 1024)
         return started
     }
 
-    /** Once all tasks are placed, the number of writes and requests no longer depends on how many run. */
+    /** Once all tasks are placed, the number of writes and requests does not depend on the number of running tasks. */
     private fun assertIdleTrafficIsConstant() {
         val (requests, writes, commands) = Triple(world.store.requests, world.store.writes, world.network.commandsSent)
         val idle = world.cloud.workers.filter { !it.busy }.toSet()
         world.run(10_000, busy = false)
         assertTrue(world.store.requests - requests < 400, "${world.store.requests - requests} requests in 10 s")
         assertTrue(world.store.writes - writes < 150, "${world.store.writes - writes} writes in 10 s")
-        // A machine that came up only now gets its first command; no other machine gets any.
+        // A machine that came up during this time gets its first command; no other machine gets a command.
         val newlyUsed = world.cloud.workers.count { it.busy && it in idle }
         assertEquals(commands + newlyUsed, world.network.commandsSent)
     }
@@ -77,7 +77,7 @@
         assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.all { it.hasShownCurrentTerm })
     }
 
-    /** Half of the third is reclaimed by the cloud, the other half cut off for 9 s. */
+    /** Every third busy machine is lost: the cloud reclaims half of them, and the others are partitioned for 9 s. */
     private fun loseAThirdOfMachines(started: Int) {
         val lost = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 3 == 0 }
         for ((i, worker) in lost.withIndex()) if (i % 2 == 0) world.cloud.take(worker.id) else worker.cutUntil = world.time.now + 9000
--- a/src/test/kotlin/mountmast/coordination/scheduling/PlacementTest.kt
+++ b/src/test/kotlin/mountmast/coordination/scheduling/PlacementTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The search through groups of machines chooses the same machines as an exhaustive search for every task. */
+/** Placement, which searches through groups of machines, chooses the same machines as an exhaustive search for each task. */
 class PlacementTest {
     private val zones = listOf(Zone("a"), Zone("b"), Zone("c"))
     private val types = listOf(
@@ -63,7 +63,7 @@
         return JobView(spec, jobTasks, timing, excludedMachines, isPoisoned = false, mayStart = true)
     }
 
-    /** Examines each machine for each task. */
+    /** Examines every machine for every task; the reference for the search through groups. */
     private class ExhaustiveSearch(private val machines: List<MachineView>) {
         private val freeCapacity = machines.associateWithTo(HashMap()) { it.freeCapacity }
         val starts = ArrayList<Pair<JobId, MachineId>>()
@@ -71,10 +71,10 @@
         fun place(job: JobView) {
             val spec = job.spec
             val tasksPerZone = HashMap(job.tasks.assignedPerZone)
-            val homeZone =
-                if (spec.singleZone) tasksPerZone.entries.firstOrNull { it.value > 0 }?.key ?: widestZone(job) ?: return else null
+            val requiredZone =
+                if (spec.singleZone) tasksPerZone.entries.firstOrNull { it.value > 0 }?.key ?: zoneWithMostCapacity(job) ?: return else null
             repeat(job.tasks.openCount) {
-                val best = machines.filter { (homeZone == null || it.zone == homeZone) && fits(job, it, tasksPerZone) }
+                val best = machines.filter { (requiredZone == null || it.zone == requiredZone) && fits(job, it, tasksPerZone) }
                     .minWithOrNull(compareBy<MachineView> { score(job, it) }.thenBy { it.id.text }) ?: return
                 freeCapacity[best] = (freeCapacity.getValue(best) - spec.perTask).rounded()
                 tasksPerZone.merge(best.zone, 1, Int::plus)
@@ -82,7 +82,7 @@
             }
         }
 
-        private fun widestZone(job: JobView): Zone? = machines.filter { isAllowed(job, it, emptyMap()) }.groupBy { it.zone }
+        private fun zoneWithMostCapacity(job: JobView): Zone? = machines.filter { isAllowed(job, it, emptyMap()) }.groupBy { it.zone }
             .mapValues { (_, all) -> all.sumOf { job.spec.perTask.instancesWithin(freeCapacity.getValue(it), job.tasks.openCount) } }
             .entries.sortedBy { it.key.text }.maxByOrNull { it.value }?.key
 
@@ -102,11 +102,11 @@
         private fun score(job: JobView, machine: MachineView): Double {
             val spec = job.spec
             val fetchS = if (spec.image in machine.images) 0.0 else spec.imageGb / machine.type.fetchGbPerS
-            val left = freeCapacity.getValue(machine) - spec.perTask
-            val leftShare = maxOf(left.cpus / machine.type.cpus, left.memoryGb / machine.type.memoryGb)
-            val isWrongKind =
+            val freeAfter = freeCapacity.getValue(machine) - spec.perTask
+            val freeShareAfter = maxOf(freeAfter.cpus / machine.type.cpus, freeAfter.memoryGb / machine.type.memoryGb)
+            val isSpotMismatch =
                 if (job.timing.slackS > 200) !machine.kind.isSpot && spec.spotAllowed else machine.kind.isSpot && spec.checkpointEveryS <= 0
-            return fetchS + leftShare + (if (isWrongKind) 0.5 else 0.0)
+            return fetchS + freeShareAfter + (if (isSpotMismatch) 0.5 else 0.0)
         }
     }
 
@@ -159,7 +159,7 @@
         }
     }
 
-    /** A view belongs to one index, so the new index gets copies. */
+    /** Returns a new index of copies of [machines], as a view may be in one index only. */
     private fun rebuilt(machines: Collection<MachineView>) = MachineIndex.of(
         machines.map { MachineView(it.id, it.kind, it.freeCapacity, it.images, it.reservedFor) { emptyList() } },
     )
--- a/src/test/kotlin/mountmast/coordination/scheduling/SchedulerTest.kt
+++ b/src/test/kotlin/mountmast/coordination/scheduling/SchedulerTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The decisions of one cycle on small clusters: order, borrowing, preemption, reservations and the exceptions to the design. */
+/** The decisions of one cycle on small clusters: order, borrowing, preemption, reservations and the exceptions in [Scheduler]. */
 class SchedulerTest {
     private val type = MachineType(TypeId("t"), 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.3, 30.0, listOf(Zone("a"), Zone("b")))
     private val red = TeamQuota(TeamId("red"), 8.0, 32.0, 0.0, 0.0)
@@ -101,7 +101,7 @@
         val borrowed = job(1, blue, tasks = 0, assigned = 4)
         val long = machine("long", 0.0, listOf(assignedTask(borrowed, 2, 100.0), assignedTask(borrowed, 3, 100.0)))
         val short = machine("short", 0.0, listOf(assignedTask(borrowed, 0, 5.0), assignedTask(borrowed, 1, 5.0)))
-        // The first two of blue's tasks are within its guarantee; machines with any of those are not preempted.
+        // Blue's guarantee covers the first two of its tasks, so the machine with those tasks is not preempted.
         val plan = plan(listOf(short, long), listOf(borrowed, job(2, red)))
         assertEquals(listOf(MachineId("long")), plan.preemptions.map { it.machine })
         assertEquals(2, plan.preemptions.single().victims.size)
@@ -149,7 +149,7 @@
 
     @Test
     fun `a starved job gets one task first, within the bounds of its team`() {
-        // Smaller, more urgent and shorter work would otherwise go before it for good.
+        // The other job has smaller, more urgent and shorter tasks, which would otherwise starve the waiting job.
         val waiting = job(1, unguaranteed, tasks = 3, estimateS = 500.0, slackS = -900.0, waitedS = 100.0)
         val urgent = job(2, unguaranteed, tasks = 9, cpus = 1.0, urgency = Urgency.HIGH)
         val starts = plan(listOf(machine("m", 8.0)), listOf(urgent, waiting)).starts
@@ -159,7 +159,7 @@
         val borrowing = job(4, red, tasks = 0, cpus = 16.0, assigned = 1)
         val machines = listOf(machine("m", 0.0, listOf(assignedTask(borrowing, 0))), machine("n", 1.0))
         val bounded = plan(machines, listOf(starved, borrowing))
-        val why = "the bound on borrowing holds it back, not a lack of free capacity"
+        val why = "the bound on borrowing blocks the starved job, not a lack of free capacity"
         assertTrue(bounded.reservations.isEmpty() && bounded.starts.isEmpty(), why)
     }
 
