--- a/src/main/kotlin/mountmast/CommandLineTool.kt
+++ b/src/main/kotlin/mountmast/CommandLineTool.kt
@@ -56,7 +56,7 @@
     private fun readOperatorSettings(tuning: String?, settings: Settings): OperatorSettings {
         if (tuning == null) return OperatorSettings()
         val operators = OperatorSettings.read(tuning) { File(tuning).inputStream() }
-        val unknown = operators.scheduling.guaranteedFromOf.keys - settings.teams.keys
+        val unknown = operators.scheduling.guaranteedFromByTeam.keys - settings.teams.keys
         if (unknown.isNotEmpty()) throw InvalidSettingsException("$tuning: <guaranteed-from> names an unknown team ${unknown.first()}")
         return operators
     }
--- a/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/OperatorSettings.kt
@@ -96,7 +96,7 @@
             scheduling = if (team == null) {
                 policy.copy(guaranteedFrom = urgency)
             } else {
-                policy.copy(guaranteedFromOf = policy.guaranteedFromOf + (TeamId(team) to urgency))
+                policy.copy(guaranteedFromByTeam = policy.guaranteedFromByTeam + (TeamId(team) to urgency))
             },
         )
     }
--- a/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
@@ -42,7 +42,7 @@
 
     /** A job that fails on every machine has no claim: other tasks would be preempted for tasks that fail anyway. */
     private fun isGuaranteed(job: JobView, quota: TeamQuota) =
-        quota.hasGuarantee && job.spec.urgency <= policy.threshold(job.spec.team) && !job.isPoisoned
+        quota.hasGuarantee && job.spec.urgency <= policy.guaranteeThreshold(job.spec.team) && !job.isPoisoned
 
     private fun smooth(degree: Double, previous: Double?) =
         if (previous == null) degree else policy.smoothing * degree + (1 - policy.smoothing) * previous
--- a/src/main/kotlin/mountmast/coordination/scheduling/SchedulingPolicy.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/SchedulingPolicy.kt
@@ -19,7 +19,7 @@
     /** The lowest urgency at which a team's guarantee covers the team's jobs. */
     val guaranteedFrom: Urgency = Urgency.NORMAL,
     /** The lowest urgency of covered jobs for teams to which [guaranteedFrom] does not apply. */
-    val guaranteedFromOf: Map<TeamId, Urgency> = emptyMap(),
+    val guaranteedFromByTeam: Map<TeamId, Urgency> = emptyMap(),
     /** The longest time between two scheduling cycles, in milliseconds. */
     val cycleMs: Long = 1000,
     /** On how many machines a cycle may preempt the tasks; more in a large cluster, see [PreemptionPlanner]. */
@@ -30,5 +30,5 @@
     val runDecay: Double = 0.7,
 ) {
     /** Returns the lowest urgency at which the guarantee of [team] covers its jobs. */
-    fun threshold(team: TeamId): Urgency = guaranteedFromOf[team] ?: guaranteedFrom
+    fun guaranteeThreshold(team: TeamId): Urgency = guaranteedFromByTeam[team] ?: guaranteedFrom
 }
--- a/src/test/kotlin/mountmast/coordination/controller/OperatorSettingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/OperatorSettingsTest.kt
@@ -23,8 +23,8 @@
                <fleet><idle-return-s>90</idle-return-s></fleet></mountmast>""",
         )
         assertEquals(3.0, settings.scheduling.borrowingFactor)
-        assertEquals(Urgency.HIGH, settings.scheduling.threshold(TeamId("t")))
-        assertEquals(Urgency.NORMAL, settings.scheduling.threshold(TeamId("other")))
+        assertEquals(Urgency.HIGH, settings.scheduling.guaranteeThreshold(TeamId("t")))
+        assertEquals(Urgency.NORMAL, settings.scheduling.guaranteeThreshold(TeamId("other")))
         assertEquals(90_000L, settings.autoscaling.idleTimeoutMs)
     }
 
