--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
@@ -92,7 +92,7 @@
         const val BOOT_TIMEOUT_FACTOR = 4
         const val BOOT_TIMEOUT_MARGIN_MS = 15_000L
 
-        /** For how long a machine is rented before it may count as idle: machines are billed for at least a minute. */
+        /** A machine rented less than this ago is not scaled in as idle: as a minute is billed at least, that would save nothing. */
         const val MIN_RENTAL_MS = 55_000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
@@ -51,15 +51,15 @@
         /** Reserves capacity for [count] tasks of [job] on expected machines, then on machines that it adds to [machinesToRequest]. */
         fun coverTasks(job: Job, count: Int) {
             val zones = ZoneBudget.of(job)
-            var remaining = count - expected.reserve(job, count, zones)
-            while (remaining > 0 && machineCount < maxMachinesPerRound) {
-                val best = bestOffering(job, remaining, zones) ?: return
+            var remainingTasks = count - expected.reserve(job, count, zones)
+            while (remainingTasks > 0 && machineCount < maxMachinesPerRound) {
+                val best = bestOffering(job, remainingTasks, zones) ?: return
                 machinesToRequest.merge(best.offering, 1, Int::plus)
                 machineCount++
                 expected.add(best.offering, best.type.capacity)
-                val reserved = expected.reserveOn(best.offering, best.type.capacity, job, remaining, zones)
+                val reserved = expected.reserveOn(best.offering, best.type.capacity, job, remainingTasks, zones)
                 if (reserved == 0) return
-                remaining -= reserved
+                remainingTasks -= reserved
             }
         }
 
@@ -114,7 +114,7 @@
     private class PricedOffering(val offering: MachineOffering, val type: MachineType, val pricePerTask: Double)
 
     private companion object {
-        /** From this number of overdue offerings on, the cause is taken to be common to all offerings. */
+        /** With this many overdue offerings, the remaining offerings are expected to become overdue as well. */
         const val MANY_OVERDUE_OFFERINGS = 2
 
         /** Of the offerings that cost at most this many times the lowest price per task, the one with the smallest machines is chosen. */
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
@@ -60,7 +60,7 @@
     /** A sorted run: machines with the same score in the order of their ids. [head] is null until the first machine is determined. */
     private inner class SortedRun(val score: Double, var head: MachineView? = null, private val next: (MachineView?) -> MachineView?) :
         Comparable<SortedRun> {
-        /** Sets [head] to the next machine that is allowed and has not moved, or to null after the last one. */
+        /** Sets [head] to the next machine that is allowed and got no task of this job, or to null after the last one. */
         fun advance() {
             do head = next(head) while (head.let { it != null && (it in movedMachines || !isAllowed(it)) })
         }
