--- a/src/main/kotlin/mountmast/CommandLineTool.kt
+++ b/src/main/kotlin/mountmast/CommandLineTool.kt
@@ -60,7 +60,7 @@
     private fun readOperatorSettings(tuning: String?, settings: Settings): OperatorSettings {
         if (tuning == null) return OperatorSettings()
         val operatorSettings = OperatorSettings.read(tuning) { File(tuning).inputStream() }
-        val unknown = operatorSettings.scheduling.guaranteedFromOf.keys - settings.teams.keys
+        val unknown = operatorSettings.scheduling.guaranteedFromByTeam.keys - settings.teams.keys
         if (unknown.isNotEmpty()) throw InvalidSettingsException("$tuning: <guaranteed-from> names an unknown team ${unknown.first()}")
         return operatorSettings
     }
