--- a/src/test/kotlin/mountmast/soak/Breakage.kt
+++ b/src/test/kotlin/mountmast/soak/Breakage.kt
@@ -1,18 +1,18 @@
 package mountmast.soak
 
-/** A stand-in that breaks its protocol, to see that the soak's invariants fail. */
+/** A protocol violation by a stand-in, injected to verify that the soak test detects it. */
 enum class Breakage {
     NONE,
 
-    /** Workers keep their tasks when their lease is over. */
+    /** Workers keep running their tasks after their lease has expired. */
     LEASES_NEVER_END,
 
-    /** Workers do not stop what they are told to stop. */
+    /** Workers ignore stop commands. */
     STOPS_IGNORED,
 
-    /** Some submissions are answered as stored, but are not. */
+    /** The state service confirms the write of some new jobs, but does not store them. */
     SUBMISSIONS_LOST,
 
-    /** Workers report tasks as done that have just begun. */
+    /** Workers report tasks as done that have only just started to run. */
     DONE_TOO_EARLY,
 }
--- a/src/test/kotlin/mountmast/soak/CloudServer.kt
+++ b/src/test/kotlin/mountmast/soak/CloudServer.kt
@@ -12,50 +12,50 @@
 import mountmast.transport.RentalOutcome
 import java.util.concurrent.ExecutorService
 
-/** The cloud over HTTP. */
+/** Serves the cloud provider's API over HTTP from the simulated [cloud]. */
 class CloudServer(
     private val clock: SoakClock,
-    private val view: Cloud,
+    private val cloud: Cloud,
     private val addressOf: (MachineId) -> String?,
     executor: ExecutorService,
 ) : AutoCloseable {
-    private val server = StandInServer(executor, ::answer)
+    private val server = TestHttpServer(executor, ::respond)
 
-    /** Where it listens. */
+    /** The loopback port that this server listens on. */
     val port: Int get() = server.port
 
-    private fun answer(request: StandInRequest): StandInAnswer? = try {
+    private fun respond(request: TestHttpRequest): TestHttpResponse? = try {
         route(request)
     } catch (e: CloudException) {
-        if (e.mayBeCarriedOut) null else StandInAnswer(503, """{"error":"trouble"}""")
+        if (e.mayBeCarriedOut) null else TestHttpResponse(503, """{"error":"trouble"}""")
     }
 
-    private fun route(request: StandInRequest): StandInAnswer = when (request.path) {
-        "/machine_types" -> ok(WireJson.encodeToString(MachineTypes(clock.locked { view.machineTypes() })))
+    private fun route(request: TestHttpRequest): TestHttpResponse = when (request.path) {
+        "/machine_types" -> okResponse(WireJson.encodeToString(MachineTypes(clock.runLocked { cloud.machineTypes() })))
         "/machines/delete" -> {
             val machines = WireJson.decodeFromString<MachineNames>(request.body).machines
-            clock.locked { view.delete(machines) }
-            ok("{}")
+            clock.runLocked { cloud.delete(machines) }
+            okResponse("{}")
         }
         else -> if (request.method == "POST") rent(request.body) else list(request)
     }
 
-    private fun ok(body: String) = StandInAnswer(200, body)
+    private fun okResponse(body: String) = TestHttpResponse(200, body)
 
-    private fun rent(body: String): StandInAnswer {
-        val outcome = clock.locked { view.rent(WireJson.decodeFromString<RentalRequest>(body)) }
+    private fun rent(body: String): TestHttpResponse {
+        val outcome = clock.runLocked { cloud.rent(WireJson.decodeFromString<RentalRequest>(body)) }
         return when (outcome) {
-            is RentalOutcome.Rented -> ok(WireJson.encodeToString(MachineNames(outcome.machines)))
-            RentalOutcome.NoCapacity -> StandInAnswer(503, """{"error":"no capacity"}""")
+            is RentalOutcome.Rented -> okResponse(WireJson.encodeToString(MachineNames(outcome.machines)))
+            RentalOutcome.NoCapacity -> TestHttpResponse(503, """{"error":"no capacity"}""")
         }
     }
 
-    private fun list(request: StandInRequest): StandInAnswer {
-        val page = clock.locked {
-            val listed = view.list(request.parameter("from")?.let(::MachineId))
+    private fun list(request: TestHttpRequest): TestHttpResponse {
+        val page = clock.runLocked {
+            val listed = cloud.list(request.parameter("from")?.let(::MachineId))
             listed.copy(machines = listed.machines.map { it.copy(address = addressOf(it.id)) })
         }
-        return ok(WireJson.encodeToString(page))
+        return okResponse(WireJson.encodeToString(page))
     }
 
     override fun close() = server.close()
--- a/src/test/kotlin/mountmast/soak/FaultSchedule.kt
+++ b/src/test/kotlin/mountmast/soak/FaultSchedule.kt
@@ -2,7 +2,10 @@
 
 import kotlin.random.Random
 
-/** A kind of fault. */
+/**
+ * The kind of a fault. Machines that are cut neither send nor receive, deaf ones do not receive, mute ones do not send. `STATE`
+ * stands for the state service, `PEERS` for the links between controllers.
+ */
 enum class FaultKind {
     KILL,
     KILL_ALL,
@@ -28,29 +31,32 @@
     CLOUD_OUT,
 }
 
-/** One fault: at [node], or at machines, from [atMs] for [forMs]. */
-data class Fault(val atMs: Long, val kind: FaultKind, val node: Int, val forMs: Long) {
-    override fun toString() = "$atMs ms: $kind at node-$node for $forMs ms"
+/**
+ * A fault of [kind] that starts [startMs] after the schedule's start and lasts [durationMs]. Faults that are not
+ * specific to one node ignore [node].
+ */
+data class Fault(val startMs: Long, val kind: FaultKind, val node: Int, val durationMs: Long) {
+    override fun toString() = "$startMs ms: $kind at node-$node for $durationMs ms"
 }
 
-/** Faults drawn from a seed, some of which overlap. */
+/** Draws random faults from a seed; faults may overlap. */
 object FaultSchedule {
-    /** The schedule of [seed]. */
+    /** Returns the faults of [seed], ordered by their start. */
     fun draw(seed: Long): List<Fault> {
         val random = Random(seed)
         val faults = List(random.nextInt(4, 9)) {
             val kind = FaultKind.entries.random(random)
-            val forMs = if (kind == FaultKind.STATE_OUT && random.nextInt(6) == 0) {
-                SoakSite.CANCEL_MS + random.nextLong(1000, 4000)
+            val durationMs = if (kind == FaultKind.STATE_OUT && random.nextInt(6) == 0) {
+                SoakDeployment.CANCELLATION_MS + random.nextLong(1000, 4000)
             } else {
-                random.nextLong(300, LONGEST_MS)
+                random.nextLong(300, MAX_DURATION_MS)
             }
-            Fault(random.nextLong(BEGIN_MS, END_MS), kind, random.nextInt(SoakSite.NODES), forMs)
+            Fault(random.nextLong(EARLIEST_START_MS, LATEST_START_MS), kind, random.nextInt(SoakDeployment.NODE_COUNT), durationMs)
         }
-        return faults.sortedBy { it.atMs }
+        return faults.sortedBy { it.startMs }
     }
 
-    private const val BEGIN_MS = 2000L
-    private const val END_MS = 16_000L
-    private const val LONGEST_MS = 9000L
+    private const val EARLIEST_START_MS = 2000L
+    private const val LATEST_START_MS = 16_000L
+    private const val MAX_DURATION_MS = 9000L
 }
--- a/src/test/kotlin/mountmast/soak/LinkProxy.kt
+++ b/src/test/kotlin/mountmast/soak/LinkProxy.kt
@@ -7,35 +7,38 @@
 import java.util.concurrent.ConcurrentHashMap
 import kotlin.concurrent.thread
 
-/** Which way a [LinkProxy] lets nothing pass. */
-enum class Cut { NONE, REQUESTS, ANSWERS, BOTH, REFUSED }
+/** What a [LinkProxy] blocks: data in either direction or in both, or new connections. */
+enum class LinkFault { NONE, REQUESTS_HELD, RESPONSES_HELD, BOTH_HELD, CONNECTIONS_REFUSED }
 
-/** One TCP link on loopback, which can be cut in either direction, refused, or slowed down. What a cut holds is delivered after it. */
+/**
+ * A TCP proxy on loopback that can hold data back in either direction, refuse connections or delay data. Data that was held back is
+ * delivered once the fault ends.
+ */
 class LinkProxy(private val targetPort: Int) : AutoCloseable {
     private val server = ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress())
     private val sockets = ConcurrentHashMap.newKeySet<Socket>()
 
-    /** What does not pass at present. */
+    /** The fault that this link has at present. */
     @Volatile
-    var cut = Cut.NONE
+    var fault = LinkFault.NONE
 
-    /** How long each piece of data is held up. */
+    /** The delay of each chunk of data, in milliseconds. */
     @Volatile
     var delayMs = 0L
 
-    /** The port that stands for the target's. */
+    /** The port to connect to in place of the target's. */
     val port: Int get() = server.localPort
 
-    /** Starts taking connections. */
+    /** Starts accepting connections and returns this proxy. */
     fun start() = apply { thread(name = "proxy", isDaemon = true) { acceptAll() } }
 
     private fun acceptAll() {
         while (!server.isClosed) {
             try {
                 val client = server.accept()
-                if (cut == Cut.REFUSED) client.close() else connect(client)
+                if (fault == LinkFault.CONNECTIONS_REFUSED) client.close() else connect(client)
             } catch (e: IOException) {
-                // The proxy was closed, or nobody listens behind it.
+                // The proxy was closed, or the target does not accept connections.
             }
         }
     }
@@ -49,22 +52,26 @@
         }
         sockets += client
         sockets += target
-        thread(name = "proxy-requests", isDaemon = true) { pump(client, target) { cut == Cut.REQUESTS || cut == Cut.BOTH } }
-        thread(name = "proxy-answers", isDaemon = true) { pump(target, client) { cut == Cut.ANSWERS || cut == Cut.BOTH } }
+        thread(name = "proxy-requests", isDaemon = true) {
+            copyData(client, target) { fault == LinkFault.REQUESTS_HELD || fault == LinkFault.BOTH_HELD }
+        }
+        thread(name = "proxy-answers", isDaemon = true) {
+            copyData(target, client) { fault == LinkFault.RESPONSES_HELD || fault == LinkFault.BOTH_HELD }
+        }
     }
 
-    private fun pump(from: Socket, to: Socket, isHeld: () -> Boolean) {
+    private fun copyData(from: Socket, to: Socket, isHeld: () -> Boolean) {
         val buffer = ByteArray(BUFFER_BYTES)
         try {
             while (true) {
                 val count = from.getInputStream().read(buffer)
                 if (count < 0) break
-                while (isHeld() && !server.isClosed) Thread.sleep(HOLD_STEP_MS)
+                while (isHeld() && !server.isClosed) Thread.sleep(HOLD_POLL_MS)
                 if (delayMs > 0) Thread.sleep(delayMs)
                 to.getOutputStream().write(buffer, 0, count)
             }
         } catch (e: IOException) {
-            // Either side has closed its end.
+            // The client, the target or the proxy closed the connection.
         }
         sockets -= from
         sockets -= to
@@ -80,6 +87,6 @@
     private companion object {
         const val BACKLOG = 256
         const val BUFFER_BYTES = 16 * 1024
-        const val HOLD_STEP_MS = 20L
+        const val HOLD_POLL_MS = 20L
     }
 }
--- a/src/test/kotlin/mountmast/soak/LoopbackPorts.kt
+++ b/src/test/kotlin/mountmast/soak/LoopbackPorts.kt
@@ -6,26 +6,26 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /**
- * Ports for processes that are started, ended and started again. They lie below those that the system gives to outgoing
- * connections: one of those, of another run, took the place of a controller that was down, and answered its users.
+ * Allocates ports for processes that are stopped and restarted. The ports lie below the system's ephemeral range: an ephemeral
+ * port of another run once coincided with the port of a stopped controller, and the other run answered that controller's users.
  */
 object LoopbackPorts {
-    private const val FIRST = 20_000
-    private const val COUNT = 10_000
+    private const val FIRST_PORT = 20_000
+    private const val PORT_COUNT = 10_000
 
-    /** Processes that run side by side begin far apart: between finding a port free and using it another could take it. */
-    private const val APART = 97
-    private val next = AtomicInteger((ProcessHandle.current().pid() * APART % COUNT).toInt())
+    /** The distance between the first ports of consecutive process ids. Another process could take a port between its check and its use. */
+    private const val PORTS_BETWEEN_PROCESSES = 97
+    private val nextOffset = AtomicInteger((ProcessHandle.current().pid() * PORTS_BETWEEN_PROCESSES % PORT_COUNT).toInt())
 
-    /** [count] ports that nobody listens on, each given once. */
-    fun take(count: Int): List<Int> = List(count) { takeOne() }
+    /** Returns [count] ports that no process listens on; each port is returned once. */
+    fun allocate(count: Int): List<Int> = List(count) { allocateOne() }
 
-    private fun takeOne(): Int {
-        repeat(COUNT) {
-            val port = FIRST + Math.floorMod(next.getAndIncrement(), COUNT)
+    private fun allocateOne(): Int {
+        repeat(PORT_COUNT) {
+            val port = FIRST_PORT + Math.floorMod(nextOffset.getAndIncrement(), PORT_COUNT)
             if (isFree(port)) return port
         }
-        error("no port is free")
+        error("no loopback port is free")
     }
 
     private fun isFree(port: Int): Boolean = try {
--- a/src/test/kotlin/mountmast/soak/SoakClock.kt
+++ b/src/test/kotlin/mountmast/soak/SoakClock.kt
@@ -5,64 +5,64 @@
 import kotlin.concurrent.thread
 import kotlin.concurrent.withLock
 
-/** Lets the stand-ins' [VirtualTime] follow this machine's clock. All stand-ins of a run are guarded by one lock. */
+/** Advances the stand-ins' [VirtualTime] with this machine's clock. One lock guards all stand-ins of a run. */
 class SoakClock : AutoCloseable {
     private val lock = ReentrantLock()
-    private val beganNanos = System.nanoTime()
+    private val startedAtNanos = System.nanoTime()
 
-    /** The time of all stand-ins; used under the lock only. */
+    /** The time of all stand-ins; accessed under the lock only. */
     val time = VirtualTime()
 
     @Volatile
     private var isOpen = true
 
-    /** What happens at each tick, under the lock. */
-    private val onTick = ArrayList<() -> Unit>()
+    /** The actions that each tick runs under the lock. */
+    private val tickActions = ArrayList<() -> Unit>()
 
-    /** The first fault found by a tick, such as a broken rule. */
+    /** The first failure in any thread of the run, such as a violated invariant. */
     @Volatile
     var failure: Throwable? = null
         private set
 
-    /** Runs [act] under the lock, after time has caught up. */
-    fun <T> locked(act: () -> T): T = lock.withLock {
-        catchUp()
-        act()
+    /** Advances the stand-ins' time to the present and runs [action], both under the lock. */
+    fun <T> runLocked(action: () -> T): T = lock.withLock {
+        advanceToPresent()
+        action()
     }
 
-    /** Has [act] run at each tick; a failure of it ends the run. */
-    fun eachTick(act: () -> Unit) {
-        onTick += act
+    /** Adds [action] to the actions of each tick; an exception that it throws fails the run. */
+    fun addTickAction(action: () -> Unit) {
+        tickActions += action
     }
 
-    /** Notes what a stand-in saw go wrong. */
-    fun failed(error: Throwable) {
+    /** Records [error] as the run's failure, unless one is recorded already. */
+    fun recordFailure(error: Throwable) {
         if (failure == null) failure = error
     }
 
-    /** Starts the ticks. */
+    /** Starts the thread that runs the ticks. */
     fun start() {
         thread(name = "soak-clock", isDaemon = true) {
             while (isOpen) {
-                noting { locked { onTick.forEach { it() } } }
+                runRecordingFailure { runLocked { tickActions.forEach { it() } } }
                 Thread.sleep(TICK_MS)
             }
         }
     }
 
-    /** Runs [act]; whatever it throws is noted as this run's failure. */
+    /** Runs [action] and records whatever it throws as the run's failure. */
     @Suppress("TooGenericExceptionCaught") // A run reports whatever goes wrong in any of its threads.
-    fun noting(act: () -> Unit) {
+    fun runRecordingFailure(action: () -> Unit) {
         try {
-            act()
+            action()
         } catch (e: Throwable) {
-            failed(e)
+            recordFailure(e)
         }
     }
 
-    private fun catchUp() {
-        val passedMs = (System.nanoTime() - beganNanos) / NANOS_PER_MS
-        if (passedMs > time.now) time.advance(passedMs - time.now)
+    private fun advanceToPresent() {
+        val elapsedMs = (System.nanoTime() - startedAtNanos) / NANOS_PER_MS
+        if (elapsedMs > time.now) time.advance(elapsedMs - time.now)
     }
 
     override fun close() {
--- a/src/test/kotlin/mountmast/soak/SoakRun.kt
+++ b/src/test/kotlin/mountmast/soak/SoakRun.kt
@@ -17,7 +17,7 @@
 import kotlin.concurrent.thread
 import kotlin.random.Random
 
-/** Three controllers as real processes among stand-ins on real sockets, with the faults of one [seed]. */
+/** Runs three controllers as real processes with stand-ins on real sockets, and injects the faults drawn from [seed]. */
 class SoakRun(
     val seed: Long,
     val size: SoakSize,
@@ -25,167 +25,172 @@
     private val schedule: List<Fault> = FaultSchedule.draw(seed),
 ) : AutoCloseable {
     val clock = SoakClock()
-    val rules = Rules(SoakSite.teams, SoakSite.CANCEL_MS)
+    val rules = Rules(SoakDeployment.teams, SoakDeployment.CANCELLATION_MS)
     private val random = Random(seed)
     private val executor = Executors.newCachedThreadPool { task -> Thread(null, task, "soak", STACK_BYTES).apply { isDaemon = true } }
-    private val store = StandInStore(clock.time, keptChanges = 10_000, FallingLimits(SoakSite.limits), pageSize = PAGE)
+    private val store = StandInStore(clock.time, keptChanges = 10_000, FallingLimits(SoakDeployment.limits), pageSize = STORE_PAGE_SIZE)
     private val users = SoakUsers(this, Random(seed + 1))
-    val cloud: StandInCloud = StandInCloud(clock.time, random, SoakSite.types, size.machinesPerOffer) { id, request ->
+    val cloud: StandInCloud = StandInCloud(clock.time, random, SoakDeployment.types, size.machinesPerOffering) { id, request ->
         StandInWorker(
-            id, SoakSite.types.first { it.id == request.type }, request.zone, request.spot, clock.time, rules, leaseMs(),
+            id, SoakDeployment.types.first { it.id == request.type }, request.zone, request.spot, clock.time, rules, leaseMs(),
             { users.jobs[it] }, { false }, {},
         )
     }
     private val fleet = WorkerFleet(this, random, executor)
-    private val ports = LoopbackPorts.take(2 * SoakSite.NODES)
+    private val ports = LoopbackPorts.allocate(2 * SoakDeployment.NODE_COUNT)
 
-    /** Where users and workers reach the controllers. */
-    val publicPorts: List<Int> get() = ports.take(SoakSite.NODES)
+    /** The ports where the controllers serve users and workers, by node index. */
+    val publicPorts: List<Int> get() = ports.take(SoakDeployment.NODE_COUNT)
     private val directory: File = Files.createTempDirectory("mountmast-soak").toFile()
-    private val troubles = List(SoakSite.NODES) { ProcessFaults(clock.time).apply { lossRate = LOSS_RATE } }
-    private val storeServers = troubles.map { StoreServer(clock, store.View(random, it), executor, breakage == Breakage.SUBMISSIONS_LOST) }
+    private val processFaults = List(SoakDeployment.NODE_COUNT) { ProcessFaults(clock.time).apply { lossRate = LOSS_RATE } }
+    private val storeServers = processFaults.map {
+        StoreServer(clock, store.View(random, it), executor, breakage == Breakage.SUBMISSIONS_LOST)
+    }
     private val cloudServer = CloudServer(clock, cloud.View(ProcessFaults(clock.time)), fleet::addressOf, executor)
     private val stateLinks = storeServers.map { LinkProxy(it.port).start() }
 
-    /** From each node to each other one. */
-    private val peerLinks = List(SoakSite.NODES) { from ->
-        (0 until SoakSite.NODES).filter { it != from }.associateWith { to -> LinkProxy(ports[SoakSite.NODES + to]).start() }
+    /** The links from each node to each other node. */
+    private val peerLinks = List(SoakDeployment.NODE_COUNT) { from ->
+        (0 until SoakDeployment.NODE_COUNT).filter { it != from }
+            .associateWith { to -> LinkProxy(ports[SoakDeployment.NODE_COUNT + to]).start() }
     }
-    private val controllers = List(SoakSite.NODES) { node ->
+    private val controllers = List(SoakDeployment.NODE_COUNT) { node ->
         val settings = File(directory, "node-$node.toml")
         val members = peerLinks[node].mapValues { it.value.port }
         settings.writeText(
-            SoakSite.settings(
+            SoakDeployment.settings(
                 node,
-                SoakSite.Ports(ports[node], ports[SoakSite.NODES + node], stateLinks[node].port, cloudServer.port, members),
+                SoakDeployment.Ports(
+                    ports[node], ports[SoakDeployment.NODE_COUNT + node], stateLinks[node].port, cloudServer.port, members,
+                ),
             ),
         )
         ControllerProcess(settings, File(directory, "node-$node.log"))
     }
 
-    /** Leaves nothing behind when the run is interrupted. */
-    private val hook = thread(start = false) {
+    /** Kills the controllers and deletes their files if the JVM exits during the run. */
+    private val shutdownHook = thread(start = false) {
         controllers.forEach { it.close() }
         directory.deleteRecursively()
     }
 
-    /** Plays the run; returns null where all invariants held, or else what was seen, with the schedule and the logs' ends. */
-    fun play(): String? {
-        Runtime.getRuntime().addShutdownHook(hook)
-        clock.eachTick {
+    /** Executes the run. Returns null if all invariants held, else the failure, the fault schedule and the last lines of the logs. */
+    fun execute(): String? {
+        Runtime.getRuntime().addShutdownHook(shutdownHook)
+        clock.addTickAction {
             cloud.step()
             fleet.step()
             rules.check(clock.time.now)
         }
         controllers.forEach { it.start() }
         clock.start()
-        val asking = List(USERS) { thread(isDaemon = true) { clock.noting { use() } } }
-        clock.noting(::awaitFirstTask)
-        val troublesEndAt = playFaults()
-        asking.forEach { it.join() }
-        if (clock.failure == null) clock.noting { recover(troublesEndAt) }
-        return clock.failure?.let(::describe)
+        val userThreads = List(USER_COUNT) { thread(isDaemon = true) { clock.runRecordingFailure { runUsers() } } }
+        clock.runRecordingFailure(::awaitFirstTask)
+        val faultsEndedAt = injectFaults()
+        userThreads.forEach { it.join() }
+        if (clock.failure == null) clock.runRecordingFailure { checkRecovery(faultsEndedAt) }
+        return clock.failure?.let(::describeFailure)
     }
 
-    private fun leaseMs() = if (breakage == Breakage.LEASES_NEVER_END) Long.MAX_VALUE else SoakSite.LEASE_MS
+    private fun leaseMs() = if (breakage == Breakage.LEASES_NEVER_END) Long.MAX_VALUE else SoakDeployment.LEASE_MS
 
-    /** What the run did, in one line. */
-    fun summary(): String = clock.locked {
+    /** Returns a one-line summary of the run. */
+    fun summary(): String = clock.runLocked {
         val alive = cloud.workers.count { it.alive }
         val accepted = users.accepted.distinct().size
-        "${schedule.size} faults, $accepted jobs accepted, ${rules.started} starts, $alive of ${cloud.rented} machines left"
+        "${schedule.size} faults, $accepted jobs accepted, ${rules.started} task starts, $alive of ${cloud.rented} rented machines alive"
     }
 
-    private fun now() = clock.locked { clock.time.now }
+    private fun now() = clock.runLocked { clock.time.now }
 
-    /** When the schedule's time began: not before the service runs, however long a busy machine takes to start it. */
+    /** The time when the fault schedule started: once the first task has started, since a busy machine may be slow to start the service. */
     @Volatile
-    private var scheduleBeganAt = Long.MAX_VALUE / 2
+    private var scheduleStartedAt = Long.MAX_VALUE / 2
 
     @Volatile
     private var isSubmitting = true
 
     private fun awaitFirstTask() {
-        while (clock.locked { rules.started } == 0) {
+        while (clock.runLocked { rules.started } == 0) {
             clock.failure?.let { throw it }
-            check(now() < STARTED_WITHIN_MS) { "nothing ran" }
-            Thread.sleep(STEP_MS)
+            check(now() < STARTUP_TIMEOUT_MS) { "no task started within the time limit" }
+            Thread.sleep(POLL_INTERVAL_MS)
         }
-        scheduleBeganAt = now()
+        scheduleStartedAt = now()
     }
 
-    private fun use() {
+    private fun runUsers() {
         while (isSubmitting && clock.failure == null) {
-            users.act()
+            users.performRandomAction()
             Thread.sleep(USER_PAUSE_MS)
         }
     }
 
-    private fun playFaults(): Long {
+    private fun injectFaults(): Long {
         for (fault in schedule) {
-            awaitScheduled(fault.atMs)
-            if (clock.failure == null) begin(fault)
+            awaitScheduled(fault.startMs)
+            if (clock.failure == null) inject(fault)
         }
-        awaitScheduled(FAULTS_END_MS)
+        awaitScheduled(SUBMISSIONS_END_MS)
         isSubmitting = false
-        awaitScheduled(schedule.maxOfOrNull { it.atMs + it.forMs } ?: 0)
+        awaitScheduled(schedule.maxOfOrNull { it.startMs + it.durationMs } ?: 0)
         return now()
     }
 
-    private fun awaitScheduled(atMs: Long) {
-        while (now() - scheduleBeganAt < atMs && clock.failure == null) Thread.sleep(STEP_MS)
+    private fun awaitScheduled(scheduleMs: Long) {
+        while (now() - scheduleStartedAt < scheduleMs && clock.failure == null) Thread.sleep(POLL_INTERVAL_MS)
     }
 
-    private fun begin(fault: Fault) {
+    private fun inject(fault: Fault) {
         val node = fault.node
-        val trouble = troubles[node]
-        val until = now() + fault.forMs
+        val faultsOfNode = processFaults[node]
+        val until = now() + fault.durationMs
         when (fault.kind) {
-            FaultKind.KILL -> stopped(fault.forMs, listOf(controllers[node]))
-            FaultKind.KILL_ALL -> stopped(fault.forMs / 2, controllers)
-            FaultKind.KILL_FOR_A_MOMENT -> stopped(random.nextLong(50, 500), listOf(controllers[node]))
+            FaultKind.KILL -> killAndRestart(fault.durationMs, listOf(controllers[node]))
+            FaultKind.KILL_ALL -> killAndRestart(fault.durationMs / 2, controllers)
+            FaultKind.KILL_FOR_A_MOMENT -> killAndRestart(random.nextLong(50, 500), listOf(controllers[node]))
             FaultKind.PAUSE -> {
                 controllers[node].pause()
-                after(fault.forMs) { controllers[node].resume() }
+                runAfter(fault.durationMs) { controllers[node].resume() }
             }
-            FaultKind.STATE_HELD -> cut(listOf(stateLinks[node]), Cut.BOTH, fault.forMs)
-            FaultKind.STATE_ANSWERS_HELD -> cut(listOf(stateLinks[node]), Cut.ANSWERS, fault.forMs)
-            FaultKind.STATE_REFUSED -> clock.locked { trouble.storeRefusedUntil = until }
+            FaultKind.STATE_HELD -> failLinks(listOf(stateLinks[node]), LinkFault.BOTH_HELD, fault.durationMs)
+            FaultKind.STATE_ANSWERS_HELD -> failLinks(listOf(stateLinks[node]), LinkFault.RESPONSES_HELD, fault.durationMs)
+            FaultKind.STATE_REFUSED -> clock.runLocked { faultsOfNode.storeRefusedUntil = until }
             FaultKind.STATE_SLOW -> {
-                stateLinks.forEach { it.delayMs = SLOW_MS }
-                after(fault.forMs) { stateLinks.forEach { it.delayMs = 0 } }
+                stateLinks.forEach { it.delayMs = SLOW_LINK_DELAY_MS }
+                runAfter(fault.durationMs) { stateLinks.forEach { it.delayMs = 0 } }
             }
-            FaultKind.STATE_OUT -> clock.locked { store.outage(fault.forMs) }
-            FaultKind.LATE_WRITES -> clock.locked { trouble.lateWritesUntil = until }
-            FaultKind.PEERS_HELD -> cut(linksOf(node), Cut.BOTH, fault.forMs)
-            FaultKind.PEERS_REFUSED -> cut(linksOf(node), Cut.REFUSED, fault.forMs)
+            FaultKind.STATE_OUT -> clock.runLocked { store.outage(fault.durationMs) }
+            FaultKind.LATE_WRITES -> clock.runLocked { faultsOfNode.lateWritesUntil = until }
+            FaultKind.PEERS_HELD -> failLinks(peerLinksOf(node), LinkFault.BOTH_HELD, fault.durationMs)
+            FaultKind.PEERS_REFUSED -> failLinks(peerLinksOf(node), LinkFault.CONNECTIONS_REFUSED, fault.durationMs)
             FaultKind.HEARTBEATS_LOST -> {
                 fleet.links[node].heartbeatsLost = true
-                after(fault.forMs) { fleet.links[node].heartbeatsLost = false }
+                runAfter(fault.durationMs) { fleet.links[node].heartbeatsLost = false }
             }
             FaultKind.HEARTBEAT_ANSWERS_LOST -> {
-                fleet.links[node].answersLost = true
-                after(fault.forMs) { fleet.links[node].answersLost = false }
+                fleet.links[node].responsesLost = true
+                runAfter(fault.durationMs) { fleet.links[node].responsesLost = false }
             }
             FaultKind.HEARTBEAT_COPIES -> {
-                fleet.copiesHeartbeats = true
-                after(fault.forMs) { fleet.copiesHeartbeats = false }
+                fleet.resendsHeartbeats = true
+                runAfter(fault.durationMs) { fleet.resendsHeartbeats = false }
             }
-            FaultKind.CLOUD_OUT -> clock.locked { cloud.outage(fault.forMs) }
-            else -> clock.locked { machinesFail(fault.kind, fault.forMs) }
+            FaultKind.CLOUD_OUT -> clock.runLocked { cloud.outage(fault.durationMs) }
+            else -> clock.runLocked { failMachines(fault.kind, fault.durationMs) }
         }
     }
 
-    private fun machinesFail(kind: FaultKind, forMs: Long) {
-        val until = clock.time.now + forMs
+    private fun failMachines(kind: FaultKind, durationMs: Long) {
+        val until = clock.time.now + durationMs
         for (worker in cloud.workers.filter { it.alive && random.nextInt(3) == 0 }) {
             when (kind) {
                 FaultKind.MACHINES_CUT -> worker.cutUntil = until
                 FaultKind.MACHINES_DEAF -> worker.deafUntil = until
                 FaultKind.MACHINES_MUTE -> worker.muteUntil = until
-                FaultKind.MACHINES_HANG -> worker.hangUntil = clock.time.now + forMs / 2
+                FaultKind.MACHINES_HANG -> worker.hangUntil = clock.time.now + durationMs / 2
                 FaultKind.COMMANDS_HELD -> {
-                    worker.commandsHeldMs = forMs
+                    worker.commandsHeldMs = durationMs
                     worker.commandsHeldUntil = until
                 }
                 else -> cloud.take(worker.id)
@@ -193,62 +198,63 @@
         }
     }
 
-    private fun linksOf(node: Int) = peerLinks[node].values + peerLinks.filterIndexed { i, _ -> i != node }.mapNotNull { it[node] }
+    private fun peerLinksOf(node: Int) = peerLinks[node].values + peerLinks.filterIndexed { i, _ -> i != node }.mapNotNull { it[node] }
 
-    private fun cut(links: Collection<LinkProxy>, cut: Cut, forMs: Long) {
-        links.forEach { it.cut = cut }
-        after(forMs) { links.forEach { it.cut = Cut.NONE } }
+    private fun failLinks(links: Collection<LinkProxy>, fault: LinkFault, durationMs: Long) {
+        links.forEach { it.fault = fault }
+        runAfter(durationMs) { links.forEach { it.fault = LinkFault.NONE } }
     }
 
-    private fun stopped(forMs: Long, processes: List<ControllerProcess>) {
+    private fun killAndRestart(durationMs: Long, processes: List<ControllerProcess>) {
         processes.forEach { it.kill() }
-        after(forMs) { processes.forEach { it.start() } }
+        runAfter(durationMs) { processes.forEach { it.start() } }
     }
 
-    private fun after(ms: Long, act: () -> Unit) {
+    private fun runAfter(waitMs: Long, action: () -> Unit) {
         thread(isDaemon = true) {
-            Thread.sleep(ms)
-            clock.noting(act)
+            Thread.sleep(waitMs)
+            clock.runRecordingFailure(action)
         }
     }
 
-    /** After the last fault all accepted work is done, and every controller serves. */
-    private fun recover(troublesEndAt: Long) {
-        clock.locked {
-            troubles.forEach { it.lossRate = 0.0 }
+    /** Checks that after the last fault all accepted jobs get done and all controllers are ready, without violations or process exits. */
+    private fun checkRecovery(faultsEndedAt: Long) {
+        clock.runLocked {
+            processFaults.forEach { it.lossRate = 0.0 }
             rules.quietSince = clock.time.now
         }
-        var open = users.expected()
-        while (open.isNotEmpty()) {
+        var unfinished = users.expectedJobs()
+        while (unfinished.isNotEmpty()) {
             clock.failure?.let { throw it }
-            open = open.filter { users.poll(it) != JobStatus.DONE }
-            check(now() < troublesEndAt + SoakSite.RECOVERY_MS) { "not done after the faults: $open" }
-            Thread.sleep(STEP_MS)
+            unfinished = unfinished.filter { users.poll(it) != JobStatus.DONE }
+            check(now() < faultsEndedAt + SoakDeployment.RECOVERY_TIMEOUT_MS) { "jobs not done in time after the faults: $unfinished" }
+            Thread.sleep(POLL_INTERVAL_MS)
         }
         while (publicPorts.any { !isReady(it) }) {
-            check(now() < troublesEndAt + SoakSite.RECOVERY_MS) { "a controller is not ready after the faults" }
-            Thread.sleep(STEP_MS)
+            check(now() < faultsEndedAt + SoakDeployment.RECOVERY_TIMEOUT_MS) { "a controller is not ready in time after the faults" }
+            Thread.sleep(POLL_INTERVAL_MS)
         }
-        val violations = publicPorts.sumOf(::violationsAt)
-        check(violations == 0L) { "$violations violations counted by the controllers" }
-        check(controllers.all { it.ownEnds == 0 && it.isRunning }) { "a controller ended by itself" }
+        val violations = publicPorts.sumOf(::countViolations)
+        check(violations == 0L) { "the controllers counted $violations invariant violations" }
+        check(controllers.all { it.unexpectedExits == 0 && it.isRunning }) { "a controller process exited without being killed" }
     }
 
     private fun isReady(port: Int) = get(port, "/ready") != null
 
-    private fun violationsAt(port: Int): Long = get(port, "/metrics").orEmpty().lines()
+    private fun countViolations(port: Int): Long = get(port, "/metrics").orEmpty().lines()
         .firstOrNull { it.startsWith("mountmast_invariant_violations_total") }?.substringAfter(' ')?.toLong() ?: 0
 
     private fun get(port: Int, path: String): String? = try {
-        HttpCaller().call(InetSocketAddress(InetAddress.getLoopbackAddress(), port), "GET", path, null, ASK_MS).takeIf { it.ok }?.text
+        HttpCaller().call(InetSocketAddress(InetAddress.getLoopbackAddress(), port), "GET", path, null, REQUEST_TIMEOUT_MS)
+            .takeIf { it.ok }?.text
     } catch (e: NoAnswerException) {
         null
     }
 
-    private fun describe(failure: Throwable): String {
+    private fun describeFailure(failure: Throwable): String {
         val logs = controllers.indices.joinToString("\n") { node ->
             "--- node-$node\n" +
-                File(directory, "node-$node.log").takeIf { it.exists() }?.readLines()?.takeLast(LOG_LINES)?.joinToString("\n")
+                File(directory, "node-$node.log").takeIf { it.exists() }?.readLines()?.takeLast(REPORTED_LOG_LINES)?.joinToString("\n")
         }
         return "seed $seed ($size): $failure\n${schedule.joinToString("\n")}\n$logs"
     }
@@ -256,7 +262,7 @@
     override fun close() {
         clock.close()
         controllers.forEach { it.close() }
-        Runtime.getRuntime().removeShutdownHook(hook)
+        Runtime.getRuntime().removeShutdownHook(shutdownHook)
         (stateLinks + peerLinks.flatMap { it.values }).forEach { it.close() }
         fleet.close()
         storeServers.forEach { it.close() }
@@ -266,16 +272,16 @@
     }
 
     private companion object {
-        const val FAULTS_END_MS = 18_000L
-        const val STARTED_WITHIN_MS = 90_000L
-        const val USERS = 3
+        const val SUBMISSIONS_END_MS = 18_000L
+        const val STARTUP_TIMEOUT_MS = 90_000L
+        const val USER_COUNT = 3
         const val USER_PAUSE_MS = 120L
-        const val STEP_MS = 50L
-        const val SLOW_MS = 300L
-        const val ASK_MS = 2000
+        const val POLL_INTERVAL_MS = 50L
+        const val SLOW_LINK_DELAY_MS = 300L
+        const val REQUEST_TIMEOUT_MS = 2000
         const val LOSS_RATE = 0.005
-        const val PAGE = 500
-        const val LOG_LINES = 60
+        const val STORE_PAGE_SIZE = 500
+        const val REPORTED_LOG_LINES = 60
         const val STACK_BYTES = 256L * 1024
     }
 }
--- a/src/test/kotlin/mountmast/soak/SoakUsers.kt
+++ b/src/test/kotlin/mountmast/soak/SoakUsers.kt
@@ -20,26 +20,28 @@
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.random.Random
 
-/** Users that submit jobs to all controllers, ask about them, repeat themselves and cancel some. */
+/** Users that submit jobs to random controllers, poll their status, repeat submissions and cancel some jobs. */
 class SoakUsers(private val run: SoakRun, private val random: Random) {
     private val caller = HttpCaller(connectMs = 500)
 
-    /** Every job that was submitted, whether accepted or not. */
+    /** All jobs that were submitted, whether accepted or not. */
     val jobs = ConcurrentHashMap<JobId, JobSpec>()
 
-    /** Every job that was accepted, some more than once. */
+    /** The jobs that were accepted; a job whose submission was repeated may occur more than once. */
     val accepted = ConcurrentLinkedQueue<JobId>()
     private val cancelled = ConcurrentHashMap.newKeySet<JobId>()
-    private val asking = ConcurrentHashMap.newKeySet<JobId>()
-    private val number = AtomicInteger()
+    private val inFlight = ConcurrentHashMap.newKeySet<JobId>()
+    private val nextNumber = AtomicInteger()
 
-    /** Accepted jobs that nobody asked to cancel, directly or through what they wait for. */
-    fun expected(): List<JobId> = accepted.distinct().filter { id -> id !in cancelled && run.rules.ancestors(id).none { it in cancelled } }
+    /** Returns the accepted jobs that must get done: no user cancelled them or any of their direct or indirect prerequisites. */
+    fun expectedJobs(): List<JobId> = accepted.distinct().filter { id ->
+        id !in cancelled && run.rules.ancestors(id).none { it in cancelled }
+    }
 
-    /** Something that users do at a random moment. */
-    fun act() {
+    /** Performs one random action of a user. */
+    fun performRandomAction() {
         when (random.nextInt(10)) {
-            in 0..2 -> submit(draw())
+            in 0..2 -> submit(drawJob())
             3 -> accepted.randomOrNull()?.let { submit(jobs.getValue(it)) }
             4 -> if (random.nextInt(3) == 0) accepted.randomOrNull()?.let(::cancel)
             else -> accepted.randomOrNull()?.let(::poll)
@@ -48,11 +50,12 @@
 
     private fun ConcurrentLinkedQueue<JobId>.randomOrNull(): JobId? = toList().randomOrNull(random)
 
-    private fun draw(): JobSpec {
+    private fun drawJob(): JobSpec {
         val cpus = run.size.cpus.random(random)
         val prerequisites = if (random.nextInt(4) == 0) accepted.toList().takeLast(5).shuffled(random).take(2) else emptyList()
         return JobSpec(
-            JobId("j-" + number.getAndIncrement().toString().padStart(6, '0')), "c", SoakSite.teams.keys.random(random), Shape.ARRAY,
+            JobId("j-" + nextNumber.getAndIncrement().toString().padStart(6, '0')), "c",
+            SoakDeployment.teams.keys.random(random), Shape.ARRAY,
             Urgency.entries.random(
                 random,
             ),
@@ -62,62 +65,65 @@
         )
     }
 
-    private fun ask(method: String, path: String, body: String?, waitMs: Int): Reply? = try {
-        val to = InetSocketAddress(InetAddress.getLoopbackAddress(), run.publicPorts.random(random))
-        caller.call(to, method, path, body?.encodeToByteArray(), waitMs)
+    private fun send(method: String, path: String, body: String?, timeoutMs: Int): Reply? = try {
+        val address = InetSocketAddress(InetAddress.getLoopbackAddress(), run.publicPorts.random(random))
+        caller.call(address, method, path, body?.encodeToByteArray(), timeoutMs)
     } catch (e: NoAnswerException) {
         null
     }
 
-    /** Runs [act], unless somebody waits for an answer about [id] already: of two at a time neither is the older one. */
-    private fun <T> oneAtATime(id: JobId, act: () -> T): T? {
-        if (!asking.add(id)) return null
+    /**
+     * Runs [action] and returns its result, or returns null if a request about [id] is in flight: the order of the responses to
+     * concurrent requests is undefined, so they cannot be checked against each other.
+     */
+    private fun <T> runExclusively(id: JobId, action: () -> T): T? {
+        if (!inFlight.add(id)) return null
         try {
-            return act()
+            return action()
         } finally {
-            asking -= id
+            inFlight -= id
         }
     }
 
-    private fun Reply.state(): JobStatus? = if (status in 200..201) WireJson.decodeFromString<JobAnswer>(text).status else null
+    private fun Reply.jobStatus(): JobStatus? = if (status in 200..201) WireJson.decodeFromString<JobAnswer>(text).status else null
 
-    private fun submit(spec: JobSpec) = oneAtATime(spec.id) { submitNow(spec) }
+    private fun submit(spec: JobSpec) = runExclusively(spec.id) { sendSubmission(spec) }
 
-    private fun submitNow(spec: JobSpec) {
+    private fun sendSubmission(spec: JobSpec) {
         jobs[spec.id] = spec
-        run.clock.locked { run.rules.submitting(spec, run.clock.time.now) }
-        val reply = ask("POST", "/v1/jobs", WireJson.encodeToString(spec), SUBMIT_MS) ?: return
-        run.clock.locked {
+        run.clock.runLocked { run.rules.submitting(spec, run.clock.time.now) }
+        val reply = send("POST", "/v1/jobs", WireJson.encodeToString(spec), SUBMIT_TIMEOUT_MS) ?: return
+        run.clock.runLocked {
             run.rules.submissionAnswered(spec.id, reply.status)
-            reply.state()?.let { run.rules.statusAnswered(spec.id, reply.status, it, run.clock.time.now) }
+            reply.jobStatus()?.let { run.rules.statusAnswered(spec.id, reply.status, it, run.clock.time.now) }
         }
         if (reply.status in 200..201) accepted += spec.id
     }
 
-    private fun cancel(id: JobId) = oneAtATime(id) { cancelNow(id) }
+    private fun cancel(id: JobId) = runExclusively(id) { sendCancellation(id) }
 
-    private fun cancelNow(id: JobId) {
+    private fun sendCancellation(id: JobId) {
         cancelled += id
-        run.clock.locked { run.rules.cancelling(id) }
-        val reply = ask("POST", "/v1/jobs/$id/cancel", "", SUBMIT_MS) ?: return
-        run.clock.locked { run.rules.statusAnswered(id, reply.status, reply.state(), run.clock.time.now) }
+        run.clock.runLocked { run.rules.cancelling(id) }
+        val reply = send("POST", "/v1/jobs/$id/cancel", "", SUBMIT_TIMEOUT_MS) ?: return
+        run.clock.runLocked { run.rules.statusAnswered(id, reply.status, reply.jobStatus(), run.clock.time.now) }
     }
 
-    /** The state that a user is told, or null where no answer comes. */
-    fun poll(id: JobId): JobStatus? = oneAtATime(id) { pollNow(id) }
+    /** Returns the status in the response to a user, or null if there is none. */
+    fun poll(id: JobId): JobStatus? = runExclusively(id) { sendPoll(id) }
 
-    private fun pollNow(id: JobId): JobStatus? {
-        val askedAt = run.clock.locked { run.clock.time.now }
-        val reply = ask("GET", "/v1/jobs/$id", null, POLL_MS)
-        return run.clock.locked {
+    private fun sendPoll(id: JobId): JobStatus? {
+        val askedAt = run.clock.runLocked { run.clock.time.now }
+        val reply = send("GET", "/v1/jobs/$id", null, POLL_TIMEOUT_MS)
+        return run.clock.runLocked {
             run.rules.asked(id, reply?.status == 200, run.clock.time.now)
-            if (reply != null) run.rules.statusAnswered(id, reply.status, reply.state(), run.clock.time.now, askedAt)
-            reply?.state()
+            if (reply != null) run.rules.statusAnswered(id, reply.status, reply.jobStatus(), run.clock.time.now, askedAt)
+            reply?.jobStatus()
         }
     }
 
     private companion object {
-        const val SUBMIT_MS = 5000
-        const val POLL_MS = 2000
+        const val SUBMIT_TIMEOUT_MS = 5000
+        const val POLL_TIMEOUT_MS = 2000
     }
 }
--- a/src/test/kotlin/mountmast/soak/StoreServer.kt
+++ b/src/test/kotlin/mountmast/soak/StoreServer.kt
@@ -27,84 +27,84 @@
 import mountmast.storage.Write
 import java.util.concurrent.ExecutorService
 
-/** The state service as one node sees it, over HTTP. */
+/** Serves the state service's API over HTTP to one node, from that node's view of the simulated store. */
 class StoreServer(
     private val clock: SoakClock,
-    private val view: StateStore,
+    private val store: StateStore,
     executor: ExecutorService,
-    /** Whether some new jobs are answered as stored without being so. */
-    private val losesJobs: Boolean = false,
+    /** Whether the writes of some new jobs are confirmed, but not applied. */
+    private val losesNewJobs: Boolean = false,
 ) : AutoCloseable {
-    private var newJobs = 0
+    private var newJobCount = 0
 
-    private val server = StandInServer(executor, ::answer)
+    private val server = TestHttpServer(executor, ::respond)
 
-    /** Where it listens. */
+    /** The loopback port that this server listens on. */
     val port: Int get() = server.port
 
-    private fun answer(request: StandInRequest): StandInAnswer? = try {
+    private fun respond(request: TestHttpRequest): TestHttpResponse? = try {
         route(request)
     } catch (e: StoreException) {
-        errorBody(e)
+        errorResponse(e)
     }
 
-    private fun errorBody(reason: StoreException): StandInAnswer? = when (reason) {
+    private fun errorResponse(reason: StoreException): TestHttpResponse? = when (reason) {
         is StoreTimeoutException -> {
-            // Carried out or not, now or later: the caller is not told.
-            Thread.sleep(SILENT_MS)
+            // The request may have been applied, may be applied later or never; the caller gets no response.
+            Thread.sleep(TIMEOUT_DELAY_MS)
             null
         }
-        is StoreLeaseExpiredException -> StandInAnswer(400, """{"error":"no such lease"}""")
-        is StoreRequestRejectedException -> StandInAnswer(400, """{"error":"too large"}""")
-        else -> StandInAnswer(503, """{"error":"trouble"}""")
+        is StoreLeaseExpiredException -> TestHttpResponse(400, """{"error":"no such lease"}""")
+        is StoreRequestRejectedException -> TestHttpResponse(400, """{"error":"too large"}""")
+        else -> TestHttpResponse(503, """{"error":"trouble"}""")
     }
 
-    private fun route(request: StandInRequest): StandInAnswer {
+    private fun route(request: TestHttpRequest): TestHttpResponse {
         val path = request.path
         return when {
             path == "/commit" -> commit(WireJson.parseToJsonElement(request.body).jsonObject)
             path == "/follow" -> watch(request)
             path == "/holds" -> grantLease(request.body)
-            path.endsWith("/renew") -> renew(leaseOf(path.removeSuffix("/renew")))
-            path.startsWith("/holds/") -> drop(leaseOf(path))
+            path.endsWith("/renew") -> renew(parseLeaseId(path.removeSuffix("/renew")))
+            path.startsWith("/holds/") -> revoke(parseLeaseId(path))
             path == "/store" -> list(request)
             else -> get(path.removePrefix("/store/"))
         }
     }
 
-    private fun leaseOf(path: String) = StoreLeaseId(path.removePrefix("/holds/").toULong())
+    private fun parseLeaseId(path: String) = StoreLeaseId(path.removePrefix("/holds/").toULong())
 
-    private fun ok(body: JsonElement) = StandInAnswer(200, body.toString())
+    private fun okResponse(body: JsonElement) = TestHttpResponse(200, body.toString())
 
-    private fun grantLease(body: String): StandInAnswer {
+    private fun grantLease(body: String): TestHttpResponse {
         val ttlMs = WireJson.parseToJsonElement(body).jsonObject.getValue("ttlMs").jsonPrimitive.long
-        val storeLease = clock.locked { view.grantLease(ttlMs) }
-        return ok(buildJsonObject { put("hold", number(storeLease.number)) })
+        val storeLease = clock.runLocked { store.grantLease(ttlMs) }
+        return okResponse(buildJsonObject { put("hold", number(storeLease.number)) })
     }
 
-    private fun renew(storeLease: StoreLeaseId) = if (clock.locked {
-            view.keepAlive(storeLease)
+    private fun renew(storeLease: StoreLeaseId) = if (clock.runLocked {
+            store.keepAlive(storeLease)
         }
     ) {
-        StandInAnswer(200, "{}")
+        TestHttpResponse(200, "{}")
     } else {
-        StandInAnswer(404, "{}")
+        TestHttpResponse(404, "{}")
     }
 
-    private fun drop(storeLease: StoreLeaseId): StandInAnswer {
-        clock.locked { view.revokeLease(storeLease) }
-        return StandInAnswer(200, "{}")
+    private fun revoke(storeLease: StoreLeaseId): TestHttpResponse {
+        clock.runLocked { store.revokeLease(storeLease) }
+        return TestHttpResponse(200, "{}")
     }
 
-    private fun get(key: String): StandInAnswer {
-        val entry = clock.locked { view.get(key) } ?: return StandInAnswer(404, "{}")
-        return ok(body(entry))
+    private fun get(key: String): TestHttpResponse {
+        val entry = clock.runLocked { store.get(key) } ?: return TestHttpResponse(404, "{}")
+        return okResponse(body(entry))
     }
 
-    private fun list(request: StandInRequest): StandInAnswer {
+    private fun list(request: TestHttpRequest): TestHttpResponse {
         val prefix = request.parameter("starts").orEmpty()
-        val page = clock.locked { view.list(prefix, request.parameter("from"), request.parameter("page")?.toInt() ?: 1) }
-        return ok(
+        val page = clock.runLocked { store.list(prefix, request.parameter("from"), request.parameter("page")?.toInt() ?: 1) }
+        return okResponse(
             buildJsonObject {
                 put("items", JsonArray(page.entries.map(::body)))
                 put("truncated", JsonPrimitive(page.more))
@@ -113,44 +113,44 @@
         )
     }
 
-    private fun commit(body: JsonObject): StandInAnswer {
-        val compares = body["if"]?.jsonArray.orEmpty().map { Compare(text(it, "path"), ModRevision(count(it, "stamp"))) }
+    private fun commit(body: JsonObject): TestHttpResponse {
+        val compares = body["if"]?.jsonArray.orEmpty().map { Compare(textField(it, "path"), ModRevision(unsignedField(it, "stamp"))) }
         val writes = body["writes"]?.jsonArray.orEmpty().map { it.jsonObject }.map { write ->
             if ("delete" in write) {
-                Write.Delete(text(write, "delete"))
+                Write.Delete(textField(write, "delete"))
             } else {
-                val storeLease = write["hold"]?.let { StoreLeaseId(count(write, "hold")) }
-                Write.Put(text(write, "write"), write.getValue("data"), storeLease)
+                val storeLease = write["hold"]?.let { StoreLeaseId(unsignedField(write, "hold")) }
+                Write.Put(textField(write, "write"), write.getValue("data"), storeLease)
             }
         }
         val isNewJob =
             writes.size == 1 && compares.any { it.modRevision == ModRevision.ABSENT && it.key == writes[0].key && it.key.startsWith("j/") }
-        val isLost = losesJobs && isNewJob && newJobs++ % LOST_ONE_IN == 0
-        val transaction = if (isLost) Transaction(compares, emptyList()) else Transaction(compares, writes)
-        return when (val outcome = clock.locked { view.commit(transaction) }) {
-            is TransactionResult.Committed -> ok(buildJsonObject { put("ledger", number(outcome.revision.number)) })
+        val isDiscarded = losesNewJobs && isNewJob && newJobCount++ % NEW_JOBS_PER_LOST_JOB == 0
+        val transaction = if (isDiscarded) Transaction(compares, emptyList()) else Transaction(compares, writes)
+        return when (val result = clock.runLocked { store.commit(transaction) }) {
+            is TransactionResult.Committed -> okResponse(buildJsonObject { put("ledger", number(result.revision.number)) })
             is TransactionResult.CompareFailed -> {
-                val failed = JsonArray(outcome.failed.map(::JsonPrimitive))
-                StandInAnswer(409, buildJsonObject { put("failed", failed) }.toString())
+                val failed = JsonArray(result.failed.map(::JsonPrimitive))
+                TestHttpResponse(409, buildJsonObject { put("failed", failed) }.toString())
             }
         }
     }
 
-    private fun watch(request: StandInRequest): StandInAnswer {
+    private fun watch(request: TestHttpRequest): TestHttpResponse {
         val prefix = request.parameter("starts").orEmpty()
         val from = Revision(checkNotNull(request.parameter("from")).toULong())
         val until = System.nanoTime() + (request.parameter("waitMs")?.toLong() ?: 0) * NANOS_PER_MS
         while (true) {
-            val outcome = clock.locked { view.watch(prefix, from, 0) }
-            if (outcome !is WatchResult.Changes) return StandInAnswer(410, "{}")
-            if (outcome.changes.isNotEmpty() || System.nanoTime() >= until) return ok(body(outcome))
-            Thread.sleep(WATCH_STEP_MS)
+            val result = clock.runLocked { store.watch(prefix, from, 0) }
+            if (result !is WatchResult.Changes) return TestHttpResponse(410, "{}")
+            if (result.changes.isNotEmpty() || System.nanoTime() >= until) return okResponse(body(result))
+            Thread.sleep(WATCH_POLL_MS)
         }
     }
 
-    private fun body(outcome: WatchResult.Changes) = buildJsonObject {
-        put("ledger", number(outcome.upTo.number))
-        put("news", JsonArray(outcome.changes.map(::body)))
+    private fun body(result: WatchResult.Changes) = buildJsonObject {
+        put("ledger", number(result.upTo.number))
+        put("news", JsonArray(result.changes.map(::body)))
     }
 
     private fun body(change: WatchEvent) = buildJsonObject {
@@ -172,16 +172,16 @@
 
     private fun number(value: ULong) = JsonPrimitive(value.toLong())
 
-    private fun text(of: JsonElement, field: String) = of.jsonObject.getValue(field).jsonPrimitive.content
+    private fun textField(json: JsonElement, field: String) = json.jsonObject.getValue(field).jsonPrimitive.content
 
-    private fun count(of: JsonElement, field: String) = text(of, field).toULong()
+    private fun unsignedField(json: JsonElement, field: String) = textField(json, field).toULong()
 
     override fun close() = server.close()
 
     private companion object {
-        const val SILENT_MS = 2000L
-        const val LOST_ONE_IN = 3
-        const val WATCH_STEP_MS = 25L
+        const val TIMEOUT_DELAY_MS = 2000L
+        const val NEW_JOBS_PER_LOST_JOB = 3
+        const val WATCH_POLL_MS = 25L
         const val NANOS_PER_MS = 1_000_000L
     }
 }
--- a/src/test/kotlin/mountmast/soak/StandInServer.kt
+++ b/src/test/kotlin/mountmast/soak/TestHttpServer.kt
@@ -7,14 +7,14 @@
 import java.net.InetSocketAddress
 import java.util.concurrent.ExecutorService
 
-/** What a stand-in answers over HTTP; null where it never answers. */
-class StandInAnswer(val status: Int, val body: String)
+/** The HTTP response of a stand-in service. */
+class TestHttpResponse(val status: Int, val body: String)
 
-/** A stand-in on a real socket of loopback. */
-class StandInServer(executor: ExecutorService, private val answer: (StandInRequest) -> StandInAnswer?) : AutoCloseable {
+/** An HTTP server on a loopback socket that serves a stand-in; a request that [answer] returns null for gets no response. */
+class TestHttpServer(executor: ExecutorService, private val answer: (TestHttpRequest) -> TestHttpResponse?) : AutoCloseable {
     private val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG)
 
-    /** Where it listens. */
+    /** The loopback port that this server listens on. */
     val port: Int get() = server.address.port
 
     init {
@@ -25,17 +25,17 @@
 
     private fun handle(exchange: HttpExchange) {
         try {
-            val request = StandInRequest(exchange.requestMethod, exchange.requestURI, exchange.requestBody.readAllBytes().decodeToString())
+            val request = TestHttpRequest(exchange.requestMethod, exchange.requestURI, exchange.requestBody.readAllBytes().decodeToString())
             val answer = answer(request)
             if (answer != null) send(exchange, answer)
         } catch (e: IOException) {
-            // The caller has gone.
+            // The client closed the connection.
         } finally {
             exchange.close()
         }
     }
 
-    private fun send(exchange: HttpExchange, answer: StandInAnswer) {
+    private fun send(exchange: HttpExchange, answer: TestHttpResponse) {
         val bytes = answer.body.encodeToByteArray()
         exchange.sendResponseHeaders(answer.status, if (bytes.isEmpty()) -1L else bytes.size.toLong())
         if (bytes.isNotEmpty()) exchange.responseBody.write(bytes)
@@ -48,12 +48,12 @@
     }
 }
 
-/** A request to a [StandInServer]. */
-class StandInRequest(val method: String, uri: java.net.URI, val body: String) {
+/** An HTTP request to a [TestHttpServer]. */
+class TestHttpRequest(val method: String, uri: java.net.URI, val body: String) {
     val path: String = uri.path
     private val parameters: Map<String, String> = uri.query.orEmpty().split('&').filter { '=' in it }
         .associate { it.substringBefore('=') to it.substringAfter('=') }
 
-    /** The parameter of this [name], or null. */
+    /** Returns the value of the query parameter [name], or null if it is missing. */
     fun parameter(name: String): String? = parameters[name]
 }
--- a/src/test/kotlin/mountmast/soak/WorkerFleet.kt
+++ b/src/test/kotlin/mountmast/soak/WorkerFleet.kt
@@ -24,42 +24,42 @@
 import java.util.concurrent.RejectedExecutionException
 import kotlin.random.Random
 
-/** The workers of a run on real sockets: each reports to one controller at a time, and takes direct commands. */
+/** Runs the workers' HTTP side: each worker sends heartbeats to one controller at a time and accepts direct commands. */
 class WorkerFleet(private val run: SoakRun, private val random: Random, private val executor: ExecutorService) : AutoCloseable {
     private val clock get() = run.clock
     private val caller = HttpCaller(connectMs = 500)
-    private val servers = ConcurrentHashMap<MachineId, StandInServer>()
-    private val reporting = ConcurrentHashMap.newKeySet<MachineId>()
+    private val servers = ConcurrentHashMap<MachineId, TestHttpServer>()
+    private val inFlight = ConcurrentHashMap.newKeySet<MachineId>()
 
-    /** Which controllers the workers reach, and which reach them, in either direction. */
-    val links = List(SoakSite.NODES) { WorkerLink() }
+    /** The links between the workers and each controller, by the controller's node index. */
+    val links = List(SoakDeployment.NODE_COUNT) { WorkerLink() }
 
-    /** A share of the reports is copied and comes again, seconds later. */
+    /** Whether some heartbeats are sent a second time, seconds later. */
     @Volatile
-    var copiesHeartbeats = false
+    var resendsHeartbeats = false
 
-    /** How a controller and the workers reach each other. */
+    /** The faults of the link between the workers and one controller: lost heartbeats or lost responses to them. */
     class WorkerLink {
         @Volatile
         var heartbeatsLost = false
 
         @Volatile
-        var answersLost = false
+        var responsesLost = false
     }
 
-    /** Where [machine] takes commands, or null where it never came up. */
+    /** Returns the address where [machine] accepts direct commands, or null if its server has not been started. */
     fun addressOf(machine: MachineId): String? = servers[machine]?.let { "127.0.0.1:${it.port}" }
 
-    /** Has those report whose report is due; called under the lock. */
+    /** Sends the heartbeats that are due; called under the clock's lock. */
     fun step() {
         for (worker in run.cloud.workers) {
             worker.step()
-            if (!worker.alive || worker.hanging || clock.time.now < worker.nextHeartbeatAt || !reporting.add(worker.id)) continue
-            servers.computeIfAbsent(worker.id) { StandInServer(executor) { request -> command(worker, request) } }
+            if (!worker.alive || worker.hanging || clock.time.now < worker.nextHeartbeatAt || !inFlight.add(worker.id)) continue
+            servers.computeIfAbsent(worker.id) { TestHttpServer(executor) { request -> handleCommands(worker, request) } }
             val heartbeat = heartbeatOf(worker)
             val sentAt = clock.time.now
-            worker.nextHeartbeatAt = sentAt + SoakSite.HEARTBEAT_MS * random.nextLong(75, 125) / 100
-            if (copiesHeartbeats && random.nextInt(COPIED_ONE_IN) == 0) copyLate(heartbeat)
+            worker.nextHeartbeatAt = sentAt + SoakDeployment.HEARTBEAT_MS * random.nextLong(75, 125) / 100
+            if (resendsHeartbeats && random.nextInt(HEARTBEATS_PER_COPY) == 0) resendLater(heartbeat)
             submit { heartbeat(worker, heartbeat, sentAt) }
         }
     }
@@ -80,7 +80,7 @@
         )
     }
 
-    private fun obeyed(commands: List<WorkerCommand>) = if (run.breakage ==
+    private fun removeIgnoredStops(commands: List<WorkerCommand>) = if (run.breakage ==
         Breakage.STOPS_IGNORED
     ) {
         commands.filter { it.type != CommandType.STOP }
@@ -88,11 +88,11 @@
         commands
     }
 
-    private fun submit(act: () -> Unit) {
+    private fun submit(action: () -> Unit) {
         try {
-            executor.execute { clock.noting(act) }
+            executor.execute { clock.runRecordingFailure(action) }
         } catch (e: RejectedExecutionException) {
-            // Once the run is over nothing more is reported.
+            // After the run's end, the executor is shut down and nothing more is sent.
             if (!executor.isShutdown) throw e
         }
     }
@@ -102,81 +102,87 @@
             val target = worker.target
             val link = links[target]
             val reply = if (worker.cut || worker.mute || link.heartbeatsLost) null else post(target, heartbeat)
-            val isLost = reply == null || worker.cut || worker.deaf || link.answersLost
-            clock.locked { if (isLost || !isWhole(reply)) tryNext(worker) else take(worker, heartbeat, sentAt, checkNotNull(reply)) }
+            val isLost = reply == null || worker.cut || worker.deaf || link.responsesLost
+            clock.runLocked {
+                if (isLost || !isComplete(reply)) {
+                    targetNextController(worker)
+                } else {
+                    handleResponse(worker, heartbeat, sentAt, checkNotNull(reply))
+                }
+            }
         } finally {
-            reporting -= heartbeat.machine
+            inFlight -= heartbeat.machine
         }
     }
 
     private fun post(target: Int, heartbeat: Heartbeat): Reply? {
-        val to = InetSocketAddress(InetAddress.getLoopbackAddress(), run.publicPorts[target])
+        val address = InetSocketAddress(InetAddress.getLoopbackAddress(), run.publicPorts[target])
         return try {
-            caller.call(to, "POST", "/agent/beat", WireJson.encodeToString(heartbeat).encodeToByteArray(), ANSWER_MS)
+            caller.call(address, "POST", "/agent/beat", WireJson.encodeToString(heartbeat).encodeToByteArray(), RESPONSE_TIMEOUT_MS)
         } catch (e: NoAnswerException) {
             null
         }
     }
 
-    /** A controller that ends in the middle of an answer may leave an empty one. */
-    private fun isWhole(reply: Reply?) = reply != null && (reply.status !in setOf(200, 421) || reply.bytes.isNotEmpty())
+    /** A controller that is killed while responding may leave an empty body. */
+    private fun isComplete(reply: Reply?) = reply != null && (reply.status !in setOf(200, 421) || reply.bytes.isNotEmpty())
 
-    private fun take(worker: StandInWorker, heartbeat: Heartbeat, sentAt: Long, reply: Reply) {
+    private fun handleResponse(worker: StandInWorker, heartbeat: Heartbeat, sentAt: Long, reply: Reply) {
         when (reply.status) {
             200 -> {
-                val answer = WireJson.decodeFromString<HeartbeatResponse>(reply.text)
-                noteStarts(answer.commands.filter { it.type == CommandType.START }.map { it.task })
-                worker.answered(answer.token, obeyed(answer.commands), sentAt, heartbeat.incarnation)
+                val response = WireJson.decodeFromString<HeartbeatResponse>(reply.text)
+                recordStarts(response.commands.filter { it.type == CommandType.START }.map { it.task })
+                worker.answered(response.token, removeIgnoredStops(response.commands), sentAt, heartbeat.incarnation)
             }
             421 -> {
                 val next = WireJson.decodeFromString<Redirect>(reply.text).leader?.text?.substringAfterLast('-')?.toIntOrNull()
-                if (next == null || next == worker.target) return tryNext(worker)
+                if (next == null || next == worker.target) return targetNextController(worker)
                 worker.target = next
-                worker.nextHeartbeatAt = clock.time.now + random.nextLong(0, REDIRECT_MS)
+                worker.nextHeartbeatAt = clock.time.now + random.nextLong(0, MAX_REDIRECT_DELAY_MS)
             }
-            else -> tryNext(worker)
+            else -> targetNextController(worker)
         }
     }
 
-    private fun tryNext(worker: StandInWorker) {
-        worker.target = (worker.target + 1) % SoakSite.NODES
-        worker.nextHeartbeatAt = clock.time.now + RETRY_MS
+    private fun targetNextController(worker: StandInWorker) {
+        worker.target = (worker.target + 1) % SoakDeployment.NODE_COUNT
+        worker.nextHeartbeatAt = clock.time.now + RETRY_DELAY_MS
     }
 
-    private fun noteStarts(tasks: List<String>) {
+    private fun recordStarts(tasks: List<String>) {
         for (task in tasks) TaskId.parse(task)?.let { run.rules.startCommanded(it.job, clock.time.now) }
     }
 
-    private fun copyLate(heartbeat: Heartbeat) {
-        val target = random.nextInt(SoakSite.NODES)
-        clock.time.later(random.nextLong(1000, 2 * SoakSite.LEASE_MS)) { submit { post(target, heartbeat) } }
+    private fun resendLater(heartbeat: Heartbeat) {
+        val target = random.nextInt(SoakDeployment.NODE_COUNT)
+        clock.time.later(random.nextLong(1000, 2 * SoakDeployment.LEASE_MS)) { submit { post(target, heartbeat) } }
     }
 
-    /** A direct command: lost, held up, or carried out at once. */
-    private fun command(worker: StandInWorker, request: StandInRequest): StandInAnswer? {
-        // So may one that ends in the middle of a command.
-        if (request.body.isEmpty()) return StandInAnswer(400, "{}")
+    /** Drops the direct commands in [request], delays them, or executes them at once. Returns null where no response is sent. */
+    private fun handleCommands(worker: StandInWorker, request: TestHttpRequest): TestHttpResponse? {
+        // A controller that is killed while sending a command may leave an empty body.
+        if (request.body.isEmpty()) return TestHttpResponse(400, "{}")
         val message = WireJson.decodeFromString<CommandRequest>(request.body)
-        return clock.locked {
-            if (!worker.alive || worker.cut || worker.deaf) return@locked null
+        return clock.runLocked {
+            if (!worker.alive || worker.cut || worker.deaf) return@runLocked null
             val heldMs = if (worker.hanging) worker.hangUntil - clock.time.now else worker.commandsHeldMs
             if (worker.hanging || clock.time.now < worker.commandsHeldUntil) {
                 clock.time.later(heldMs) { if (worker.alive) worker.execute(message.token, message.incarnation, message.commands) }
-                return@locked null
+                return@runLocked null
             }
-            noteStarts(message.commands.filter { it.type == CommandType.START }.map { it.task })
-            val executed = worker.execute(message.token, message.incarnation, obeyed(message.commands))
+            recordStarts(message.commands.filter { it.type == CommandType.START }.map { it.task })
+            val executed = worker.execute(message.token, message.incarnation, removeIgnoredStops(message.commands))
             val heartbeat = heartbeatOf(worker)
-            StandInAnswer(if (executed) 200 else 409, WireJson.encodeToString(heartbeat))
+            TestHttpResponse(if (executed) 200 else 409, WireJson.encodeToString(heartbeat))
         }
     }
 
     override fun close() = servers.values.forEach { it.close() }
 
     private companion object {
-        const val ANSWER_MS = 4000
-        const val RETRY_MS = 1000L
-        const val REDIRECT_MS = 500L
-        const val COPIED_ONE_IN = 10
+        const val RESPONSE_TIMEOUT_MS = 4000
+        const val RETRY_DELAY_MS = 1000L
+        const val MAX_REDIRECT_DELAY_MS = 500L
+        const val HEARTBEATS_PER_COPY = 10
     }
 }
