--- a/src/test/kotlin/mountmast/soak/SoakRun.kt
+++ b/src/test/kotlin/mountmast/soak/SoakRun.kt
@@ -61,7 +61,11 @@
             SoakDeployment.settings(
                 node,
                 SoakDeployment.Ports(
-                    ports[node], ports[SoakDeployment.NODE_COUNT + node], stateLinks[node].port, cloudServer.port, members,
+                    ports[node],
+                    ports[SoakDeployment.NODE_COUNT + node],
+                    stateLinks[node].port,
+                    cloudServer.port,
+                    members,
                 ),
             ),
         )
@@ -84,7 +88,7 @@
         }
         controllers.forEach { it.start() }
         clock.start()
-        val userThreads = List(USER_COUNT) { thread(isDaemon = true) { clock.runRecordingFailure { runUsers() } } }
+        val userThreads = List(USER_COUNT) { thread(isDaemon = true) { clock.runRecordingFailure { runUser() } } }
         clock.runRecordingFailure(::awaitFirstTask)
         val faultsEndedAt = injectFaults()
         userThreads.forEach { it.join() }
@@ -119,7 +123,7 @@
         scheduleStartedAt = now()
     }
 
-    private fun runUsers() {
+    private fun runUser() {
         while (isSubmitting && clock.failure == null) {
             users.performRandomAction()
             Thread.sleep(USER_PAUSE_MS)
