--- a/src/test/kotlin/mountmast/contract/CommandLineFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/CommandLineFormsTest.kt
@@ -12,9 +12,9 @@
 import java.net.InetSocketAddress
 
 /**
- * Compares what the command line prints, and its exit codes, with `help.txt` (help and version), `commands.txt` (outcomes and
- * wrong usage) and `settings.txt` (refusals of the platform's settings and of the operators' XML). Paths and ports that differ
- * between runs stand there as `DIR` and `PORT`.
+ * Compares the output and the exit codes of the command line with `help.txt` (help and version), `commands.txt` (outcomes and wrong
+ * usage) and `settings.txt` (errors in the platform's settings and in the operators' XML). The files contain `DIR` and `PORT` in
+ * place of paths and ports that differ between runs.
  */
 class CommandLineFormsTest {
     @TempDir
@@ -25,25 +25,25 @@
     private fun run(vararg args: String, tool: CommandLineTool = CommandLineTool { _, _ -> }): Outcome {
         val out = ByteArrayOutputStream()
         val error = ByteArrayOutputStream()
-        val outBefore = System.out
-        val errorBefore = System.err
+        val originalOut = System.out
+        val originalError = System.err
         System.setOut(PrintStream(out, true))
         System.setErr(PrintStream(error, true))
         try {
             val code = tool.run(arrayOf(*args))
             return Outcome(code, out.toString(), error.toString())
         } finally {
-            System.setOut(outBefore)
-            System.setErr(errorBefore)
+            System.setOut(originalOut)
+            System.setErr(originalError)
         }
     }
 
     private fun TextFixture.add(name: String, outcome: Outcome, port: Int? = null) {
-        fun stable(text: String): String {
+        fun replaceVariableParts(text: String): String {
             val withoutPath = text.trimEnd('\n').replace(directory.path, "DIR")
             return if (port == null) withoutPath else withoutPath.replace(":$port", ":PORT")
         }
-        line(name, outcome.code, "out: ${stable(outcome.out)}", "error: ${stable(outcome.error)}")
+        addLine(name, outcome.code, "out: ${replaceVariableParts(outcome.out)}", "error: ${replaceVariableParts(outcome.error)}")
     }
 
     private fun file(name: String, text: String) = directory.resolve(name).apply { writeText(text) }.path
@@ -55,8 +55,10 @@
             listOf("submit", "status", "cancel").flatMap { listOf(listOf(it, "--help"), listOf(it, "--version")) }
         for (call in calls) {
             val outcome = run(*call.toTypedArray())
-            fixture.text("== mountmast ${call.joinToString(" ")}: exit code ${outcome.code}, ${outcome.error.length} characters of errors")
-            fixture.text(outcome.out)
+            fixture.addText(
+                "== mountmast ${call.joinToString(" ")}: exit code ${outcome.code}, ${outcome.error.length} characters of errors",
+            )
+            fixture.addText(outcome.out)
         }
         fixture.assertUnchanged()
     }
@@ -64,27 +66,27 @@
     @Test
     fun `outcomes and wrong usage are those in the file`() {
         val fixture = TextFixture("commands.txt")
-        val wrong = listOf(
+        val wrongUsages = listOf(
             "", "--nope", "nope", "--config", "--tuning DIR/none.xml", "--check", "--config DIR/none.toml",
             "--config DIR/none.toml --check", "submit", "status j-1", "cancel j-1", "status --node 127.0.0.1:9",
             "status j-1 j-2 --node 127.0.0.1:9", "status j-1 --nope",
             "status j-1 --node nowhere", "status j-1 --node :9", "cancel j-1 --node host:0", "submit DIR/job.json --node host:65536",
             "submit DIR/none.json --node 127.0.0.1:9",
         )
-        for (line in wrong) {
+        for (line in wrongUsages) {
             val args = line.split(' ').filter { it.isNotEmpty() }.map { it.replace("DIR", directory.path) }
             fixture.add("mountmast $line".trim(), run(*args.toTypedArray()))
         }
-        answers(fixture)
+        addServerResponses(fixture)
         val config = file("service.toml", GOOD_SETTINGS)
         fixture.add("settings checked", run("--config", config, "--check"))
         fixture.add("served until stopped", run("--config", config))
-        val taken = CommandLineTool { _, _ -> throw IOException("in use") }
-        fixture.add("address in use", run("--config", config, tool = taken))
+        val toolWithAddressInUse = CommandLineTool { _, _ -> throw IOException("in use") }
+        fixture.add("address in use", run("--config", config, tool = toolWithAddressInUse))
         fixture.assertUnchanged()
     }
 
-    private fun answers(fixture: TextFixture) {
+    private fun addServerResponses(fixture: TextFixture) {
         var status = 200
         val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0)
         server.createContext("/") { exchange ->
--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -63,8 +63,8 @@
 import kotlin.random.Random
 
 /**
- * Compares every kind of answer of the public paths, and the refusals of the paths between nodes, with `answers.txt`: name, status,
- * `Retry-After`, content type, body. Users' requests go through the real routes and the real [JobService] on a store in memory.
+ * Compares every kind of response on the public paths, and the responses on the paths between nodes, with `answers.txt`: name, status,
+ * `Retry-After`, content type, body. Users' requests pass through the real routes and the real [JobService] on an in-memory store.
  */
 @OptIn(kotlinx.serialization.ExperimentalSerializationApi::class)
 class PublicAnswersTest {
@@ -81,7 +81,7 @@
         "expectedS":240.0,"markEveryS":30.0,"markCostS":4.0,"dueS":900.0}""",
     ) as JsonObject
 
-    private val beats = HeartbeatService { heartbeat ->
+    private val heartbeatService = HeartbeatService { heartbeat ->
         when (heartbeat.machine.text) {
             "vm-1" -> HeartbeatOutcome.Accepted(HeartbeatResponse(FencingToken(7u), emptyList()))
             "vm-2" -> HeartbeatOutcome.Elsewhere(NodeId("n-2"))
@@ -89,7 +89,7 @@
         }
     }
 
-    private class Host(
+    private class FixedHostNode(
         private val forwarding: (ForwardedRequest) -> UserAnswer?,
         private val ready: Boolean,
         override val acceptsPrerequisites: Boolean,
@@ -100,32 +100,32 @@
     }
 
     private fun service(
-        on: StateStore = store,
+        stateStore: StateStore = store,
         forward: (ForwardedRequest) -> UserAnswer? = { null },
         isReady: Boolean = true,
         knowsTypes: Boolean = true,
         acceptsPrerequisites: Boolean = true,
     ) = JobService(
-        on,
+        stateStore,
         mapOf(team.id to team),
         time.clock(0.0, 0),
         StateLimits(80.0, 30.0, 2.0, 8),
-        Host(forward, isReady, acceptsPrerequisites),
+        FixedHostNode(forward, isReady, acceptsPrerequisites),
     ).also { if (knowsTypes) it.refreshTypes() }
 
     private fun routes(users: UserService, metrics: Metrics = Metrics()) =
-        publicRoutes(users, beats, AdmissionLimits(AdmissionLimit(1, 1), AdmissionLimit(1, 1)), metrics)
+        publicRoutes(users, heartbeatService, AdmissionLimits(AdmissionLimit(1, 1), AdmissionLimit(1, 1)), metrics)
 
     private fun put(key: String, value: JsonElement) {
         store.commit(Transaction(listOf(Compare(key, ModRevision.ABSENT)), listOf(Write.Put(key, value))))
     }
 
-    private fun altered(vararg changes: Pair<String, JsonElement>) = JsonObject(job + changes)
+    private fun jobWith(vararg changes: Pair<String, JsonElement>) = JsonObject(job + changes)
 
-    private fun named(id: String, vararg changes: Pair<String, JsonElement>) = altered("nameId" to JsonPrimitive(id), *changes)
+    private fun jobWithId(id: String, vararg changes: Pair<String, JsonElement>) = jobWith("nameId" to JsonPrimitive(id), *changes)
 
     private fun HttpHandler.call(name: String, method: Method, path: String, body: String = "") =
-        observe(name, this(Request(method, path).body(body)))
+        record(name, this(Request(method, path).body(body)))
 
     private fun HttpHandler.submit(name: String, body: Any) = call("submit, $name", Method.POST, "/v1/jobs", body.toString())
 
@@ -133,7 +133,7 @@
 
     private fun HttpHandler.cancel(name: String, id: String) = call("cancel, $name", Method.POST, "/v1/jobs/$id/cancel")
 
-    private fun observe(name: String, response: Response, body: String = response.bodyString()) {
+    private fun record(name: String, response: Response, body: String = response.bodyString()) {
         val allow = response.header("Allow")?.let { listOf("Allow: $it") }.orEmpty()
         val columns = listOf(
             name,
@@ -142,7 +142,7 @@
             response.header("Content-Type") ?: "-",
             body,
         )
-        fixture.line(*(columns + allow).toTypedArray())
+        fixture.addLine(*(columns + allow).toTypedArray())
     }
 
     @Test
@@ -152,27 +152,27 @@
         put(Keys.finished(JobId("j-91")), WireJson.encodeToJsonElement(FinishedJobRecord(JobStatus.CANCELLED, 3)))
         put(Keys.job(JobId("j-92")), buildJsonObject { put("unreadable", JsonPrimitive(1)) })
         put(Keys.progress(0), WireJson.encodeToJsonElement(ProgressRecord("j-2 4 5")))
-        lives()
-        malformedFields()
-        neverRunning()
-        prerequisites()
-        storeFaults()
-        routeFaults()
-        readiness()
-        heartbeats()
-        metrics()
-        betweenNodes()
+        recordJobLifecycle()
+        recordMalformedFields()
+        recordJobsThatCannotRun()
+        recordPrerequisites()
+        recordStoreFaults()
+        recordRouteFaults()
+        recordReadiness()
+        recordHeartbeats()
+        recordMetrics()
+        recordPeerRequests()
         fixture.assertUnchanged()
     }
 
-    private fun lives() = with(routes(service())) {
+    private fun recordJobLifecycle() = with(routes(service())) {
         submit("accepted", job)
         submit("repeated", job)
-        submit("repeated with other content", altered("pieces" to JsonPrimitive(3)))
-        submit("repeated with invalid content", altered("pieces" to JsonPrimitive(0)))
-        submit("repeated as what never runs", altered("owner" to JsonPrimitive("nobody")))
+        submit("repeated with other content", jobWith("pieces" to JsonPrimitive(3)))
+        submit("repeated with invalid content", jobWith("pieces" to JsonPrimitive(0)))
+        submit("repeated as what never runs", jobWith("owner" to JsonPrimitive("nobody")))
         status("pending", "j-1")
-        submit("accepted second", named("j-2"))
+        submit("accepted second", jobWithId("j-2"))
         status("running", "j-2")
         cancel("accepted", "j-1")
         cancel("repeated", "j-1")
@@ -180,7 +180,7 @@
         submit("cancelled", job)
         status("done", "j-90")
         cancel("done", "j-90")
-        submit("done", named("j-90"))
+        submit("done", jobWithId("j-90"))
         status("cancelled before", "j-91")
         status("unknown", "j-77")
         cancel("unknown", "j-77")
@@ -188,16 +188,16 @@
         cancel("not an id", "job-1")
         status("unreadable record", "j-92")
         cancel("unreadable record", "j-92")
-        submit("unreadable record", named("j-92"))
+        submit("unreadable record", jobWithId("j-92"))
     }
 
-    private fun malformedFields() = with(routes(service())) {
+    private fun recordMalformedFields() = with(routes(service())) {
         for ((name, text) in listOf("empty body" to "", "not closed" to "{", "list" to "[]", "number" to "3", "null" to "null")) {
             submit(name, text)
         }
         submit("body too large", "x".repeat(MAX_BODY_BYTES + 1))
         submit("largest body", "x".repeat(MAX_BODY_BYTES))
-        for (field in job.keys - setOf("hulls", "yard", "dueS")) submit("$field missing", JsonObject(named("j-50") - field))
+        for (field in job.keys - setOf("hulls", "yard", "dueS")) submit("$field missing", JsonObject(jobWithId("j-50") - field))
         val number = JsonPrimitive(3)
         val word = JsonPrimitive("x")
         val invalid = listOf(
@@ -216,66 +216,66 @@
             "not a list" to ("waitsOn" to word), "not an id" to ("waitsOn" to JsonArray(listOf(word))),
             "not strings" to ("waitsOn" to JsonArray(listOf(number))),
         )
-        for ((name, change) in invalid) submit("${change.first}: $name", named("j-50", change))
+        for ((name, change) in invalid) submit("${change.first}: $name", jobWithId("j-50", change))
     }
 
-    private fun neverRunning() = with(routes(service())) {
-        submit("unknown team", named("j-50", "owner" to JsonPrimitive("nobody")))
-        submit("larger than any machine", named("j-50", "vcpus" to JsonPrimitive(97)))
-        submit("no machine in the zone", named("j-50", "yard" to JsonPrimitive("b")))
-        submit("task over the limit", named("j-50", "vcpus" to JsonPrimitive(65)))
-        submit("service over the limit", named("j-50", "shape" to JsonPrimitive("daemon")))
+    private fun recordJobsThatCannotRun() = with(routes(service())) {
+        submit("unknown team", jobWithId("j-50", "owner" to JsonPrimitive("nobody")))
+        submit("larger than any machine", jobWithId("j-50", "vcpus" to JsonPrimitive(97)))
+        submit("no machine in the zone", jobWithId("j-50", "yard" to JsonPrimitive("b")))
+        submit("task over the limit", jobWithId("j-50", "vcpus" to JsonPrimitive(65)))
+        submit("service over the limit", jobWithId("j-50", "shape" to JsonPrimitive("daemon")))
         val names = (0 until 20).map { JsonPrimitive("$it".padEnd(200, 'x')) } + JsonPrimitive("g8")
-        submit("names too long", named("j-50", "hulls" to JsonArray(names)))
+        submit("names too long", jobWithId("j-50", "hulls" to JsonArray(names)))
     }
 
     private fun waitsOn(vararg ids: String) = "waitsOn" to JsonArray(ids.map { JsonPrimitive(it) })
 
-    private fun prerequisites() {
+    private fun recordPrerequisites() {
         with(routes(service())) {
-            submit("waits on itself", named("j-60", waitsOn("j-60")))
-            submit("waits on an unknown job", named("j-60", waitsOn("j-2", "j-77")))
-            submit("service", named("j-61", "shape" to JsonPrimitive("daemon"), "pieces" to JsonPrimitive(2)))
-            submit("waits on a service", named("j-60", waitsOn("j-61")))
-            submit("waits", named("j-60", waitsOn("j-2", "j-90")))
+            submit("waits on itself", jobWithId("j-60", waitsOn("j-60")))
+            submit("waits on an unknown job", jobWithId("j-60", waitsOn("j-2", "j-77")))
+            submit("service", jobWithId("j-61", "shape" to JsonPrimitive("daemon"), "pieces" to JsonPrimitive(2)))
+            submit("waits on a service", jobWithId("j-60", waitsOn("j-61")))
+            submit("waits", jobWithId("j-60", waitsOn("j-2", "j-90")))
             status("waiting", "j-60")
-            submit("waits on a cancelled job", named("j-62", waitsOn("j-91")))
+            submit("waits on a cancelled job", jobWithId("j-62", waitsOn("j-91")))
             status("waiting on a cancelled job", "j-62")
         }
-        routes(service(acceptsPrerequisites = false)).submit("waits, with nodes of an earlier version", named("j-63", waitsOn("j-2")))
+        routes(service(acceptsPrerequisites = false)).submit("waits, with nodes of an earlier version", jobWithId("j-63", waitsOn("j-2")))
     }
 
-    private fun storeFaults() {
-        routes(service(knowsTypes = false)).submit("no machine types", named("j-70"))
+    private fun recordStoreFaults() {
+        routes(service(knowsTypes = false)).submit("no machine types", jobWithId("j-70"))
         val conflicting = object : StateStore by store {
             override fun commit(transaction: Transaction): TransactionResult {
                 val onlyCompares = transaction.writes.isEmpty()
                 return if (onlyCompares) store.commit(transaction) else TransactionResult.CompareFailed(transaction.compares.map { it.key })
             }
         }
-        routes(service(conflicting)).submit("conflict", named("j-70"))
+        routes(service(conflicting)).submit("conflict", jobWithId("j-70"))
         routes(service(conflicting)).cancel("conflict", "j-2")
         val rejecting = object : StateStore by store {
             override fun commit(transaction: Transaction) = throw StoreRequestRejectedException.of(transaction, "too large")
         }
-        routes(service(rejecting)).submit("record rejected", named("j-70"))
-        val cutOff = service()
+        routes(service(rejecting)).submit("record rejected", jobWithId("j-70"))
+        val disconnected = service()
         val forwarding = service(forward = { UserAnswer(503, "${it.method} ${it.path} relayed", 9) })
         faults.storeRefusedUntil = time.now + 1000
-        with(routes(cutOff)) {
-            submit("store unreachable", named("j-70"))
+        with(routes(disconnected)) {
+            submit("store unreachable", jobWithId("j-70"))
             status("store unreachable", "j-2")
             cancel("store unreachable", "j-2")
         }
         with(routes(forwarding)) {
-            submit("answered by another node", named("j-70"))
+            submit("answered by another node", jobWithId("j-70"))
             status("answered by another node", "j-2")
             cancel("answered by another node", "j-2")
         }
         time.advance(2000)
     }
 
-    private fun routeFaults() {
+    private fun recordRouteFaults() {
         with(routes(service())) {
             call("unknown path", Method.GET, "/nothing")
             call("root", Method.GET, "/")
@@ -286,35 +286,35 @@
             call("ready, wrong method", Method.POST, "/ready")
             call("metrics, wrong method", Method.POST, "/metrics")
         }
-        // The real service neither throws such exceptions nor holds its caller.
-        fun answering(answer: () -> UserAnswer) = object : UserService {
+        // A stub: JobService neither throws these exceptions nor blocks its caller.
+        fun serviceWith(answer: () -> UserAnswer) = object : UserService {
             override fun submit(body: String, isForwarded: Boolean) = answer()
             override fun status(id: String, isForwarded: Boolean) = answer()
             override fun cancel(id: String, isForwarded: Boolean) = answer()
             override fun isReady() = true
         }
-        routes(answering { error("on purpose") }).submit("internal error", "{}")
-        routes(answering { throw IOException("on purpose") }).submit("interrupted", "{}")
-        routes(answering { throw SerializationException("on purpose") }).submit("malformed in a handler", "{}")
-        var inner: () -> Unit = {}
-        val busy = routes(
-            answering {
-                inner()
+        routes(serviceWith { error("on purpose") }).submit("internal error", "{}")
+        routes(serviceWith { throw IOException("on purpose") }).submit("interrupted", "{}")
+        routes(serviceWith { throw SerializationException("on purpose") }).submit("malformed in a handler", "{}")
+        var nestedRequest: () -> Unit = {}
+        val limited = routes(
+            serviceWith {
+                nestedRequest()
                 UserAnswer(200, "{}")
             },
         )
-        inner = { busy.submit("over the limit", "{}") }
-        busy(Request(Method.POST, "/v1/jobs").body("{}"))
-        inner = { busy.status("over the limit", "j-1") }
-        busy(Request(Method.GET, "/v1/jobs/j-1"))
+        nestedRequest = { limited.submit("over the limit", "{}") }
+        limited(Request(Method.POST, "/v1/jobs").body("{}"))
+        nestedRequest = { limited.status("over the limit", "j-1") }
+        limited(Request(Method.GET, "/v1/jobs/j-1"))
     }
 
-    private fun readiness() {
+    private fun recordReadiness() {
         routes(service()).call("ready", Method.GET, "/ready")
         routes(service(isReady = false)).call("not ready", Method.GET, "/ready")
     }
 
-    private fun heartbeats() = with(routes(service())) {
+    private fun recordHeartbeats() = with(routes(service())) {
         fun heartbeat(machine: String) = """{"host":"$machine","address":"127.0.0.1:1","hull":"s","yard":"a","loaners":false,""" +
             """"watch":1,"tally":1,"helm":0,"pieces":[]}"""
         fun send(name: String, body: String) = call("report, $name", Method.POST, "/agent/beat", body)
@@ -327,19 +327,19 @@
         send("body too large", "x".repeat(MAX_BODY_BYTES + 1))
     }
 
-    private fun metrics() {
+    private fun recordMetrics() {
         val metrics = Metrics()
         val names = MetricNames::class.java.declaredFields.filter { it.type == String::class.java }.map { it.get(null) as String }
         names.forEach { metrics.gauge(it) { 1 } }
         val response = routes(service(), metrics)(Request(Method.GET, "/metrics"))
-        observe("metrics", response, "(names below)")
+        record("metrics", response, "(names below)")
         metrics.timing("timing").record(1)
         metrics.counter("counter").add()
         routes(service(), metrics)(Request(Method.GET, "/metrics")).bodyString().trim().lines().map { it.substringBefore(' ') }.sorted()
-            .forEach { fixture.line("metrics name", it) }
+            .forEach { fixture.addLine("metrics name", it) }
     }
 
-    private fun betweenNodes() {
+    private fun recordPeerRequests() {
         val peers = PeerService { PeerHeartbeat("n-1", 7, serves = true, leads = false) }
         val routes = peerRoutes(service(), peers)
         fun send(name: String, path: String, body: ByteArray) {
@@ -347,7 +347,7 @@
             val type = response.header("Content-Type").orEmpty()
             val bytes = response.body.stream.readAllBytes()
             val isText = type == "application/json"
-            observe("between nodes, $name", response, if (isText) bytes.decodeToString() else bytes.joinToString("") { "%02x".format(it) })
+            record("between nodes, $name", response, if (isText) bytes.decodeToString() else bytes.joinToString("") { "%02x".format(it) })
         }
         fun forward(method: String, path: String, body: String = "") = ProtoBuf.encodeToByteArray(ForwardedRequest(method, path, body))
         send("hello", "/peer/hello", ProtoBuf.encodeToByteArray(PeerHeartbeat("n-2", 6, serves = true, leads = true)))
--- a/src/test/kotlin/mountmast/contract/SerializedExamples.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedExamples.kt
@@ -63,8 +63,8 @@
 import mountmast.storage.TypesRecord
 
 /**
- * A value with the name of the fixture line that holds its encoded form. The name is that of the form, not of the class:
- * it stays when the class is renamed.
+ * A value and the [name] of the fixture line with its encoded form. The name belongs to the form, not to the class: it stays when
+ * the class is renamed.
  */
 class Example<T : Any>(val name: String, val className: String, val serializer: KSerializer<T>, val value: T)
 
@@ -156,7 +156,7 @@
     private val leastListed =
         ListedMachine(id = MachineId("vm-13"), type = TypeId("small"), zone = Zone("south"), state = ListedState.BOOTING)
 
-    /** Types that are one value in JSON, numbers up to the largest. */
+    /** Types that are encoded as a single JSON value; numbers have the largest possible value. */
     private val scalars: List<Example<*>> = listOf(
         example("job-id", JobId("j-000412")),
         example("machine-id", MachineId("vm-12")),
@@ -196,7 +196,7 @@
         enumExample("listed-states", ListedState.BOOTING, ListedState.RUNNING, ListedState.FAILED),
     )
 
-    private val wire: List<Example<*>> = listOf(
+    private val messages: List<Example<*>> = listOf(
         example("job-full", fullJob),
         example("job-least", leastJob),
         example("job-answer-full", JobAnswer(JobId("j-000412"), JobStatus.RUNNING, 3, 4, listOf(JobId("j-000003")))),
@@ -251,16 +251,16 @@
         example("machine-page-least", MachinePage(emptyList())),
     )
 
-    /** [COMPRESSED] unpacked. */
+    /** The text that [COMPRESSED] decompresses to. */
     const val UNCOMPRESSED = "+j-000412/3 vm-12 6 5 north;!j-000412/3;"
 
-    /** Stands as it is: how it was compressed differs between libraries, what it says does not. */
+    /** A constant, not computed: libraries differ in how they compress a text, but not in what this decompresses to. */
     const val COMPRESSED = "087SNTAwMDE00jdWKMvVNTRSMFMwVcjLLyrJsFZEyFkDAA"
 
     val fullRecord = JobRecord(fullJob, WallTime(1_700_000_010_088), cancelled = true, PrerequisiteListRef("00ff00ff00ff00ff", 3))
     private val fullFailing = FailingJob(listOf(MachineId("vm-12"), MachineId("vm-13")), 4)
 
-    private val stored: List<Example<*>> = listOf(
+    private val storedRecords: List<Example<*>> = listOf(
         example(
             "stored-leader-full",
             LeaderRecord(NodeId("node-2"), "r-4f", FencingToken(3_145_728u), WallTime(1_700_000_000_001), WallTime(1_700_000_000_002)),
@@ -293,7 +293,7 @@
         example("stored-format", FormatRecord(FORMAT_VERSION)),
     )
 
-    val json: List<Example<*>> = scalars + enums + wire + stored
+    val json: List<Example<*>> = scalars + enums + messages + storedRecords
 
     val protobuf: List<Example<*>> = listOf(
         example("hello-full", PeerHeartbeat("node-2", 41L shl 20, serves = true, leads = true, listOf("j-000004", "j-000008"), 2)),
--- a/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
@@ -55,27 +55,31 @@
 /**
  * Pins what this release stores and sends: the encoded examples must equal the lines of `src/test/resources/current`, and
  * the lines must decode to the examples. Nodes of two versions share the stored keys and talk to each other during an
- * upgrade, so a line that changes is a change of the contract between versions, whatever it was that changed in the sources.
+ * upgrade, so a changed line changes the contract between versions, whatever changed in the sources.
  *
- * How Deflate compresses a text is left to the library, so of compressed texts only the reading is pinned.
+ * The compressed form of a text depends on the Deflate library, so for compressed texts only decompression is pinned.
  */
 @OptIn(ExperimentalSerializationApi::class)
 class SerializedFormsTest {
-    /** The lines `name value` of one fixture file. */
+    /** The lines of one fixture file, each of the form `name value`. */
     private class Fixture(private val file: String) {
         private val values = File("src/test/resources/current/$file").readLines().filter { it.isNotBlank() }
             .associate { it.substringBefore(' ') to it.substringAfter(' ') }
 
         operator fun get(name: String): String = values[name] ?: throw AssertionError("$file has no line $name")
 
-        /** Compares all lines with [written], by name, and tells every one that differs. */
+        /** Compares all lines with [written], by name, and reports every difference. */
         fun assertEqualTo(written: List<Pair<String, String>>) {
             val differences = ArrayList<String>()
             for ((name, value) in written) {
                 if (values[name] != value) differences += "$file, line $name: the file has ${values[name]}, this code writes\n$name $value"
             }
-            (values.keys - written.map { it.first }.toSet()).forEach { differences += "$file, line $it: nothing is compared with it" }
-            assertEquals(written.size, written.map { it.first }.toSet().size, "$file: a name stands twice")
+            (
+                values.keys - written.map {
+                    it.first
+                }.toSet()
+                ).forEach { differences += "$file, line $it: nothing is compared with this line" }
+            assertEquals(written.size, written.map { it.first }.toSet().size, "$file: two lines to compare have the same name")
             assertTrue(differences.isEmpty(), differences.joinToString("\n"))
         }
     }
@@ -87,8 +91,8 @@
     private val lists = Fixture("lists.txt")
     private val calls = Fixture("calls.txt")
 
-    /** What [read] returns; a line that cannot be read at all fails under the name of [line]. */
-    private fun <T> reading(line: String, read: () -> T): T = try {
+    /** Returns the result of [read]. If decoding fails, throws an [AssertionError] that names the [line]. */
+    private fun <T> decodeLine(line: String, read: () -> T): T = try {
         read()
     } catch (e: SerializationException) {
         throw AssertionError("$line cannot be read: ${e.message}", e)
@@ -97,13 +101,13 @@
     private fun <T : Any> Example<T>.toJson() = WireJson.encodeToString(serializer, value)
 
     private fun <T : Any> Example<T>.assertReadFromJson(text: String) =
-        assertEquals(value, reading("json.txt, line $name") { WireJson.decodeFromString(serializer, text) }, "json.txt, line $name")
+        assertEquals(value, decodeLine("json.txt, line $name") { WireJson.decodeFromString(serializer, text) }, "json.txt, line $name")
 
     private fun <T : Any> Example<T>.toProtobuf() = ProtoBuf.encodeToByteArray(serializer, value).joinToString("") { "%02x".format(it) }
 
     private fun <T : Any> Example<T>.assertReadFromProtobuf(text: String) {
         val bytes = text.chunked(2).map { it.toInt(16).toByte() }.toByteArray()
-        val read = reading("protobuf.txt, line $name") { ProtoBuf.decodeFromByteArray(serializer, bytes) }
+        val read = decodeLine("protobuf.txt, line $name") { ProtoBuf.decodeFromByteArray(serializer, bytes) }
         assertEquals(value, read, "protobuf.txt, line $name")
     }
 
@@ -134,16 +138,20 @@
     @Test
     fun `no serializable type is left out`() {
         val sources = File("src/main/kotlin").walk().filter { it.extension == "kt" }.map { it.readText() }.toList()
-        val marked = sources.sumOf { Regex("@Serializable\\b").findAll(it).count() }
+        val annotationCount = sources.sumOf { Regex("@Serializable\\b").findAll(it).count() }
         val declaration =
             Regex("@Serializable\\b(?:\\([^)]*\\))?\\s+(?:@\\w+(?:\\([^)]*\\))?\\s+)*((?:\\w+\\s+)*?)(?:class|object|interface)\\s+(\\w+)")
         val declared = sources.flatMap { declaration.findAll(it) }
-        assertEquals(marked, declared.size, "a use of @Serializable that this test does not recognize")
+        assertEquals(annotationCount, declared.size, "a use of @Serializable that this test does not recognize")
         val (private, visible) = declared.partition { "private" in it.groupValues[1] }
         val pinned = (SerializedExamples.json + SerializedExamples.protobuf).map { it.className }.toSet()
         assertEquals(emptySet<String>(), visible.map { it.groupValues[2] }.toSet() - pinned, "types without an example")
-        assertEquals(visible.size, pinned.size, "types of one name")
-        assertEquals(PRIVATE_BODIES, private.size, "private types, which `the calls to the state service` pins through what is sent")
+        assertEquals(visible.size, pinned.size, "several types have the same name")
+        assertEquals(
+            PRIVATE_TYPES,
+            private.size,
+            "private types, which `the calls to the state service are sent as pinned, and its answers are read` pins",
+        )
     }
 
     @Test
@@ -186,10 +194,13 @@
         assertEquals(TaskId(job, 3), TaskId.parse(keys["task"]), "keys.txt, line task")
         assertNull(Keys.jobOfKey(keys["journal-slot-7"]))
         assertNull(Keys.slotOfKey(keys["job-of"]))
-        assertDeclared("object Keys {", constants.size, KEY_FUNCTIONS)
+        assertDeclared("object Keys {", constants.size, KEY_FUNCTION_COUNT)
     }
 
-    /** A key that is added has to be pinned above, and counted in [KEY_FUNCTIONS] if it is a function. */
+    /**
+     * Checks how many constants and functions the declaration with this [header] has: a key that is added to it must also be pinned by
+     * this test, and a function counted in [KEY_FUNCTION_COUNT].
+     */
     private fun assertDeclared(header: String, constants: Int, functions: Int) {
         val body = File("src/main/kotlin").walk().filter { it.extension == "kt" }.map { it.readText() }.single { header in it }
             .substringAfter(header).substringBefore("\n}").lines().map { it.trim() }
@@ -197,8 +208,8 @@
         assertEquals(functions, body.count { it.startsWith("fun ") }, "functions of the keys")
     }
 
-    /** Keeps what is read, each entry as a list of its kind and fields. */
-    private class Recorder : JournalReader {
+    /** Records the journal entries that are read, each as a list of its kind and fields. */
+    private class EntryRecorder : JournalReader {
         val entries = ArrayList<List<Any>>()
 
         override fun done(job: JobId, ranges: String) {
@@ -265,7 +276,7 @@
         )
         journal.assertEqualTo(entries.map { it.first to it.second } + other)
         for ((name, _, expected) in entries) {
-            val reader = Recorder()
+            val reader = EntryRecorder()
             assertEquals(0, JournalText.read(journal[name], reader), "journal.txt, line $name: unreadable")
             assertEquals(listOf(expected), reader.entries, "journal.txt, line $name")
         }
@@ -287,12 +298,12 @@
 
     private val time = VirtualTime()
 
-    private fun emptyStore(): StateStore = StandInStore(time).View(Random(1), ProcessFaults(time))
+    private fun createEmptyStore(): StateStore = StandInStore(time).View(Random(1), ProcessFaults(time))
 
-    private fun keyed(put: Write.Put) = "${put.key} ${put.value}"
+    private fun formatLine(put: Write.Put) = "${put.key} ${put.value}"
 
-    /** Stores the `KEY JSON` lines called [names] of the lists. */
-    private fun storeOf(names: List<String>): StateStore = emptyStore().also { store ->
+    /** Returns a store with the keys and JSON values of the lines [names] of `lists.txt`. */
+    private fun createStore(names: List<String>): StateStore = createEmptyStore().also { store ->
         for (name in names) {
             val value = WireJson.parseToJsonElement(lists[name].substringAfter(' '))
             store.commit(Transaction(emptyList(), listOf(Write.Put(lists[name].substringBefore(' '), value))))
@@ -304,26 +315,26 @@
         val prerequisites = (1..60).map { JobId("j-%06d".format(it)) }
         val record = JobRecord(SerializedExamples.fullJob.copy(prerequisites = prerequisites), WallTime(1_700_000_010_088))
         val limits = StateLimits(requestsPerSecond = 80.0, writesPerSecond = 30.0, valueKb = 0.6, transactionOps = 16)
-        val store = emptyStore()
+        val store = createEmptyStore()
         val head = PrerequisiteLists(store, limits).store(record)
-        val parts = store.listAll(Keys.PREREQUISITE_LISTS).first.map { keyed(Write.Put(it.key, it.value)) }
+        val parts = store.listAll(Keys.PREREQUISITE_LISTS).first.map { formatLine(Write.Put(it.key, it.value)) }
         val partNames = parts.indices.map { "prerequisites-part-$it" }
         val types = MachineTypes(listOf(SerializedExamples.fullType, SerializedExamples.leastType))
-        val divided = TypesForm.writes(types, 300).map(::keyed)
+        val divided = TypesForm.writes(types, 300).map(::formatLine)
         val typeNames = divided.indices.map { "types-divided-$it" }
 
         lists.assertEqualTo(
-            listOf("prerequisites-head" to keyed(Write.Put(Keys.job(head.spec.id), WireJson.encodeToJsonElement(head)))) +
+            listOf("prerequisites-head" to formatLine(Write.Put(Keys.job(head.spec.id), WireJson.encodeToJsonElement(head)))) +
                 partNames.zip(parts) + typeNames.zip(divided) +
-                ("types-whole" to keyed(TypesForm.whole(types))),
+                ("types-whole" to formatLine(TypesForm.whole(types))),
         )
 
         val readHead = WireJson.decodeFromJsonElement<JobRecord>(
             WireJson.parseToJsonElement(lists["prerequisites-head"].substringAfter(' ')),
         )
-        assertEquals(prerequisites, PrerequisiteLists(storeOf(partNames), limits).read(readHead), "lists.txt, lines prerequisites-...")
-        assertEquals(types, TypesForm.read(storeOf(typeNames)), "lists.txt, lines types-divided-...")
-        assertEquals(types, TypesForm.read(storeOf(listOf("types-whole"))), "lists.txt, line types-whole")
+        assertEquals(prerequisites, PrerequisiteLists(createStore(partNames), limits).read(readHead), "lists.txt, lines prerequisites-...")
+        assertEquals(types, TypesForm.read(createStore(typeNames)), "lists.txt, lines types-divided-...")
+        assertEquals(types, TypesForm.read(createStore(listOf("types-whole"))), "lists.txt, line types-whole")
     }
 
     @Test
@@ -391,10 +402,10 @@
     }
 
     private companion object {
-        /** Bodies of calls to the state service, which are private to its client. */
-        const val PRIVATE_BODIES = 11
+        /** The serializable types of the state service's requests and responses, which are private to its client. */
+        const val PRIVATE_TYPES = 11
 
-        /** Those that build a key and those that read one. */
-        const val KEY_FUNCTIONS = 10
+        /** The functions of [Keys] that build or parse a key. */
+        const val KEY_FUNCTION_COUNT = 10
     }
 }
