--- a/src/test/kotlin/mountmast/knownred/KnownRedExtension.kt
+++ b/src/test/kotlin/mountmast/knownred/KnownRedExtension.kt
@@ -9,19 +9,20 @@
 import java.lang.reflect.Method
 
 /**
- * Lets the build pass over the tests of a [KnownRedList], and over no others. A listed test that fails is printed and reported
- * as skipped; one that passes fails, so that it is taken off the list. A list that is not in order fails every test class.
+ * Lets the build succeed although tests of a [KnownRedList] fail. The failure of a listed test is printed and reported as skipped; a
+ * listed test that passes or is aborted is reported as failed, so that it is removed from the list. A list with problems fails every
+ * test class.
  *
- * Only the test function itself may fail: a failure to set up its class is reported as ever.
+ * Only failures of the test function itself are accepted: a failure to set up its class is reported as usual.
  */
-class KnownRedExtension(private val list: () -> KnownRedList) :
+class KnownRedExtension(private val loadList: () -> KnownRedList) :
     BeforeAllCallback,
     InvocationInterceptor {
-    /** Used by JUnit, which finds this class through `META-INF/services`. */
+    /** Called by JUnit, which finds this class through `META-INF/services`. */
     constructor() : this({ projectList })
 
     override fun beforeAll(context: ExtensionContext) {
-        val problems = list().problems
+        val problems = loadList().problems
         if (problems.isNotEmpty()) fail<Unit>("${KnownRedList.PROJECT_FILE}: ${problems.joinToString("; ")}")
     }
 
@@ -30,7 +31,7 @@
         method: ReflectiveInvocationContext<Method>,
         context: ExtensionContext,
     ) {
-        val knownRed = list().find(TestName(method.targetClass.name, method.executable.name))
+        val knownRed = loadList().find(TestName(method.targetClass.name, method.executable.name))
         if (knownRed == null) invocation.proceed() else expectFailure(invocation, knownRed)
     }
 
--- a/src/test/kotlin/mountmast/knownred/KnownRedList.kt
+++ b/src/test/kotlin/mountmast/knownred/KnownRedList.kt
@@ -32,27 +32,27 @@
 
 /**
  * The tests that may fail without failing the build, from lines of the form `Class#method | cause | issue`.
- * A list with [problems] is void: nothing is passed over, and the build fails.
+ * A list with [problems] is invalid: no failure is accepted, and the build fails.
  */
 class KnownRedList(val entries: List<KnownRed>, val problems: List<String>) {
     fun find(test: TestName): KnownRed? = entries.firstOrNull { it.test == test }
 
     companion object {
         const val MAX_ENTRIES = 3
-        private const val COMMENT = "#"
+        private const val COMMENT_PREFIX = "#"
         val PROJECT_FILE: Path = Path.of("KNOWN-RED.txt")
 
-        /** Reads [file]; one that does not exist lists nothing. */
+        /** Reads the list in [file]; it is empty if the file does not exist. */
         fun read(file: Path, isTest: (TestName) -> Boolean = TestName::isRunByBuild): KnownRedList =
             parse(if (Files.exists(file)) Files.readAllLines(file) else emptyList(), isTest)
 
         fun parse(lines: List<String>, isTest: (TestName) -> Boolean = TestName::isRunByBuild): KnownRedList {
-            val written = lines.filter { it.isNotBlank() && !it.startsWith(COMMENT) }
-            val entries = written.mapNotNull(::parseLine)
-            val problems = written.filter { parseLine(it) == null }.map { "not of the form 'Class#method | cause | issue': $it" } +
+            val entryLines = lines.filter { it.isNotBlank() && !it.startsWith(COMMENT_PREFIX) }
+            val entries = entryLines.mapNotNull(::parseLine)
+            val problems = entryLines.filter { parseLine(it) == null }.map { "not of the form 'Class#method | cause | issue': $it" } +
                 entries.filterNot { isTest(it.test) }.map { "no such test: ${it.test}" } +
                 entries.groupBy { it.test }.filterValues { it.size > 1 }.keys.map { "listed more than once: $it" } +
-                listOf("${written.size} tests are listed, at most $MAX_ENTRIES may be").filter { written.size > MAX_ENTRIES }
+                listOf("${entryLines.size} tests are listed, at most $MAX_ENTRIES may be").filter { entryLines.size > MAX_ENTRIES }
             return KnownRedList(entries, problems)
         }
 
--- a/src/test/kotlin/mountmast/knownred/KnownRedTest.kt
+++ b/src/test/kotlin/mountmast/knownred/KnownRedTest.kt
@@ -22,7 +22,7 @@
 
 @ExtendWith(KnownRedTest.SettingReader::class)
 class KnownRedTest {
-    /** Not run by the build, as it is no top-level class. */
+    /** Sample tests. The build does not run them, since this is not a top-level class. */
     class Samples {
         @Test
         fun `fails on purpose`() {
@@ -152,7 +152,7 @@
         assertTrue(autodetection == "true", "automatic registration is $autodetection")
     }
 
-    /** Reads the setting as JUnit sees it in this very run. */
+    /** Reads the value that the setting for automatic registration of extensions has in this test run. */
     class SettingReader : BeforeAllCallback {
         override fun beforeAll(context: ExtensionContext) {
             autodetection = context.getConfigurationParameter("junit.jupiter.extensions.autodetection.enabled").orElse(null)
