--- a/src/test/kotlin/mountmast/contract/CommandLineFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/CommandLineFormsTest.kt
@@ -46,7 +46,7 @@
         addLine(name, outcome.code, "out: ${replaceVariableParts(outcome.out)}", "error: ${replaceVariableParts(outcome.error)}")
     }
 
-    private fun file(name: String, text: String) = directory.resolve(name).apply { writeText(text) }.path
+    private fun writeFile(name: String, text: String) = directory.resolve(name).apply { writeText(text) }.path
 
     @Test
     fun `help and version are those in the file`() {
@@ -78,7 +78,7 @@
             fixture.add("mountmast $line".trim(), run(*args.toTypedArray()))
         }
         addServerResponses(fixture)
-        val config = file("service.toml", GOOD_SETTINGS)
+        val config = writeFile("service.toml", GOOD_SETTINGS)
         fixture.add("settings checked", run("--config", config, "--check"))
         fixture.add("served until stopped", run("--config", config))
         val toolWithAddressInUse = CommandLineTool { _, _ -> throw IOException("in use") }
@@ -97,7 +97,7 @@
         server.start()
         val port = server.address.port
         val node = "127.0.0.1:$port"
-        val job = file("job.json", "{}")
+        val job = writeFile("job.json", "{}")
         try {
             fixture.add("submit, answered 200", run("submit", job, "--node", node), port)
             fixture.add("status, answered 200", run("status", "j-1", "--node", node), port)
@@ -117,12 +117,12 @@
         val fixture = TextFixture("settings.txt")
         for ((old, new) in SETTINGS_CHANGES) {
             check(old in GOOD_SETTINGS) { old }
-            val config = file("service.toml", GOOD_SETTINGS.replaceFirst(old, new))
+            val config = writeFile("service.toml", GOOD_SETTINGS.replaceFirst(old, new))
             fixture.add("settings, '$old' replaced by '$new'", run("--config", config, "--check"))
         }
-        val config = file("service.toml", GOOD_SETTINGS)
+        val config = writeFile("service.toml", GOOD_SETTINGS)
         for (xml in TUNINGS) {
-            fixture.add("tuning, $xml", run("--config", config, "--tuning", file("tuning.xml", xml), "--check"))
+            fixture.add("tuning, $xml", run("--config", config, "--tuning", writeFile("tuning.xml", xml), "--check"))
         }
         fixture.add("tuning, no such file", run("--config", config, "--tuning", directory.resolve("none.xml").path, "--check"))
         fixture.assertUnchanged()
--- a/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
@@ -74,11 +74,7 @@
             for ((name, value) in written) {
                 if (values[name] != value) differences += "$file, line $name: the file has ${values[name]}, this code writes\n$name $value"
             }
-            (
-                values.keys - written.map {
-                    it.first
-                }.toSet()
-                ).forEach { differences += "$file, line $it: nothing is compared with this line" }
+            (values.keys - written.map { it.first }.toSet()).forEach { differences += "$file, line $it: nothing is compared with it" }
             assertEquals(written.size, written.map { it.first }.toSet().size, "$file: two lines to compare have the same name")
             assertTrue(differences.isEmpty(), differences.joinToString("\n"))
         }
--- a/src/test/kotlin/mountmast/soak/SoakDeployment.kt
+++ b/src/test/kotlin/mountmast/soak/SoakDeployment.kt
@@ -54,8 +54,8 @@
             appendLine("gpus = ${team.gpus}\ngpus_max = ${team.gpusMax}")
         }
         appendLine(
-            "[deployment.workers]\nreport_s = ${seconds(HEARTBEAT_MS)}\nlease_s = ${seconds(LEASE_MS)}\n" +
-                "cancel_s = ${seconds(CANCELLATION_MS)}",
+            "[deployment.workers]\nreport_s = ${toSeconds(HEARTBEAT_MS)}\nlease_s = ${toSeconds(LEASE_MS)}\n" +
+                "cancel_s = ${toSeconds(CANCELLATION_MS)}",
         )
         appendLine("[deployment.state]\nrps = ${limits.requestsPerSecond}\nwrite_rps = ${limits.writesPerSecond}")
         appendLine("value_kb = ${limits.valueKb}\ntxn_ops = ${limits.transactionOps}")
@@ -63,7 +63,7 @@
         appendLine("[deployment.resources]\nmax_connections = $MAX_CONNECTIONS")
     }
 
-    private fun seconds(ms: Long) = ms / 1000.0
+    private fun toSeconds(ms: Long) = ms / 1000.0
 }
 
 /** The size of a run: the machines that each offering has, the tasks of a job, and the values to draw a task's CPUs from. */
--- a/src/test/kotlin/mountmast/soak/TestHttpServer.kt
+++ b/src/test/kotlin/mountmast/soak/TestHttpServer.kt
@@ -10,8 +10,8 @@
 /** The HTTP response of a stand-in service. */
 class TestHttpResponse(val status: Int, val body: String)
 
-/** An HTTP server on a loopback socket that serves a stand-in; a request that [answer] returns null for gets no response. */
-class TestHttpServer(executor: ExecutorService, private val answer: (TestHttpRequest) -> TestHttpResponse?) : AutoCloseable {
+/** An HTTP server on a loopback socket that serves a stand-in; a request that [respond] returns null for gets no response. */
+class TestHttpServer(executor: ExecutorService, private val respond: (TestHttpRequest) -> TestHttpResponse?) : AutoCloseable {
     private val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG)
 
     /** The loopback port that this server listens on. */
@@ -26,8 +26,8 @@
     private fun handle(exchange: HttpExchange) {
         try {
             val request = TestHttpRequest(exchange.requestMethod, exchange.requestURI, exchange.requestBody.readAllBytes().decodeToString())
-            val answer = answer(request)
-            if (answer != null) send(exchange, answer)
+            val response = respond(request)
+            if (response != null) send(exchange, response)
         } catch (e: IOException) {
             // The client closed the connection.
         } finally {
@@ -35,9 +35,9 @@
         }
     }
 
-    private fun send(exchange: HttpExchange, answer: TestHttpResponse) {
-        val bytes = answer.body.encodeToByteArray()
-        exchange.sendResponseHeaders(answer.status, if (bytes.isEmpty()) -1L else bytes.size.toLong())
+    private fun send(exchange: HttpExchange, response: TestHttpResponse) {
+        val bytes = response.body.encodeToByteArray()
+        exchange.sendResponseHeaders(response.status, if (bytes.isEmpty()) -1L else bytes.size.toLong())
         if (bytes.isNotEmpty()) exchange.responseBody.write(bytes)
     }
 
--- a/src/test/kotlin/mountmast/soak/WorkerFleet.kt
+++ b/src/test/kotlin/mountmast/soak/WorkerFleet.kt
@@ -60,7 +60,7 @@
             val sentAt = clock.time.now
             worker.nextHeartbeatAt = sentAt + SoakDeployment.HEARTBEAT_MS * random.nextLong(75, 125) / 100
             if (resendsHeartbeats && random.nextInt(HEARTBEATS_PER_COPY) == 0) resendLater(heartbeat)
-            submit { heartbeat(worker, heartbeat, sentAt) }
+            submit { sendHeartbeat(worker, heartbeat, sentAt) }
         }
     }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    private fun heartbeat(worker: StandInWorker, heartbeat: Heartbeat, sentAt: Long) {
+    private fun sendHeartbeat(worker: StandInWorker, heartbeat: Heartbeat, sentAt: Long) {
         try {
             val target = worker.target
             val link = links[target]
