--- a/src/test/kotlin/mountmast/soak/CloudServer.kt
+++ b/src/test/kotlin/mountmast/soak/CloudServer.kt
@@ -19,18 +19,18 @@
     private val addressOf: (MachineId) -> String?,
     executor: ExecutorService,
 ) : AutoCloseable {
-    private val server = TestHttpServer(executor, ::respond)
+    private val server = LoopbackHttpServer(executor, ::respond)
 
     /** The loopback port that this server listens on. */
     val port: Int get() = server.port
 
-    private fun respond(request: TestHttpRequest): TestHttpResponse? = try {
+    private fun respond(request: LoopbackHttpRequest): LoopbackHttpResponse? = try {
         route(request)
     } catch (e: CloudException) {
-        if (e.mayBeCarriedOut) null else TestHttpResponse(503, """{"error":"trouble"}""")
+        if (e.mayBeCarriedOut) null else LoopbackHttpResponse(503, """{"error":"trouble"}""")
     }
 
-    private fun route(request: TestHttpRequest): TestHttpResponse = when (request.path) {
+    private fun route(request: LoopbackHttpRequest): LoopbackHttpResponse = when (request.path) {
         "/machine_types" -> okResponse(WireJson.encodeToString(MachineTypes(clock.runLocked { cloud.machineTypes() })))
         "/machines/delete" -> {
             val machines = WireJson.decodeFromString<MachineNames>(request.body).machines
@@ -40,17 +40,17 @@
         else -> if (request.method == "POST") rent(request.body) else list(request)
     }
 
-    private fun okResponse(body: String) = TestHttpResponse(200, body)
+    private fun okResponse(body: String) = LoopbackHttpResponse(200, body)
 
-    private fun rent(body: String): TestHttpResponse {
+    private fun rent(body: String): LoopbackHttpResponse {
         val outcome = clock.runLocked { cloud.rent(WireJson.decodeFromString<RentalRequest>(body)) }
         return when (outcome) {
             is RentalOutcome.Rented -> okResponse(WireJson.encodeToString(MachineNames(outcome.machines)))
-            RentalOutcome.NoCapacity -> TestHttpResponse(503, """{"error":"no capacity"}""")
+            RentalOutcome.NoCapacity -> LoopbackHttpResponse(503, """{"error":"no capacity"}""")
         }
     }
 
-    private fun list(request: TestHttpRequest): TestHttpResponse {
+    private fun list(request: LoopbackHttpRequest): LoopbackHttpResponse {
         val page = clock.runLocked {
             val listed = cloud.list(request.parameter("from")?.let(::MachineId))
             listed.copy(machines = listed.machines.map { it.copy(address = addressOf(it.id)) })
--- a/src/test/kotlin/mountmast/soak/TestHttpServer.kt
+++ b/src/test/kotlin/mountmast/soak/LoopbackHttpServer.kt
@@ -8,10 +8,10 @@
 import java.util.concurrent.ExecutorService
 
 /** The HTTP response of a stand-in service. */
-class TestHttpResponse(val status: Int, val body: String)
+class LoopbackHttpResponse(val status: Int, val body: String)
 
 /** An HTTP server on a loopback socket that serves a stand-in; a request that [respond] returns null for gets no response. */
-class TestHttpServer(executor: ExecutorService, private val respond: (TestHttpRequest) -> TestHttpResponse?) : AutoCloseable {
+class LoopbackHttpServer(executor: ExecutorService, private val respond: (LoopbackHttpRequest) -> LoopbackHttpResponse?) : AutoCloseable {
     private val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG)
 
     /** The loopback port that this server listens on. */
@@ -25,7 +25,11 @@
 
     private fun handle(exchange: HttpExchange) {
         try {
-            val request = TestHttpRequest(exchange.requestMethod, exchange.requestURI, exchange.requestBody.readAllBytes().decodeToString())
+            val request = LoopbackHttpRequest(
+                exchange.requestMethod,
+                exchange.requestURI,
+                exchange.requestBody.readAllBytes().decodeToString(),
+            )
             val response = respond(request)
             if (response != null) send(exchange, response)
         } catch (e: IOException) {
@@ -35,7 +39,7 @@
         }
     }
 
-    private fun send(exchange: HttpExchange, response: TestHttpResponse) {
+    private fun send(exchange: HttpExchange, response: LoopbackHttpResponse) {
         val bytes = response.body.encodeToByteArray()
         exchange.sendResponseHeaders(response.status, if (bytes.isEmpty()) -1L else bytes.size.toLong())
         if (bytes.isNotEmpty()) exchange.responseBody.write(bytes)
@@ -48,8 +52,8 @@
     }
 }
 
-/** An HTTP request to a [TestHttpServer]. */
-class TestHttpRequest(val method: String, uri: java.net.URI, val body: String) {
+/** An HTTP request to a [LoopbackHttpServer]. */
+class LoopbackHttpRequest(val method: String, uri: java.net.URI, val body: String) {
     val path: String = uri.path
     private val parameters: Map<String, String> = uri.query.orEmpty().split('&').filter { '=' in it }
         .associate { it.substringBefore('=') to it.substringAfter('=') }
--- a/src/test/kotlin/mountmast/soak/StoreServer.kt
+++ b/src/test/kotlin/mountmast/soak/StoreServer.kt
@@ -37,29 +37,29 @@
 ) : AutoCloseable {
     private var newJobCount = 0
 
-    private val server = TestHttpServer(executor, ::respond)
+    private val server = LoopbackHttpServer(executor, ::respond)
 
     /** The loopback port that this server listens on. */
     val port: Int get() = server.port
 
-    private fun respond(request: TestHttpRequest): TestHttpResponse? = try {
+    private fun respond(request: LoopbackHttpRequest): LoopbackHttpResponse? = try {
         route(request)
     } catch (e: StoreException) {
         errorResponse(e)
     }
 
-    private fun errorResponse(reason: StoreException): TestHttpResponse? = when (reason) {
+    private fun errorResponse(reason: StoreException): LoopbackHttpResponse? = when (reason) {
         is StoreTimeoutException -> {
             // The request may have been applied, may be applied later or never; the caller gets no response.
             Thread.sleep(TIMEOUT_DELAY_MS)
             null
         }
-        is StoreLeaseExpiredException -> TestHttpResponse(400, """{"error":"no such lease"}""")
-        is StoreRequestRejectedException -> TestHttpResponse(400, """{"error":"too large"}""")
-        else -> TestHttpResponse(503, """{"error":"trouble"}""")
+        is StoreLeaseExpiredException -> LoopbackHttpResponse(400, """{"error":"no such lease"}""")
+        is StoreRequestRejectedException -> LoopbackHttpResponse(400, """{"error":"too large"}""")
+        else -> LoopbackHttpResponse(503, """{"error":"trouble"}""")
     }
 
-    private fun route(request: TestHttpRequest): TestHttpResponse {
+    private fun route(request: LoopbackHttpRequest): LoopbackHttpResponse {
         val path = request.path
         return when {
             path == "/commit" -> commit(WireJson.parseToJsonElement(request.body).jsonObject)
@@ -74,9 +74,9 @@
 
     private fun parseLeaseId(path: String) = StoreLeaseId(path.removePrefix("/holds/").toULong())
 
-    private fun okResponse(body: JsonElement) = TestHttpResponse(200, body.toString())
+    private fun okResponse(body: JsonElement) = LoopbackHttpResponse(200, body.toString())
 
-    private fun grantLease(body: String): TestHttpResponse {
+    private fun grantLease(body: String): LoopbackHttpResponse {
         val ttlMs = WireJson.parseToJsonElement(body).jsonObject.getValue("ttlMs").jsonPrimitive.long
         val storeLease = clock.runLocked { store.grantLease(ttlMs) }
         return okResponse(buildJsonObject { put("hold", number(storeLease.number)) })
@@ -86,22 +86,22 @@
             store.keepAlive(storeLease)
         }
     ) {
-        TestHttpResponse(200, "{}")
+        LoopbackHttpResponse(200, "{}")
     } else {
-        TestHttpResponse(404, "{}")
+        LoopbackHttpResponse(404, "{}")
     }
 
-    private fun revoke(storeLease: StoreLeaseId): TestHttpResponse {
+    private fun revoke(storeLease: StoreLeaseId): LoopbackHttpResponse {
         clock.runLocked { store.revokeLease(storeLease) }
-        return TestHttpResponse(200, "{}")
+        return LoopbackHttpResponse(200, "{}")
     }
 
-    private fun get(key: String): TestHttpResponse {
-        val entry = clock.runLocked { store.get(key) } ?: return TestHttpResponse(404, "{}")
+    private fun get(key: String): LoopbackHttpResponse {
+        val entry = clock.runLocked { store.get(key) } ?: return LoopbackHttpResponse(404, "{}")
         return okResponse(body(entry))
     }
 
-    private fun list(request: TestHttpRequest): TestHttpResponse {
+    private fun list(request: LoopbackHttpRequest): LoopbackHttpResponse {
         val prefix = request.parameter("starts").orEmpty()
         val page = clock.runLocked { store.list(prefix, request.parameter("from"), request.parameter("page")?.toInt() ?: 1) }
         return okResponse(
@@ -113,7 +113,7 @@
         )
     }
 
-    private fun commit(body: JsonObject): TestHttpResponse {
+    private fun commit(body: JsonObject): LoopbackHttpResponse {
         val compares = body["if"]?.jsonArray.orEmpty().map { Compare(textField(it, "path"), ModRevision(unsignedField(it, "stamp"))) }
         val writes = body["writes"]?.jsonArray.orEmpty().map { it.jsonObject }.map { write ->
             if ("delete" in write) {
@@ -131,18 +131,18 @@
             is TransactionResult.Committed -> okResponse(buildJsonObject { put("ledger", number(result.revision.number)) })
             is TransactionResult.CompareFailed -> {
                 val failed = JsonArray(result.failed.map(::JsonPrimitive))
-                TestHttpResponse(409, buildJsonObject { put("failed", failed) }.toString())
+                LoopbackHttpResponse(409, buildJsonObject { put("failed", failed) }.toString())
             }
         }
     }
 
-    private fun watch(request: TestHttpRequest): TestHttpResponse {
+    private fun watch(request: LoopbackHttpRequest): LoopbackHttpResponse {
         val prefix = request.parameter("starts").orEmpty()
         val from = Revision(checkNotNull(request.parameter("from")).toULong())
         val until = System.nanoTime() + (request.parameter("waitMs")?.toLong() ?: 0) * NANOS_PER_MS
         while (true) {
             val result = clock.runLocked { store.watch(prefix, from, 0) }
-            if (result !is WatchResult.Changes) return TestHttpResponse(410, "{}")
+            if (result !is WatchResult.Changes) return LoopbackHttpResponse(410, "{}")
             if (result.changes.isNotEmpty() || System.nanoTime() >= until) return okResponse(body(result))
             Thread.sleep(WATCH_POLL_MS)
         }
--- a/src/test/kotlin/mountmast/soak/WorkerFleet.kt
+++ b/src/test/kotlin/mountmast/soak/WorkerFleet.kt
@@ -28,7 +28,7 @@
 class WorkerFleet(private val run: SoakRun, private val random: Random, private val executor: ExecutorService) : AutoCloseable {
     private val clock get() = run.clock
     private val caller = HttpCaller(connectMs = 500)
-    private val servers = ConcurrentHashMap<MachineId, TestHttpServer>()
+    private val servers = ConcurrentHashMap<MachineId, LoopbackHttpServer>()
     private val inFlight = ConcurrentHashMap.newKeySet<MachineId>()
 
     /** The links between the workers and each controller, by the controller's node index. */
@@ -55,7 +55,7 @@
         for (worker in run.cloud.workers) {
             worker.step()
             if (!worker.alive || worker.hanging || clock.time.now < worker.nextHeartbeatAt || !inFlight.add(worker.id)) continue
-            servers.computeIfAbsent(worker.id) { TestHttpServer(executor) { request -> handleCommands(worker, request) } }
+            servers.computeIfAbsent(worker.id) { LoopbackHttpServer(executor) { request -> handleCommands(worker, request) } }
             val heartbeat = heartbeatOf(worker)
             val sentAt = clock.time.now
             worker.nextHeartbeatAt = sentAt + SoakDeployment.HEARTBEAT_MS * random.nextLong(75, 125) / 100
@@ -159,9 +159,9 @@
     }
 
     /** Drops the direct commands in [request], delays them, or executes them at once. Returns null where no response is sent. */
-    private fun handleCommands(worker: StandInWorker, request: TestHttpRequest): TestHttpResponse? {
+    private fun handleCommands(worker: StandInWorker, request: LoopbackHttpRequest): LoopbackHttpResponse? {
         // A controller that is killed while sending a command may leave an empty body.
-        if (request.body.isEmpty()) return TestHttpResponse(400, "{}")
+        if (request.body.isEmpty()) return LoopbackHttpResponse(400, "{}")
         val message = WireJson.decodeFromString<CommandRequest>(request.body)
         return clock.runLocked {
             if (!worker.alive || worker.cut || worker.deaf) return@runLocked null
@@ -173,7 +173,7 @@
             recordStarts(message.commands.filter { it.type == CommandType.START }.map { it.task })
             val executed = worker.execute(message.token, message.incarnation, removeIgnoredStops(message.commands))
             val heartbeat = heartbeatOf(worker)
-            TestHttpResponse(if (executed) 200 else 409, WireJson.encodeToString(heartbeat))
+            LoopbackHttpResponse(if (executed) 200 else 409, WireJson.encodeToString(heartbeat))
         }
     }
 
