--- a/src/main/kotlin/mountmast/coordination/election/ElectionCampaign.kt
+++ b/src/main/kotlin/mountmast/coordination/election/ElectionCampaign.kt
@@ -35,16 +35,16 @@
 }
 
 /**
- * Attempts to have [node], in its process with the random identifier [run], elected leader. The leader key is attached to a
+ * Attempts to have [node], in its process with the random identifier [runId], elected leader. The leader key is attached to a
  * lease of the store. The term is stored under a key of its own without a lease and rises with every election.
  *
- * Confined to the thread that calls [LeaderElection.step]. Every function throws [mountmast.storage.StoreException] if the store
- * does not serve.
+ * Confined to the thread that calls [LeaderElection.step]. [attemptElection] throws [mountmast.storage.StoreException] if the store
+ * refuses a call or does not answer it.
  */
 internal class ElectionCampaign(
     private val store: StateStore,
     private val node: NodeId,
-    private val run: String,
+    private val runId: String,
     private val timing: LeaseTiming,
     private val clock: Clock,
 ) {
@@ -55,18 +55,18 @@
     private var pendingLease: PendingLease? = null
 
     /** Attempts to be elected; the election succeeds only if the leader key still has [leaderModRevision]. */
-    fun elect(leaderModRevision: ModRevision): ElectionResult {
+    fun attemptElection(leaderModRevision: ModRevision): ElectionResult {
         val requestedAt = clock.now()
-        val since = clock.wall()
+        val startedAt = clock.wall()
         val storeLease = pendingLease?.storeLease?.takeIf { store.keepAlive(it) } ?: store.grantLease(timing.ttlMs)
         val lease = PendingLease(storeLease, requestedAt)
         pendingLease = lease
         val termEntry = store.get(Keys.TERM)
-        val record = LeaderRecord(node, run, decodeLastToken(termEntry).firstOfNextTerm(), since, readWatermark() ?: since)
+        val record = LeaderRecord(node, runId, decodeLastToken(termEntry).firstOfNextTerm(), startedAt, readWatermark() ?: startedAt)
         return try {
             val transaction = electionTransaction(record, storeLease, leaderModRevision, termEntry?.modRevision ?: ModRevision.ABSENT)
             when (val result = store.commit(transaction)) {
-                is TransactionResult.Committed -> buildElected(record, ModRevision(result.revision.number), lease)
+                is TransactionResult.Committed -> buildElectedResult(record, ModRevision(result.revision.number), lease)
                 is TransactionResult.CompareFailed -> {
                     log.debug("election lost, as these keys had changed: {}", result.failed)
                     ElectionResult.NotElected
@@ -80,18 +80,18 @@
     }
 
     /** Whether this process, and not an earlier one of the same node, wrote [record]. */
-    fun isOwn(record: LeaderRecord): Boolean = record.run == run
+    fun isOwn(record: LeaderRecord): Boolean = record.run == runId
 
     /**
-     * Returns the outcome of an election transaction that got no answer. The leader key [key], which this process wrote, shows
-     * that the transaction was committed.
+     * Returns the outcome of an election transaction that got no answer. The leader key [key], which this process wrote, shows that
+     * the transaction was committed.
      */
-    fun resolveInDoubt(key: LeaderKey.Held): ElectionResult {
+    fun resolveUnansweredElection(key: LeaderKey.Held): ElectionResult {
         val lease = pendingLease ?: return ElectionResult.NotElected
-        return buildElected(key.record, key.modRevision, lease)
+        return buildElectedResult(key.record, key.modRevision, lease)
     }
 
-    private fun buildElected(record: LeaderRecord, modRevision: ModRevision, lease: PendingLease): ElectionResult.Elected {
+    private fun buildElectedResult(record: LeaderRecord, modRevision: ModRevision, lease: PendingLease): ElectionResult.Elected {
         pendingLease = null
         val leaderLease = LeaderLease(record.token, modRevision, lease.storeLease, clock.now(), record.watermark)
         return ElectionResult.Elected(leaderLease, lease.requestedAt)
--- a/src/main/kotlin/mountmast/coordination/election/LeaderElection.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaderElection.kt
@@ -17,7 +17,7 @@
  * Elects one node as leader, by a key of the store that is attached to a lease, and renews that lease while this node leads.
  *
  * [step], [awaitVacancy] and [resign] are called by one thread only, and hold no lock while they call the store. All other
- * members are thread-safe.
+ * functions and properties are thread-safe.
  */
 class LeaderElection private constructor(
     private val leadership: LeadershipState,
@@ -34,22 +34,23 @@
     private val vacancyWatch = VacancyWatch(store, leadership)
     private val delegation = RenewalDelegation(leadership, timing, clock)
 
-    // The two variables below are used only by the thread that calls step().
-
-    /** When the first of the consecutive steps failed in which the store did not serve, or null if the last step succeeded. */
+    /**
+     * Time since which a call to the store has failed in every [step], or null if the last step succeeded. Used only by the thread
+     * that calls [step].
+     */
     private var storeFailingSince: MonotonicTime? = null
 
-    /** After a resignation, this node attempts no election before this time. */
+    /** After a resignation, this node attempts no election before this time. Used only by the thread that calls [step]. */
     private var electionBackoffUntil = MonotonicTime(Long.MIN_VALUE)
 
     /**
-     * Creates the election as seen by [node]. [run] is a random identifier of the process, drawn at each start, so that a node
+     * Creates the election for [node]. [runId] is a random identifier of the process, drawn at each start, so that a node
      * that restarts before its lease has expired does not take the leader key of its earlier process for its own.
      */
-    constructor(store: StateStore, node: NodeId, run: String, timing: LeaseTiming, clock: Clock, metrics: Metrics = Metrics()) :
+    constructor(store: StateStore, node: NodeId, runId: String, timing: LeaseTiming, clock: Clock, metrics: Metrics = Metrics()) :
         this(
             LeadershipState(node, timing, clock),
-            ElectionCampaign(store, node, run, timing, clock),
+            ElectionCampaign(store, node, runId, timing, clock),
             store,
             node,
             timing,
@@ -84,7 +85,7 @@
      * is known to lead or if this node has resigned lately.
      */
     fun awaitVacancy(waitMs: Long): VacancyWait =
-        if (clock.now() < electionBackoffUntil) VacancyWait.NOT_NEEDED else vacancyWatch.await(waitMs)
+        if (clock.now() < electionBackoffUntil) VacancyWait.NOT_NEEDED else vacancyWatch.awaitChange(waitMs)
 
     /**
      * Ends this node's leadership by [lease] and revokes the store lease, so that another node can be elected at once. This node
@@ -105,12 +106,12 @@
      * Returns the fencing token under which this node may now renew workers' leases on behalf of a newly elected leader, or null
      * if it may not.
      */
-    fun delegatedToken(): FencingToken? = delegation.token()
+    fun delegatedToken(): FencingToken? = delegation.delegatedToken()
 
     private fun observeOrElect() {
         when (val key = store.readLeaderKey()) {
             LeaderKey.Unreadable -> log.warn("the value of the leader key cannot be decoded; this node attempts no election")
-            LeaderKey.Vacant -> elect(ModRevision.ABSENT)
+            LeaderKey.Vacant -> attemptElection(ModRevision.ABSENT)
             is LeaderKey.Held -> observeHolder(key)
         }
     }
@@ -119,22 +120,22 @@
         val record = key.record
         leadership.observeToken(record.token)
         when {
-            campaign.isOwn(record) -> applyResult(campaign.resolveInDoubt(key))
+            campaign.isOwn(record) -> applyResult(campaign.resolveUnansweredElection(key))
 
             // An earlier process of this node wrote the key. It has ended, or this process would not run, so the key is replaced
             // without waiting for the lease to expire.
-            record.node == node -> elect(key.modRevision)
+            record.node == node -> attemptElection(key.modRevision)
 
             else -> {
                 leadership.observeLeader(record.node)
-                delegation.observe(record)
-                vacancyWatch.observe(key.modRevision)
+                delegation.observeLeader(record)
+                vacancyWatch.observeLeaderKey(key.modRevision)
             }
         }
     }
 
-    private fun elect(leaderModRevision: ModRevision) {
-        if (clock.now() >= electionBackoffUntil) applyResult(campaign.elect(leaderModRevision))
+    private fun attemptElection(leaderModRevision: ModRevision) {
+        if (clock.now() >= electionBackoffUntil) applyResult(campaign.attemptElection(leaderModRevision))
     }
 
     private fun applyResult(result: ElectionResult) {
--- a/src/main/kotlin/mountmast/coordination/election/LeaderKey.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaderKey.kt
@@ -20,7 +20,7 @@
     data class Held(val record: LeaderRecord, val modRevision: ModRevision) : LeaderKey
 }
 
-/** Reads the leader key; throws [mountmast.storage.StoreException] if the store does not serve. */
+/** Reads the leader key; throws [mountmast.storage.StoreException] if the store refuses the call or does not answer it. */
 internal fun StateStore.readLeaderKey(): LeaderKey {
     val entry = get(Keys.LEADER) ?: return LeaderKey.Vacant
     val record = decodeLeaderRecord(entry.value) ?: return LeaderKey.Unreadable
--- a/src/main/kotlin/mountmast/coordination/election/Leadership.kt
+++ b/src/main/kotlin/mountmast/coordination/election/Leadership.kt
@@ -4,12 +4,12 @@
 import mountmast.protocol.MonotonicTime
 import mountmast.protocol.NodeId
 
-/** What this node knows about which node leads. Thread-safe; no member calls the store or another node. */
+/** What this node knows about which node leads. Thread-safe. No function or property calls the store or another node. */
 interface Leadership {
     /** The lease by which this node leads, or null while it does not lead. */
     val leaderLease: LeaderLease?
 
-    /** The node that leads to this node's knowledge, which may be out of date, or null if this node knows of no leader. */
+    /** The leader as far as this node knows, or null if it knows of none. May be out of date. */
     val leader: NodeId?
 
     /** The first fencing token of the highest term that this node has observed, or zero if it has observed none. */
@@ -30,7 +30,7 @@
 
     /**
      * Returns the time up to which certainly no other node has led since this node was elected, or null if this node no longer
-     * leads by [lease]. It is the time at which the last successful grant or renewal of the lease was requested.
+     * leads by [lease]. The result is the time at which the last successful grant or renewal of the lease was requested.
      */
     fun confirmedUntil(lease: LeaderLease): MonotonicTime?
 
@@ -41,8 +41,8 @@
     fun observeToken(token: FencingToken)
 
     /**
-     * Ends this node's leadership, if it leads, without revoking its store lease. Called when the leader key is no longer its own,
-     * or may not be.
+     * Ends this node's leadership, if it leads, without revoking its store lease. Called when this node no longer holds the leader
+     * key, or may no longer hold it.
      */
     fun stepDown()
 }
--- a/src/main/kotlin/mountmast/coordination/election/LeadershipState.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeadershipState.kt
@@ -20,12 +20,12 @@
     private var otherLeader: NodeId? = null
 
     /** The first fencing token of the highest term observed. */
-    private var highestObserved = FencingToken(0u)
+    private var highestObservedToken = FencingToken(0u)
     private var isNewerLeaderSuspected = false
 
     override val leaderLease: LeaderLease? get() = lock.withLock { ownLease }
     override val leader: NodeId? get() = lock.withLock { if (ownLease != null) node else otherLeader }
-    override val highestToken: FencingToken get() = lock.withLock { highestObserved }
+    override val highestToken: FencingToken get() = lock.withLock { highestObservedToken }
     override val renewalAgeMs: Long? get() = lock.withLock { if (ownLease == null) null else clock.now() - confirmedAt }
 
     /** Whether this node does not lead and knows another node as the leader. */
@@ -43,7 +43,7 @@
     override fun observeToken(token: FencingToken) {
         val firstOfTerm = token.firstOfTerm()
         lock.withLock {
-            if (firstOfTerm > highestObserved) highestObserved = firstOfTerm
+            if (firstOfTerm > highestObservedToken) highestObservedToken = firstOfTerm
             val lease = ownLease ?: return
             if (firstOfTerm > lease.token) isNewerLeaderSuspected = true
         }
@@ -76,7 +76,7 @@
         confirmedAt = result.confirmedAt
         otherLeader = null
         isNewerLeaderSuspected = false
-        if (lease.token > highestObserved) highestObserved = lease.token
+        if (lease.token > highestObservedToken) highestObservedToken = lease.token
         log.info(
             "elected leader of term={} by lease={}, requested {} ms ago with a TTL of {} ms; the cancellation watermark is {} ms old",
             lease.token,
--- a/src/main/kotlin/mountmast/coordination/election/LeaseRenewal.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaseRenewal.kt
@@ -8,7 +8,8 @@
 internal class LeaseRenewal(private val store: StateStore, private val leadership: LeadershipState, private val clock: Clock) {
     /**
      * Renews [lease], or steps down if the lease has expired or the leader key shows another leader. Throws
-     * [mountmast.storage.StoreException] if the store does not serve; the store may have renewed the lease even then.
+     * [mountmast.storage.StoreException] if the store refuses a call or does not answer it; the store may have renewed the lease
+     * even then.
      */
     fun renew(lease: LeaderLease) {
         val requestedAt = clock.now()
--- a/src/main/kotlin/mountmast/coordination/election/LeaseTiming.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaseTiming.kt
@@ -45,14 +45,16 @@
     val delegationMs: Long get() = minOf(MAX_DELEGATION_MS, graceMs)
 
     /**
-     * Returns the end of the delegation by the time of day of any node, for a leader whose election began at [startedAt] by the
-     * leader's time of day. The clocks of the two nodes may be off in opposite directions.
+     * Returns the time, by the time of day of any node, until which other nodes may renew workers' leases on behalf of a leader
+     * whose election began at [startedAt] by the leader's time of day. The clocks of a delegate and of the leader may be off in
+     * opposite directions.
      */
     fun delegationUntil(startedAt: WallTime): WallTime = WallTime(startedAt.ms + delegationMs - 2 * maxClockOffsetMs - MARGIN_MS)
 
     /**
-     * Returns until when, by the time of day of any node, a node that knows no cancellation after [watermark] may renew workers'
-     * leases. The clock that set the watermark and that of the node may be off in opposite directions.
+     * Returns the time, by the time of day of any node, until which a node that knows no cancellation after [watermark] may renew
+     * workers' leases. A lease renewed later could let a task run on after its job's unknown cancellation has to be carried out.
+     * The clock that set the watermark and that of the node may be off in opposite directions.
      */
     fun renewalUntil(watermark: WallTime): WallTime = WallTime(watermark.ms + maxStalenessMs - 2 * maxClockOffsetMs - MARGIN_MS)
 
@@ -62,7 +64,10 @@
         private const val HEARTBEAT_RETRY_PAUSE_MS = 1000L
         private const val SILENCE_TIMEOUT_INTERVALS = 2.5
 
-        /** With 0.25, a single renewal that timed out ended the leader's term (docs/incidents/inc-0e16.md; `LeaseTimingTest`). */
+        /**
+         * Ratio of the leader's store lease to a worker's lease. With a ratio of 0.25, a single renewal that timed out ended the
+         * leader's term (docs/incidents/inc-0e16.md; `LeaseTimingTest`).
+         */
         private const val TTL_PER_WORKER_LEASE = 0.35
         private const val MIN_TTL_MS = 2000L
         private const val MAX_TTL_MS = 5000L
--- a/src/main/kotlin/mountmast/coordination/election/VacancyWatch.kt
+++ b/src/main/kotlin/mountmast/coordination/election/VacancyWatch.kt
@@ -25,19 +25,19 @@
 /** Watches the leader key while another node leads. Confined to the thread that calls [LeaderElection.step]. */
 internal class VacancyWatch(private val store: StateStore, private val leadership: LeadershipState) {
     /** This node has seen every change of the leader key up to this revision. */
-    private var observedUpTo = Revision(0u)
+    private var lastObservedRevision = Revision(0u)
 
     /** Records that the leader key was read, was last modified at [modRevision] and names another node. */
-    fun observe(modRevision: ModRevision) {
-        observedUpTo = maxOf(observedUpTo, Revision(modRevision.number))
+    fun observeLeaderKey(modRevision: ModRevision) {
+        lastObservedRevision = maxOf(lastObservedRevision, Revision(modRevision.number))
     }
 
     /** Waits for the leader key to change, for at most [waitMs] milliseconds, if another node is known to lead. */
-    fun await(waitMs: Long): VacancyWait {
+    fun awaitChange(waitMs: Long): VacancyWait {
         if (!leadership.followsOtherLeader) return VacancyWait.NOT_NEEDED
         return try {
-            val result = store.watch(Keys.LEADER, observedUpTo, waitMs)
-            if (result is WatchResult.Changes) observedUpTo = result.upTo
+            val result = store.watch(Keys.LEADER, lastObservedRevision, waitMs)
+            if (result is WatchResult.Changes) lastObservedRevision = result.upTo
             VacancyWait.WATCHED
         } catch (e: StoreException) {
             log.debug("watching the leader key failed: {}", e.message)
--- a/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
@@ -16,7 +16,7 @@
  */
 class PeerMembership(
     private val members: List<Member>,
-    private val peers: PeerClient,
+    private val peerClient: PeerClient,
     private val cancellations: CancellationBroadcast,
     private val clock: Clock,
     private val localNode: LocalNode,
@@ -51,21 +51,21 @@
         hasExchangedHeartbeats = true
     }
 
-    /** Exchanges heartbeats with [node] at once, provided that a heartbeat of it was received in the last six seconds. */
+    /** Exchanges heartbeats with [node] at once, provided that a heartbeat of that node was received in the last six seconds. */
     fun exchangeHeartbeatIfAlive(node: NodeId) {
         if (freshHeartbeats().any { it.node == node.text }) members.firstOrNull { it.node == node }?.let(::exchangeHeartbeatWith)
     }
 
     private fun exchangeHeartbeatWith(member: Member) {
         val cancelled = cancellations.pendingFor(member.node)
-        val response = peers.exchangeHeartbeats(member, localNode.ownHeartbeat().copy(cancelled = cancelled.map { it.text })) ?: return
+        val response = peerClient.exchangeHeartbeats(member, localNode.ownHeartbeat().copy(cancelled = cancelled.map { it.text })) ?: return
         cancellations.acknowledge(member.node, cancelled)
         recordHeartbeat(response)
     }
 
-    /** Records the heartbeat [from] another node and returns this node's own as the response. */
-    fun onHeartbeat(from: PeerHeartbeat): PeerHeartbeat {
-        recordHeartbeat(from)
+    /** Records the [heartbeat] of another node and returns this node's own as the response. */
+    fun onHeartbeat(heartbeat: PeerHeartbeat): PeerHeartbeat {
+        recordHeartbeat(heartbeat)
         return localNode.ownHeartbeat()
     }
 
@@ -74,11 +74,11 @@
         localNode.onPeerHeartbeat(heartbeat)
     }
 
-    /** Forwards [request] to a node that serves users and returns its answer, or null if there is none or it does not answer. */
+    /** Forwards [request] to a node that serves users. Returns the node's answer, or null if no node serves or it does not answer. */
     fun forward(request: ForwardedRequest): UserAnswer? {
-        val serving = freshHeartbeats().firstOrNull { it.serves } ?: return null
-        val member = members.firstOrNull { it.node.text == serving.node } ?: return null
-        val response = peers.forward(member, request) ?: return null
+        val servingHeartbeat = freshHeartbeats().firstOrNull { it.serves } ?: return null
+        val member = members.firstOrNull { it.node.text == servingHeartbeat.node } ?: return null
+        val response = peerClient.forward(member, request) ?: return null
         return UserAnswer(response.status, response.body, response.retryAfterS)
     }
 
