--- a/src/main/kotlin/mountmast/coordination/controller/CancellationAnnouncer.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/CancellationAnnouncer.kt
@@ -14,8 +14,8 @@
 ) {
     /**
      * Queues the committed cancellation of job [id] for all peers, and applies it at once if this node leads; otherwise sends it to
-     * the leader, if that is known and has sent a heartbeat lately. Called before the user gets the answer, so that a leader that can be
-     * reached starts no task of the job afterwards.
+     * the leader, if the leader is known and has sent a heartbeat lately. Called before the user gets the answer, so that a leader
+     * that can be reached starts no task of the job afterwards.
      */
     fun announce(id: JobId) {
         cancellations.broadcast(id)
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -30,7 +30,7 @@
 
 /**
  * One controller node, as steps that a caller repeats: [Node] on threads, tests in virtual time. This class only composes the
- * parts.
+ * parts of the node.
  *
  * Different steps may run concurrently, but each step is called by one thread at a time; only [LeaderWork.deliverCommands] and
  * [LeaderWork.announceLeader] may be called by several. [electionStep] and [awaitVacancy] are called by the same thread.
@@ -43,17 +43,17 @@
     systems: ExternalSystems,
     clock: Clock,
     /** Identifies this process; drawn at each start, so that a restarted node is not taken for its earlier process. */
-    run: String,
+    runId: String,
     metrics: Metrics = Metrics(),
 ) : HeartbeatService,
     PeerService {
     private val store = systems.store
-    private val peers = systems.peers
+    private val peerClient = systems.peerClient
     private val timing = LeaseTiming.of(settings.leaseS, settings.cancelS, settings.clockOffMs, settings.heartbeatIntervalS)
-    private val losses = TaskLosses(metrics)
-    private val invariants = Invariants(metrics)
+    private val taskLosses = TaskLosses(metrics)
+    private val invariantChecker = Invariants(metrics)
     private val wakeLag = metrics.timing(MetricNames.WAKE_LAG)
-    private val election = LeaderElection(store, settings.node, run, timing, clock, metrics)
+    private val election = LeaderElection(store, settings.node, runId, timing, clock, metrics)
     private val cancellations = CancellationBroadcast(settings.members.map { it.node }, clock, timing.cancellationRetentionMs)
     private val leaseRenewalDelegate = LeaseRenewalDelegate(election, cancellations)
 
@@ -61,7 +61,7 @@
     val formats = FormatNegotiation(store, settings.members.map { it.node })
     private val leaderComponents = CurrentLeaderComponents()
     private val localState = LocalPeerState(settings.node, election, cancellations, formats, leaderComponents, ::canServe)
-    private val membership = PeerMembership(settings.members, peers, cancellations, clock, localState)
+    private val membership = PeerMembership(settings.members, peerClient, cancellations, clock, localState)
     private val readiness = ReadinessMonitor(election, membership, settings.members.size, wakeLag, clock, ::canServe)
     private val announcer = CancellationAnnouncer(cancellations, leaderComponents, election, membership)
     private val prerequisiteLists = PrerequisiteLists(store, settings.stateLimits)
@@ -78,17 +78,18 @@
 
     private val jobPrefetcher = JobRecordPrefetcher(store, jobService::cacheRecord)
     private val heartbeatRouter = HeartbeatRouter(election, leaderComponents, leaseRenewalDelegate, clock)
-    private val refresh = PeriodicRefresh(jobService, formats)
+    private val periodicRefresh = PeriodicRefresh(jobService, formats)
     private val environment = LeaderTermEnvironment(
         store,
-        systems.workers,
+        systems.workerClient,
         timing,
         clock,
         prerequisiteLists,
         BroadcastJobCache(),
-        LeaderTermEnvironment.Diagnostics(losses, invariants),
+        LeaderTermEnvironment.Diagnostics(taskLosses, invariantChecker),
     )
-    private val componentsFactory = LeaderComponentsFactory(settings, operatorSettings, run, systems.cloud, environment, election, formats)
+    private val componentsFactory =
+        LeaderComponentsFactory(settings, operatorSettings, runId, systems.cloud, environment, election, formats)
     private val electionLoop =
         ElectionLoop(election, membership, leaderComponents, componentsFactory, ResignationCheck(election, timing, clock), readiness, store)
 
@@ -96,19 +97,19 @@
     val leaderWork = LeaderWork(leaderComponents, election, clock)
 
     /** Measures and logs the load of this node. */
-    internal val loadMonitor = LoadMonitor(metrics, losses, election, leaderWork::leaderTerm, clock)
+    internal val loadMonitor = LoadMonitor(metrics, taskLosses, election, leaderWork::leaderTerm, clock)
 
     /** Returns the current term, or null while this node does not lead or has not loaded the cluster state. */
     fun leaderTerm(): LeaderTerm? = leaderWork.leaderTerm()
 
-    /** Renews the leader lease, observes another leader or attempts to be elected; about once a second. */
+    /** Renews the leader lease, observes another leader or attempts to be elected. Called about once a second. */
     fun electionStep() = electionLoop.step()
 
-    /** Waits up to [waitMs] while another node leads, until the leader key is deleted; [StepResult.IDLE] if it was not watched. */
+    /** Waits up to [waitMs] while another node leads, until the leader key changes; [StepResult.IDLE] if it was not watched. */
     fun awaitVacancy(waitMs: Long): StepResult = StepResult.of(election.awaitVacancy(waitMs) == VacancyWait.WATCHED)
 
-    /** Refreshes the machine types and the negotiated format from the store; about once a second. */
-    fun refreshSharedData() = refresh.step()
+    /** Refreshes the machine types and the negotiated format from the store. Called about once a second. */
+    fun refreshSharedData() = periodicRefresh.refreshTypesAndFormat()
 
     /** Records that a sleep ended [ms] late, a sign that the process gets too little processor time. */
     fun recordWakeLag(ms: Long) = readiness.recordWakeLag(ms)
--- a/src/main/kotlin/mountmast/coordination/controller/ElectionLoop.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ElectionLoop.kt
@@ -10,13 +10,13 @@
     private val membership: PeerMembership,
     private val leaderComponents: CurrentLeaderComponents,
     private val componentsFactory: LeaderComponentsFactory,
-    private val resignation: ResignationCheck,
-    private val readiness: ReadinessMonitor,
+    private val resignationCheck: ResignationCheck,
+    private val readinessMonitor: ReadinessMonitor,
     private val store: StateStore,
 ) {
     /**
      * Renews the leader lease, observes another leader or attempts to be elected; then checks whether this node should resign,
-     * replaces the components of the term and updates [readiness]. Called about once a second. Apart from the election and a
+     * replaces the components of the term and updates [readinessMonitor]. Called about once a second. Apart from the election and a
      * resignation no call to the store belongs here: on a cold node that all workers and users call, each call to the store took a
      * second, and the lease expired between two renewals.
      */
@@ -24,10 +24,10 @@
         election.step()
         val leaderTerm = leaderComponents.get()?.leaderTerm
         // A leader that is partitioned from the workers alone, in either direction, would renew its own lease for ever while theirs expire.
-        val reason = leaderTerm?.let(resignation::reasonToResign)
+        val reason = leaderTerm?.let(resignationCheck::reasonToResign)
         if (leaderTerm != null && reason != null && membership.countServing() > 0) election.resign(leaderTerm.leaderLease, reason)
         replaceComponents()
-        readiness.updateAdmission()
+        readinessMonitor.updateAdmission()
     }
 
     /**
--- a/src/main/kotlin/mountmast/coordination/controller/ExternalSystems.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ExternalSystems.kt
@@ -6,4 +6,4 @@
 import mountmast.transport.WorkerClient
 
 /** Clients of all systems that a controller node calls. Each client must be thread-safe. */
-class ExternalSystems(val store: StateStore, val cloud: Cloud, val workers: WorkerClient, val peers: PeerClient)
+class ExternalSystems(val store: StateStore, val cloud: Cloud, val workerClient: WorkerClient, val peerClient: PeerClient)
--- a/src/main/kotlin/mountmast/coordination/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/HeartbeatRouter.kt
@@ -11,7 +11,7 @@
 
 /**
  * Answers a worker's heartbeat as the leader or on behalf of a leader that was just elected, and refers the worker to another node
- * if this one may do neither. Thread-safe; takes the lock of the leader's term.
+ * if this node may do neither. Thread-safe; takes the lock of the leader's term.
  */
 internal class HeartbeatRouter(
     private val election: LeaderElection,
@@ -21,8 +21,9 @@
 ) : HeartbeatService {
     override fun onHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome {
         election.observeToken(heartbeat.token)
-        val leaderLease = election.leaderLease ?: return leaseRenewalDelegate.renewOnBehalf(heartbeat)
-        // The election loop sets the components shortly after the lease: until then there are none, or those of a former term.
+        val leaderLease = election.leaderLease ?: return leaseRenewalDelegate.renewLeaseForLeader(heartbeat)
+        // The election loop creates a term's components shortly after the election. Until then there are none, or those of a former
+        // term.
         val leaderTerm = leaderComponents.get()?.leaderTerm?.takeIf { it.leaderLease === leaderLease }
         val isSuperseded = !election.mayRenewWorkerLeases() || heartbeat.token.term > leaderLease.token.term
         if (isSuperseded || leaderTerm == null || !leaderTerm.mayRenewWorkerLeases()) return HeartbeatOutcome.Elsewhere(null)
@@ -36,7 +37,7 @@
         } else {
             HeartbeatResponse(maxOf(leaderLease.token, heartbeat.token), leaseRenewalDelegate.stopCommandsFor(heartbeat))
         }
-        if (response.token.number > 0u) leaderTerm.liveness.renewals.record(heartbeat.machine, receivedAt)
+        if (response.token.number > 0u) leaderTerm.livenessMonitor.renewalLog.recordRenewal(heartbeat.machine, receivedAt)
         return response
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderComponentsFactory.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderComponentsFactory.kt
@@ -8,12 +8,12 @@
 import mountmast.protocol.Settings
 import mountmast.transport.Cloud
 
-/** Creates the [LeaderComponents] of each term that this node is elected for. What is passed to this class outlives a term. */
+/** Creates the [LeaderComponents] of each term that this node is elected for. Its constructor arguments outlive a term. */
 internal class LeaderComponentsFactory(
     private val settings: Settings,
     private val operatorSettings: OperatorSettings,
-    /** Identifies this process; part of the prefix of the request names with which its terms scale out. */
-    private val run: String,
+    /** Identifies this process; part of the prefix of the names of scale-out requests. */
+    private val runId: String,
     private val cloud: Cloud,
     private val environment: LeaderTermEnvironment,
     private val election: LeaderElection,
@@ -25,7 +25,7 @@
         val clock = environment.clock
         val leaderTerm = LeaderTerm(leaderLease, environment, settings.teams, operatorSettings.scheduling)
         val committer = JournalCommitter(leaderTerm, store, settings.stateLimits, clock, { formats.isCurrent }) { election.stepDown() }
-        val requestPrefix = "${settings.node}-$run-${leaderLease.token}"
+        val requestPrefix = "${settings.node}-$runId-${leaderLease.token}"
         val autoscaler =
             Autoscaler(leaderTerm, cloud, clock, requestPrefix, operatorSettings.autoscaling, environment.timing, settings.cloudRps)
         return LeaderComponents(leaderTerm, committer, autoscaler)
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -51,57 +51,57 @@
 ) : PersistenceContext,
     AutoscalingContext {
     private val store = environment.store
-    private val workers = environment.workers
+    private val workerClient = environment.workerClient
     private val timing = environment.timing
     private val clock = environment.clock
     private val prerequisiteLists = environment.prerequisiteLists
     private val jobCache = environment.jobCache
-    private val losses = environment.diagnostics.losses
-    private val invariants = environment.diagnostics.invariants
+    private val taskLosses = environment.diagnostics.taskLosses
+    private val invariantChecker = environment.diagnostics.invariantChecker
 
     /** Guards [cluster] and the components of the term. Held briefly, and never during I/O. */
     override val lock = ReentrantLock()
 
     /** The cluster state as this leader knows it; guarded by [lock]. */
-    override val cluster = ClusterState(policy.runDecay, losses).apply { assignments.beginTerm(leaderLease.token) }
+    override val cluster = ClusterState(policy.runDecay, taskLosses).apply { assignments.beginTerm(leaderLease.token) }
 
     /** The journal and the snapshot as the store holds them; guarded by [lock]. */
     override val journal = JournalState()
 
     /** Wakes the threads that run scheduling cycles and commit changes; its conditions are those of [lock]. */
     override val signals = TermSignals(lock)
-    private val reachability = ReachabilityMonitor(cluster, leaderLease, timing)
+    private val reachabilityMonitor = ReachabilityMonitor(cluster, leaderLease, timing)
 
     /** Machine types that the store does not hold yet, or null; guarded by [lock]. */
     override var pendingTypes: MachineTypes? = null
 
-    private val dependencies = JobDependencies(cluster)
+    private val jobDependencies = JobDependencies(cluster)
 
     /** Watches the jobs in the store. */
     override val jobs =
         JobInformer(
-            JobInformerState(lock, cluster, dependencies, signals),
+            JobInformerState(lock, cluster, jobDependencies, signals),
             JobInformerSources(store, prerequisiteLists),
             clock,
             leaderLease.watermark,
             JobsListener(),
         )
 
-    private val workerContext = WorkerContext(lock, cluster, leaderLease, signals, timing, clock, invariants)
+    private val workerContext = WorkerContext(lock, cluster, leaderLease, signals, timing, clock, invariantChecker)
     private val outstandingCommands = OutstandingCommands(workerContext) { now -> jobs.stalenessMs(now) < timing.ttlMs }
 
     /** Applies the workers' heartbeats to the cluster state and creates the responses. */
-    val heartbeats = HeartbeatHandler(workerContext, outstandingCommands, reachability)
+    val heartbeats = HeartbeatHandler(workerContext, outstandingCommands, reachabilityMonitor)
 
     /** Expires the workers' leases, and detects that this node and the workers cannot reach one another. */
-    val liveness = WorkerLivenessMonitor(workerContext, reachability)
+    val livenessMonitor = WorkerLivenessMonitor(workerContext, reachabilityMonitor)
 
     /** Delivers commands to the workers, and announces this leader to them. */
-    val dispatch = CommandDispatcher(workerContext, outstandingCommands, workers, heartbeats)
+    val commandDispatcher = CommandDispatcher(workerContext, outstandingCommands, workerClient, heartbeats)
 
-    private val snapshots = SnapshotCache(cluster, dependencies, teams, timing, clock)
-    private val schedulingCycle = SchedulingCycle(cluster, snapshots, dispatch, signals, policy, clock)
-    private val loader = StateLoader(lock, cluster, journal, jobs, store, clock)
+    private val snapshotCache = SnapshotCache(cluster, jobDependencies, teams, timing, clock)
+    private val schedulingCycle = SchedulingCycle(cluster, snapshotCache, commandDispatcher, signals, policy, clock)
+    private val stateLoader = StateLoader(lock, cluster, journal, jobs, store, clock)
 
     /** Whether the cluster state that earlier leaders wrote is loaded; until then this leader neither schedules nor writes. */
     val isLoaded: Boolean get() = workerContext.readyAt != null
@@ -113,14 +113,15 @@
     override val unreachableTimeoutMs: Long get() = 2 * timing.leaseExpiryMs
 
     /**
-     * Loads what earlier leaders wrote: the first call that succeeds loads the cluster state, the next one hints. Returns whether
-     * anything was loaded; false once there is nothing left to load. Called by one thread, which does not hold [lock].
+     * Loads what earlier leaders wrote. The first successful call loads the cluster state. The next one loads hints about which machines
+     * have cached which images; this leader can schedule without them. Returns whether anything was loaded; false once nothing is left to
+     * load. Called by one thread, which does not hold [lock].
      *
      * @throws StoreException if the store fails; the call is then to be repeated.
      */
     fun load(): Boolean {
-        if (isLoaded) return loader.loadHints() == HintsLoad.LOADED
-        loader.loadState()
+        if (isLoaded) return stateLoader.loadHints() == HintsLoad.LOADED
+        stateLoader.loadState()
         lock.withLock {
             workerContext.markReady(clock.now())
             log.info(
@@ -153,15 +154,15 @@
 
     override val leaderModRevision: ModRevision get() = leaderLease.modRevision
 
-    override fun onStartCommitted(machine: MachineId) = dispatch.queue(machine)
+    override fun onStartCommitted(machine: MachineId) = commandDispatcher.queueDelivery(machine)
 
-    override fun areMostUnreached(): Boolean = reachability.areMostUnreached()
+    override fun areMostUnreached(): Boolean = reachabilityMonitor.areMostMachinesUnreachable()
 
     private inner class JobsListener : JobInformerListener {
         override fun isCancelledElsewhere(id: JobId) = jobCache.isCancelled(id)
 
         override fun onRecord(record: JobRecord, modRevision: ModRevision) = jobCache.onJobRecord(record, modRevision)
 
-        override fun onCommandsDue(assignment: Assignment) = dispatch.queue(assignment.machine)
+        override fun onCommandsDue(assignment: Assignment) = commandDispatcher.queueDelivery(assignment.machine)
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTermEnvironment.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTermEnvironment.kt
@@ -14,7 +14,7 @@
 /** Everything that all terms of one process share: external systems, the clock and timing, caches of jobs, and counters. */
 class LeaderTermEnvironment(
     val store: StateStore,
-    val workers: WorkerClient,
+    val workerClient: WorkerClient,
     val timing: LeaseTiming,
     val clock: Clock,
     val prerequisiteLists: PrerequisiteLists,
@@ -22,7 +22,7 @@
     val diagnostics: Diagnostics = Diagnostics(),
 ) {
     /** Counters that outlive a term: lost tasks by cause, and violations of invariants. */
-    class Diagnostics(val losses: TaskLosses = TaskLosses(), val invariants: Invariants = Invariants())
+    class Diagnostics(val taskLosses: TaskLosses = TaskLosses(), val invariantChecker: Invariants = Invariants())
 }
 
 /** The jobs and cancellations that a node caches even while it does not lead. Called with the term's lock held: must not do I/O. */
@@ -33,7 +33,7 @@
     /** Caches the [record] of a live job that the leader has read at [modRevision]. */
     fun onJobRecord(record: JobRecord, modRevision: ModRevision)
 
-    /** A cache that stays empty. */
+    /** The default cache of [LeaderTermEnvironment]: stores no job records and knows no broadcast cancellations. */
     object Empty : NodeJobCache {
         override fun isCancelled(id: JobId) = false
 
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
@@ -23,8 +23,8 @@
     fun leaderTerm(): LeaderTerm? = leaderComponents.loaded()?.leaderTerm
 
     /**
-     * Loads a part of what earlier leaders wrote, if this node leads and has not loaded all of it. Not part of the election's step:
-     * after a start loading takes seconds, during which the leader lease must be renewed.
+     * Loads a part of what earlier leaders wrote, if this node leads and has not loaded all of it. Loading is not part of the
+     * election step: after a start it takes seconds, during which the leader lease must be renewed.
      */
     fun load(): StepResult {
         val leaderTerm = leaderComponents.get()?.leaderTerm ?: return StepResult.IDLE
@@ -40,7 +40,7 @@
     fun runSchedulingCycle() {
         val leaderTerm = leaderTerm() ?: return
         leaderTerm.runSchedulingCycle()
-        election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.liveness.expireLeases(it) }
+        election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.livenessMonitor.expireLeases(it) }
     }
 
     /** Commits one batch of pending changes; returns [StepResult.IDLE] if there was none, and also if the store failed. */
@@ -80,8 +80,9 @@
     }
 
     /** Delivers the outstanding commands of one worker; waits up to [waitMs] if no worker is queued. May run on several threads. */
-    fun deliverCommands(waitMs: Long): StepResult = StepResult.of(leaderTerm()?.dispatch?.deliverNext(waitMs) == DeliveryStep.DONE)
+    fun deliverCommands(waitMs: Long): StepResult =
+        StepResult.of(leaderTerm()?.commandDispatcher?.deliverNextCommands(waitMs) == DeliveryStep.DONE)
 
     /** Announces this leader to one worker that has not shown the token of this term yet. May run on several threads. */
-    fun announceLeader(): StepResult = StepResult.of(leaderTerm()?.dispatch?.announceNext() == DeliveryStep.DONE)
+    fun announceLeader(): StepResult = StepResult.of(leaderTerm()?.commandDispatcher?.sendNextAnnouncement() == DeliveryStep.DONE)
 }
--- a/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
@@ -15,11 +15,11 @@
 
 /**
  * Measures the load of this node. Registers gauges for the metrics page, and logs one line at each call of [logLoad], every
- * few seconds on one thread. The gauges are read by any thread; those of the term take its lock.
+ * few seconds on one thread. The gauges are read by any thread; those that read the leader's term take its lock.
  */
 internal class LoadMonitor(
     private val metrics: Metrics,
-    private val losses: TaskLosses,
+    private val taskLosses: TaskLosses,
     private val election: LeaderElection,
     private val leaderTerm: () -> LeaderTerm?,
     private val clock: Clock,
@@ -35,7 +35,7 @@
     private var lastTotals = Totals(0, 0, 0, 0)
 
     /** Values of the counters at one moment. */
-    private class Totals(val answered: Long, val refused: Long, val storeCalls: Long, val storeFailures: Long)
+    private class Totals(val answeredHeartbeats: Long, val refusedHeartbeats: Long, val storeCalls: Long, val storeFailures: Long)
 
     init {
         metrics.gauge(MetricNames.RENEWAL_AGE) { election.renewalAgeMs ?: NO_VALUE }
@@ -70,15 +70,15 @@
     }
 
     private fun formatWork(): String {
-        val machines = metrics.gaugeValue(MetricNames.MACHINES_UP)
+        val machinesUp = metrics.gaugeValue(MetricNames.MACHINES_UP)
         val assignments = metrics.gaugeValue(MetricNames.ASSIGNMENTS)
-        return "$machines machines up, $assignments assignments, ${metrics.gaugeValue(MetricNames.JOBS)} jobs"
+        return "$machinesUp machines up, $assignments assignments, ${metrics.gaugeValue(MetricNames.JOBS)} jobs"
     }
 
     private fun formatHeartbeats(totals: Totals, seconds: Long): String {
-        val rate = (totals.answered - lastTotals.answered) / seconds
+        val rate = (totals.answeredHeartbeats - lastTotals.answeredHeartbeats) / seconds
         val waiting = metrics.gaugeValue(MetricNames.HEARTBEATS_WAITING)
-        val refused = totals.refused - lastTotals.refused
+        val refused = totals.refusedHeartbeats - lastTotals.refusedHeartbeats
         return "$rate reports/s waited up to ${heartbeatWait.readAndResetLongestMs()} ms, $refused refused, $waiting wait; " +
             "requests waited up to ${requestWait.readAndResetLongestMs()} ms, ${metrics.gaugeValue(MetricNames.REQUESTS_WAITING)} wait"
     }
@@ -93,12 +93,16 @@
     }
 
     private fun formatProcess(): String {
-        val lost = LossCause.entries.joinToString { "${losses.of(it)} ${it.label}" }
+        val lost = LossCause.entries.joinToString { "${taskLosses.of(it)} ${it.label}" }
         return "woke up to ${wakeLag.readAndResetLongestMs()} ms late, heap ${heapUsedMb()} MB; tasks lost so far: $lost"
     }
 
     private companion object {
-        /** Value of a gauge of the term while this node does not lead, and of the age of the last write before the first one. */
+        /**
+         * Reported by a gauge without a value. The gauges read from the leader's term have none while this node does not lead or has
+         * not loaded the cluster state. The age of the last renewal has none while this node does not lead, and the age of the last
+         * write has none before the first write.
+         */
         const val NO_VALUE = -1L
         const val MS_PER_S = 1000L
         const val BYTES_PER_MB = 1024L * 1024
--- a/src/main/kotlin/mountmast/coordination/controller/NodeLoops.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/NodeLoops.kt
@@ -7,14 +7,14 @@
 /** Creates the loops of a [Node]: each runs on a thread of its own, and repeats a step of [controller] with a pause after each run. */
 internal class NodeLoops(
     private val controller: Controller,
-    /** The longest time to wait for a request before the next scheduling cycle, in milliseconds. */
+    /** The longest wait for a request to run the next scheduling cycle, in milliseconds; after it, the cycle runs anyway. */
     private val cycleMs: Long,
     /** How many threads deliver commands. */
     private val deliveryThreads: Int,
 ) {
     private val leaderWork = controller.leaderWork
 
-    /** Creates all loops, in the order in which their threads are to be started. Operators see the names in thread dumps and the log. */
+    /** Creates all loops, in the order in which their threads are to be started. Thread dumps and the log show the loops' names. */
     fun createAll(): List<StepLoop> = createNodeLoops() + createLeaderLoops()
 
     private fun createNodeLoops(): List<StepLoop> = listOf(
@@ -65,13 +65,14 @@
         return loops
     }
 
-    /** Runs a scheduling cycle, waits until the next is requested or [cycleMs] have passed, then pauses. */
+    /** Runs a scheduling cycle, waits until the next cycle is requested or [cycleMs] have passed, then pauses. */
     private fun runCycleAndWait(leaderTerm: LeaderTerm): StepResult {
         val startedAtNs = System.nanoTime()
         leaderWork.runSchedulingCycle()
         val tookMs = NANOSECONDS.toMillis(System.nanoTime() - startedAtNs)
         leaderTerm.signals.awaitCycleRequest(cycleMs)
-        // The pause grows with the cycle, so that in a cluster of any size most processor time is left to the workers' heartbeats.
+        // The pause grows with the cycle's duration, so that in a cluster of any size most processor time is left to the workers'
+        // heartbeats.
         MILLISECONDS.sleep(maxOf(MIN_CYCLE_PAUSE_MS, tookMs * CYCLE_PAUSE_FACTOR))
         return DID_WORK
     }
@@ -103,10 +104,13 @@
         const val ANNOUNCER_THREADS = 8
         const val DELIVERY_WAIT_MS = 1000L
 
-        /** Short, since cancellations are known only up to the start of the watch request in progress. */
+        /** The longest wait of a watch of the jobs. Short, since cancellations are known only up to the start of the watch in progress. */
         const val WATCH_WAIT_MS = 2000L
 
-        /** Long, since a node that does not lead has a small share of the store's request rate, and may prefetch records late. */
+        /**
+         * The longest wait of a watch for job records to prefetch. Long, since a node that does not lead has a small share of the
+         * store's request rate, and may prefetch records late.
+         */
         const val PREFETCH_WAIT_MS = 10_000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/PeriodicRefresh.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/PeriodicRefresh.kt
@@ -11,8 +11,8 @@
 internal class PeriodicRefresh(private val jobService: JobService, private val formats: FormatNegotiation) {
     private var stepsSinceTypesRead = 0
 
-    /** Reads the machine types if they are unknown or [STEPS_BETWEEN_TYPE_READS] steps old; negotiates the format. Run once a second. */
-    fun step() {
+    /** Reads the machine types if they are unknown or [STEPS_BETWEEN_TYPE_READS] steps old; negotiates the format. Called once a second. */
+    fun refreshTypesAndFormat() {
         try {
             if (!jobService.knowsTypes || stepsSinceTypesRead++ >= STEPS_BETWEEN_TYPE_READS) {
                 jobService.refreshTypes()
--- a/src/main/kotlin/mountmast/coordination/controller/ReadinessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ReadinessMonitor.kt
@@ -7,7 +7,7 @@
 
 /**
  * Decides whether the load balancer should send users to this node. [updateAdmission] is called by one thread, [recordWakeLag] by
- * one other, [isReady] by any.
+ * one other thread, [isReady] by any thread.
  */
 internal class ReadinessMonitor(
     private val election: LeaderElection,
--- a/src/main/kotlin/mountmast/coordination/controller/ResignationCheck.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ResignationCheck.kt
@@ -12,10 +12,10 @@
  * another, or because it cannot watch the jobs. Confined to the thread of the election loop.
  */
 internal class ResignationCheck(private val election: LeaderElection, private val timing: LeaseTiming, private val clock: Clock) {
-    private var staleSteps = 0
+    private var staleStepCount = 0
 
     /** Returns why this node should resign from [leaderTerm], or null if there is no reason. Called once in each election step. */
-    fun reasonToResign(leaderTerm: LeaderTerm): String? = leaderTerm.liveness.resignationReason() ?: staleWatchReason(leaderTerm)
+    fun reasonToResign(leaderTerm: LeaderTerm): String? = leaderTerm.livenessMonitor.resignationReason() ?: staleWatchReason(leaderTerm)
 
     /**
      * Returns a reason if the watch of the jobs has been stale in more than [MAX_STALE_STEPS] successive steps, although the leader
@@ -24,8 +24,8 @@
      */
     private fun staleWatchReason(leaderTerm: LeaderTerm): String? {
         val isRenewing = election.confirmedUntil(leaderTerm.leaderLease)?.let { clock.now() - it < RECENTLY_CONFIRMED_MS } == true
-        staleSteps = if (isRenewing && (leaderTerm.cancellationStalenessMs() ?: 0) > timing.ttlMs) staleSteps + 1 else 0
-        return if (staleSteps > MAX_STALE_STEPS) "the jobs cannot be watched" else null
+        staleStepCount = if (isRenewing && (leaderTerm.cancellationStalenessMs() ?: 0) > timing.ttlMs) staleStepCount + 1 else 0
+        return if (staleStepCount > MAX_STALE_STEPS) "the jobs cannot be watched" else null
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -30,15 +30,15 @@
  */
 internal class SchedulingCycle(
     private val cluster: ClusterState,
-    private val snapshots: SnapshotCache,
-    private val dispatch: CommandDispatcher,
+    private val snapshotCache: SnapshotCache,
+    private val commandDispatcher: CommandDispatcher,
     private val signals: TermSignals,
     policy: SchedulingPolicy,
     private val clock: Clock,
 ) {
     private val scheduler = Scheduler(policy)
     private val stalledJobReporter = StalledJobReporter(cluster)
-    private var assurance: Map<TeamId, Double> = emptyMap()
+    private var assuranceByTeam: Map<TeamId, Double> = emptyMap()
     private var lastMaintenanceAt = MonotonicTime(Long.MIN_VALUE / 2)
 
     /** Open tasks that the last cycle could not place. */
@@ -51,16 +51,16 @@
         val now = clock.now()
         releaseReservations(now)
         if (now - lastMaintenanceAt >= MAINTENANCE_INTERVAL_MS) runMaintenance(readyAt, now)
-        val plan = scheduler.plan(snapshots.snapshot(now, assurance))
-        assurance = plan.assurance
+        val plan = scheduler.plan(snapshotCache.snapshot(now, assuranceByTeam))
+        assuranceByTeam = plan.assurance
         unplacedTasks = plan.unplaced
-        for (start in plan.starts) place(start, plan, now)
-        for (preemption in plan.preemptions) preempt(preemption, now)
-        for (reservation in plan.reservations) reserve(reservation.machine, reservation.forJob, now)
+        for (start in plan.starts) placeTask(start, plan, now)
+        for (preemption in plan.preemptions) preemptTasks(preemption, now)
+        for (reservation in plan.reservations) reserveMachine(reservation.machine, reservation.forJob, now)
         if (cluster.pendingChanges.isNotEmpty()) signals.wakeWriter()
     }
 
-    private fun place(start: Start, plan: SchedulingPlan, now: MonotonicTime) {
+    private fun placeTask(start: Start, plan: SchedulingPlan, now: MonotonicTime) {
         val job = cluster.jobs[start.job]?.takeIf { it.isReleased } ?: return
         val machine = cluster.machines[start.machine] ?: return
         if (log.isDebugEnabled) logStart(start, job, machine, plan)
@@ -77,25 +77,28 @@
         plan.assurance[job.spec.team],
     )
 
-    /** Does the work that is due every [MAINTENANCE_INTERVAL_MS] only, not in each cycle. */
+    /**
+     * Drains reclaimed and quarantined machines, detects stragglers, queues announcements of this leader, and logs stalled and late jobs.
+     * Due every [MAINTENANCE_INTERVAL_MS] only, not in each cycle.
+     */
     private fun runMaintenance(readyAt: MonotonicTime, now: MonotonicTime) {
         lastMaintenanceAt = now
         drainReclaimed(now)
         cluster.health.detectStragglers(now)
         drainQuarantined()
-        dispatch.announceToWorkers(readyAt, now)
+        commandDispatcher.queueLeaderAnnouncements(readyAt, now)
         stalledJobReporter.logStalledJobs(unplacedTasks, now)
-        stalledJobReporter.logLateJobs { job -> snapshots.secondsUntil(job.ownDue) }
+        stalledJobReporter.logLateJobs { job -> snapshotCache.secondsUntil(job.ownDue) }
     }
 
-    private fun reserve(id: MachineId, forJob: JobId, now: MonotonicTime) {
+    private fun reserveMachine(id: MachineId, forJob: JobId, now: MonotonicTime) {
         val machine = cluster.machines[id] ?: return
         machine.reserveFor(forJob, until = now + RESERVATION_DURATION_MS)
     }
 
-    private fun preempt(preemption: Preemption, now: MonotonicTime) {
+    private fun preemptTasks(preemption: Preemption, now: MonotonicTime) {
         val machine = cluster.machines[preemption.machine] ?: return
-        reserve(machine.id, preemption.forJob, now)
+        reserveMachine(machine.id, preemption.forJob, now)
         log.info("machine={} drained for job={}: {} tasks preempted", machine.id, preemption.forJob, preemption.victims.size)
         val victims = ArrayList<String>()
         for (assignment in machine.live.values) {
@@ -105,28 +108,28 @@
         }
         // All preemptions of a cycle are committed in one transaction, together with its starts.
         victims.chunked(VICTIMS_PER_ENTRY).forEach { cluster.pendingChanges += PendingChange.Reserved(machine.id, preemption.forJob, it) }
-        dispatch.queue(machine.id)
+        commandDispatcher.queueDelivery(machine.id)
     }
 
     /** Stops tasks that would not end before the cloud reclaims their machine, so that they save their state and resume elsewhere. */
     private fun drainReclaimed(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
-            if (machine.isReclaimNoticed) drain(machine) { snapshots.remainingS(it, now) >= machine.reclaimNoticeS }
+            if (machine.isReclaimNoticed) drainMachine(machine) { snapshotCache.remainingS(it, now) >= machine.reclaimNoticeS }
         }
     }
 
     /** Stops all tasks of quarantined machines, which fail or are slow: the tasks restart elsewhere, and empty machines are scaled in. */
     private fun drainQuarantined() {
-        for (machine in cluster.machines.values) if (machine.isQuarantined) drain(machine) { true }
+        for (machine in cluster.machines.values) if (machine.isQuarantined) drainMachine(machine) { true }
     }
 
-    private inline fun drain(machine: Machine, mustStop: (Assignment) -> Boolean) {
+    private inline fun drainMachine(machine: Machine, mustStop: (Assignment) -> Boolean) {
         if (machine.state != MachineState.UP) return
         for (assignment in machine.live.values) {
             val isStopping = assignment.terminationGraceS != null
             if (isStopping || assignment.phase != Phase.COMMITTED || !mustStop(assignment)) continue
             assignment.stopGracefully()
-            dispatch.queue(machine.id)
+            commandDispatcher.queueDelivery(machine.id)
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -31,41 +31,48 @@
  */
 internal class SnapshotCache(
     private val cluster: ClusterState,
-    private val dependencies: JobDependencies,
+    private val jobDependencies: JobDependencies,
     private val teams: Map<TeamId, TeamQuota>,
     private val timing: LeaseTiming,
     private val clock: Clock,
 ) {
     /** The view of a machine, and the machine and its change count from which it was created. */
-    private class CachedView(val machine: Machine, val changes: Int, val view: MachineView) {
+    private class CachedView(val machine: Machine, val changeCount: Int, val view: MachineView) {
         /** The number of the last cycle that used the view. */
         var usedInCycle = 0L
 
         fun isCurrent(machine: Machine, type: MachineType) =
-            this.machine === machine && changes == machine.changeCount && view.type === type && !view.isModifiedByPlan
+            this.machine === machine && changeCount == machine.changeCount && view.type === type && !view.isModifiedByPlan
     }
 
     private val cachedViews = LinkedHashMap<MachineId, CachedView>()
-    private val index = MachineIndex()
+    private val machineIndex = MachineIndex()
     private var cycleNumber = 0L
 
-    /** Returns the snapshot for the cycle at [now]; [assurance] holds each team's smoothed degree of assurance from the cycle before. */
-    fun snapshot(now: MonotonicTime, assurance: Map<TeamId, Double>): ClusterSnapshot {
-        val machines = usableMachines(now)
+    /** Returns the snapshot for the cycle at [now]; [assuranceByTeam] holds the smoothed degrees of assurance from the cycle before. */
+    fun snapshot(now: MonotonicTime, assuranceByTeam: Map<TeamId, Double>): ClusterSnapshot {
+        val machines = findUsableViews(now)
         val jobs = ArrayList<JobView>(cluster.jobs.size)
         // A job with unmet prerequisites is not yet counted as demand, whatever its quota or deadline: none of its tasks may start.
-        dependencies.refreshInheritedPriorities()
+        jobDependencies.refreshInheritedPriorities()
         for (job in cluster.jobs.values) if (!job.isCancelled && job.isReleased) jobs += createJobView(job, now)
-        return ClusterSnapshot(machines, jobs, teams.keys.associateWith { cluster.assignments.usageOf(it) }, teams, assurance, index)
+        return ClusterSnapshot(
+            machines,
+            jobs,
+            teams.keys.associateWith { cluster.assignments.usageOf(it) },
+            teams,
+            assuranceByTeam,
+            machineIndex,
+        )
     }
 
-    /** Returns the views of all usable machines; only machines that changed since the cycle before are added to [index] anew. */
-    private fun usableMachines(now: MonotonicTime): List<MachineView> {
+    /** Returns the views of all usable machines; only machines that changed since the cycle before are added to [machineIndex] anew. */
+    private fun findUsableViews(now: MonotonicTime): List<MachineView> {
         cycleNumber++
         val machines = ArrayList<MachineView>(cluster.machines.size)
         for (machine in cluster.machines.values) {
             // A worker whose heartbeats do not arrive loses its tasks when its lease expires, even if commands still reach it: no task
-            // is placed there.
+            // is placed on its machine.
             if (!machine.isUsable(now) || now - machine.lastHeartbeatAt > timing.silenceTimeoutMs) continue
             machines += findOrCreateView(machine) ?: continue
         }
@@ -78,10 +85,10 @@
         val zone = machine.zone ?: return null
         var cached = cachedViews[machine.id]
         if (cached == null || !cached.isCurrent(machine, type)) {
-            cached?.let { index.remove(it.view) }
+            cached?.let { machineIndex.remove(it.view) }
             cached = CachedView(machine, machine.changeCount, createMachineView(machine, type, zone))
             cachedViews[machine.id] = cached
-            index.add(cached.view)
+            machineIndex.add(cached.view)
         } else {
             cached.view.invalidateAssignedTasks()
         }
@@ -102,7 +109,7 @@
         while (views.hasNext()) {
             val cached = views.next()
             if (cached.usedInCycle == cycleNumber) continue
-            index.remove(cached.view)
+            machineIndex.remove(cached.view)
             views.remove()
         }
     }
--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -15,17 +15,17 @@
  */
 class CommandDispatcher(
     private val context: WorkerContext,
-    private val outstanding: OutstandingCommands,
-    workers: WorkerClient,
-    heartbeats: HeartbeatHandler,
+    private val outstandingCommands: OutstandingCommands,
+    workerClient: WorkerClient,
+    heartbeatHandler: HeartbeatHandler,
 ) {
-    private val sender = CommandSender(context, workers, heartbeats)
+    private val sender = CommandSender(context, workerClient, heartbeatHandler)
     private val announcer = LeaderAnnouncer(context, sender)
     private val deliveryQueue = LinkedHashSet<MachineId>()
     private val deliveryDue: Condition = context.lock.newCondition()
 
     /** Queues machine [id] for the delivery of its outstanding commands. The caller holds the lock of the leader's term. */
-    fun queue(id: MachineId) {
+    fun queueDelivery(id: MachineId) {
         deliveryQueue += id
         deliveryDue.signal()
     }
@@ -34,7 +34,7 @@
      * Takes the next machine from the delivery queue and sends its outstanding commands, if there are any. Waits up to [waitMs]
      * milliseconds if the queue is empty. The caller does not hold the lock of the leader's term.
      */
-    fun deliverNext(waitMs: Long): DeliveryStep {
+    fun deliverNextCommands(waitMs: Long): DeliveryStep {
         val request = context.lock.withLock {
             if (deliveryQueue.isEmpty() && waitMs > 0) deliveryDue.await(waitMs, TimeUnit.MILLISECONDS)
             val now = context.clock.now()
@@ -46,11 +46,11 @@
         return DeliveryStep.DONE
     }
 
-    /** Queues an announcement for each worker that has not shown this term's token; see [LeaderAnnouncer.queueAnnouncements]. */
-    fun announceToWorkers(readyAt: MonotonicTime, now: MonotonicTime) = announcer.queueAnnouncements(readyAt, now)
+    /** Queues this leader's announcement to each worker that has not shown its token; see [LeaderAnnouncer.queueAnnouncements]. */
+    fun queueLeaderAnnouncements(readyAt: MonotonicTime, now: MonotonicTime) = announcer.queueAnnouncements(readyAt, now)
 
-    /** Sends the next queued announcement of this leader; see [LeaderAnnouncer.announceNext]. */
-    fun announceNext(): DeliveryStep = announcer.announceNext()
+    /** Sends the next queued announcement of this leader; see [LeaderAnnouncer.sendNextAnnouncement]. */
+    fun sendNextAnnouncement(): DeliveryStep = announcer.sendNextAnnouncement()
 
     private fun mayBeDequeued(id: MachineId, now: MonotonicTime): Boolean {
         val machine = context.cluster.machines[id] ?: return true
@@ -64,7 +64,7 @@
         // the commands to all others were delayed. A silent worker gets its commands in the response to its next heartbeat. Test:
         // `RecoveryTest`, "commands are not sent to machines that are silent".
         if (now - machine.lastContactAt > context.timing.silenceTimeoutMs) return null
-        val commands = outstanding.collectForDelivery(machine)
+        val commands = outstandingCommands.collectForDelivery(machine)
         return if (commands.isEmpty()) null else sender.prepareRequest(machine, incarnation, commands)
     }
 }
--- a/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
@@ -20,19 +20,19 @@
 }
 
 /**
- * A command request in flight to the worker of [machine]. Its commands are valid for [incarnation] alone: in another one, a start would
- * run a task that is not assigned to that incarnation.
+ * A command request in flight to the worker of [machine]. Its commands are valid for [incarnation] alone: in another incarnation, a start
+ * command would run a task that is not assigned to that incarnation.
  */
 internal class OutgoingRequest(val machine: Machine, val incarnation: WorkerIncarnation, val commands: List<WorkerCommand>) {
-    /** The machine's token offset when the request was created; the machine's own may rise before the response arrives. */
+    /** The machine's token offset when the request was created; the machine's token offset may rise before the response arrives. */
     val tokenOffset = machine.delivery.tokenOffset
 }
 
 /** Sends command requests to workers, and reconciles the heartbeats in the workers' responses with the cluster state. */
 internal class CommandSender(
     private val context: WorkerContext,
-    private val workers: WorkerClient,
-    private val heartbeats: HeartbeatHandler,
+    private val workerClient: WorkerClient,
+    private val heartbeatHandler: HeartbeatHandler,
 ) {
     /**
      * Records that [commands] are in flight to [machine] and returns the request, which the caller must pass to [send]. The caller holds
@@ -48,7 +48,7 @@
     fun send(request: OutgoingRequest) {
         val token = context.leaderLease.token.advancedBy(request.tokenOffset)
         val message = CommandRequest(token, request.incarnation, request.commands)
-        val outcome = workers.send(checkNotNull(request.machine.address), message)
+        val outcome = workerClient.send(checkNotNull(request.machine.address), message)
         context.lock.withLock { applyOutcome(request, outcome) }
     }
 
@@ -58,8 +58,8 @@
         machine.delivery.end()
         forEachStart(machine, request.commands) { it.startDelivery.endRequest() }
         when (outcome) {
-            is CommandOutcome.Executed -> heartbeats.onCommandResponse(outcome.heartbeat, now)
-            is CommandOutcome.Rejected -> heartbeats.onCommandResponse(outcome.heartbeat, now)
+            is CommandOutcome.Executed -> heartbeatHandler.onCommandResponse(outcome.heartbeat, now)
+            is CommandOutcome.Rejected -> heartbeatHandler.onCommandResponse(outcome.heartbeat, now)
             CommandOutcome.NotSent -> machine.delivery.pauseUntil(now + DELIVERY_PAUSE_MS)
             CommandOutcome.Unknown -> {
                 machine.delivery.pauseUntil(now + DELIVERY_PAUSE_MS)
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -12,8 +12,8 @@
 /** Reconciles workers' heartbeats with the cluster state and answers them. Guarded by the lock of the leader's term. */
 class HeartbeatHandler(
     private val context: WorkerContext,
-    private val outstanding: OutstandingCommands,
-    private val reachability: ReachabilityMonitor,
+    private val outstandingCommands: OutstandingCommands,
+    private val reachabilityMonitor: ReachabilityMonitor,
 ) {
     private val cluster = context.cluster
     private val reconciler = HeartbeatReconciler(cluster)
@@ -22,8 +22,8 @@
 
     /**
      * Reconciles [heartbeat] with the cluster state and returns the response: the outstanding commands under a token that renews the
-     * worker's lease, or a response without a valid token, which does not renew the lease, if the heartbeat is a late copy, its machine
-     * was deleted or this leader has not loaded its state yet. Takes the lock of the leader's term.
+     * worker's lease. If the heartbeat is a late copy, its machine was deleted or this leader has not loaded its state yet, the response
+     * has no valid token and does not renew the lease. Takes the lock of the leader's term.
      */
     fun onHeartbeat(heartbeat: Heartbeat): HeartbeatResponse = context.lock.withLock {
         val now = context.clock.now()
@@ -32,10 +32,10 @@
         val machine = cluster.machines[heartbeat.machine] ?: return NON_RENEWING_RESPONSE
         when (reconciliation) {
             is HeartbeatReconciliation.Applied -> {
-                val change = reachability.update(machine, heartbeat, now, readyAt)
+                val change = reachabilityMonitor.update(machine, heartbeat, now, readyAt)
                 if (change == ReachabilityChange.RESTORED) context.signals.requestSchedulingCycle()
             }
-            // Unless the heartbeat was only overtaken, it is a late copy: its sender no longer waits for a response and could not use one.
+            // A stale heartbeat that was not overtaken is a late copy: its sender no longer waits for a response and could not use one.
             HeartbeatReconciliation.Stale -> if (!isOvertaken(machine, heartbeat)) return NON_RENEWING_RESPONSE
         }
         renewLease(machine, heartbeat, now)
@@ -56,15 +56,15 @@
         heartbeat.sequence > machine.answeredHeartbeatSequence
 
     /**
-     * Returns a response to [heartbeat] that renews the worker's lease; no other function of a leader that has loaded its state does. The
-     * renewal is recorded before the response is sent: after a renewal that was not recorded, the leader declared the lease of a live
-     * worker expired and started the worker's tasks a second time (docs/incidents/4000-machines.md). Test: `LeaseRenewalTest`.
+     * Returns a response to [heartbeat] that renews the worker's lease. Once a leader has loaded its state, it renews workers' leases here
+     * only. The renewal is recorded before the response is sent: after a renewal that was not recorded, the leader declared the lease of a
+     * live worker expired and started the worker's tasks a second time (docs/incidents/4000-machines.md). Test: `LeaseRenewalTest`.
      */
     private fun renewLease(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): HeartbeatResponse {
         machine.worker.recordLeaseRenewal(heartbeat.sequence, now)
-        val commands = outstanding.collectForResponse(machine, heartbeat.sequence)
-        outstanding.fenceOffStoppedTasks(machine)
-        return HeartbeatResponse(outstanding.token(machine), commands)
+        val commands = outstandingCommands.collectForResponse(machine, heartbeat.sequence)
+        outstandingCommands.fenceOffStoppedTasks(machine)
+        return HeartbeatResponse(outstandingCommands.tokenFor(machine), commands)
     }
 
     private fun reconcile(heartbeat: Heartbeat, now: MonotonicTime, origin: Origin): HeartbeatReconciliation {
@@ -80,7 +80,7 @@
         }
         val showsCurrentTerm = heartbeat.token.term == context.leaderLease.token.term
         if (showsCurrentTerm) machine.worker.confirmCurrentTerm()
-        outstanding.observeToken(machine, heartbeat.token)
+        outstandingCommands.observeToken(machine, heartbeat.token)
         if (origin == Origin.HEARTBEAT && showsCurrentTerm) endUnstartedAssignments(machine, heartbeat)
         if (cluster.pendingChanges.isNotEmpty()) context.signals.wakeWriter()
         if (!wasUsable && machine.isUsable(now)) context.signals.requestSchedulingCycle()
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -16,7 +16,7 @@
 
 private val log = LoggerFactory.getLogger("mountmast.ledger")
 
-/** The result of [HeartbeatReconciler.reconcile]. */
+/** Whether [HeartbeatReconciler.reconcile] applied a heartbeat to the cluster state. */
 sealed interface HeartbeatReconciliation {
     /** The heartbeat was newer than the last one reconciled for its machine; the state of [machine] now matches the heartbeat. */
     class Applied(val machine: Machine) : HeartbeatReconciliation
@@ -46,14 +46,14 @@
         return HeartbeatReconciliation.Applied(machine)
     }
 
-    /** Returns the machine of [heartbeat], added if it was unknown; one known only by name gets its type and zone from the heartbeat. */
+    /** Returns the machine of [heartbeat], added if unknown. A machine known only by name gets its type and zone from the heartbeat. */
     private fun findOrAddMachine(heartbeat: Heartbeat, now: MonotonicTime): Machine {
-        val before = cluster.machines[heartbeat.machine]
-        if (before?.type != null) return before
+        val knownMachine = cluster.machines[heartbeat.machine]
+        if (knownMachine?.type != null) return knownMachine
         val machine = Machine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, MachineState.UP)
-        machine.rental.recordRental(rented = before?.rentedAt ?: now, known = before?.knownAt ?: now)
+        machine.rental.recordRental(rented = knownMachine?.rentedAt ?: now, known = knownMachine?.knownAt ?: now)
         machine.rental.markIdle(now)
-        before?.let(machine::inheritAssignments)
+        knownMachine?.let(machine::inheritAssignments)
         cluster.putMachine(machine)
         return machine
     }
@@ -85,10 +85,10 @@
     private fun reconcileTask(machine: Machine, assignment: Assignment, reported: ReportedTask, now: MonotonicTime) {
         if (assignment.phase >= Phase.ENDED) return
         assignment.recordReported(reported.state, now)
-        if (reported.state == TaskState.EXITED) endExited(machine, assignment, reported.cause, now)
+        if (reported.state == TaskState.EXITED) endExitedAssignment(machine, assignment, reported.cause, now)
     }
 
-    private fun endExited(machine: Machine, assignment: Assignment, cause: ExitCause?, now: MonotonicTime) {
+    private fun endExitedAssignment(machine: Machine, assignment: Assignment, cause: ExitCause?, now: MonotonicTime) {
         val job = assignment.job
         cluster.assignments.end(assignment, completed = cause == ExitCause.DONE)
         when (cause) {
@@ -112,7 +112,10 @@
     }
 
     private companion object {
-        /** How long after a rejected start nothing is placed on the machine or, if the cause is [ExitCause.UNKNOWN], of the job. */
+        /**
+         * How long after a worker has rejected a start no task is placed on its machine or, if the cause is [ExitCause.UNKNOWN], no task
+         * of the job is placed on any machine.
+         */
         const val REJECTION_PAUSE_MS = 1000L
         const val MS_PER_S = 1000.0
     }
--- a/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
@@ -20,8 +20,9 @@
     private val announcementQueue = LinkedHashSet<MachineId>()
 
     /**
-     * Queues the workers that have not shown this term's token a while after [readyAt], when this leader had loaded its state. Does nothing
-     * once every lease that an earlier leader may have renewed has expired. The caller holds the lock of the leader's term.
+     * Queues the workers that have not shown this term's token. Does nothing until [ANNOUNCEMENT_INTERVAL_MS] after [readyAt], when this
+     * leader had loaded its state, nor once every worker's lease that an earlier leader may have renewed has expired. The caller holds the
+     * lock of the leader's term.
      */
     fun queueAnnouncements(readyAt: MonotonicTime, now: MonotonicTime) {
         val timing = context.timing
@@ -33,7 +34,7 @@
      * Takes the next worker from the announcement queue and, if it still has not shown this term's token, sends it a request without
      * commands. The caller does not hold the lock of the leader's term.
      */
-    fun announceNext(): DeliveryStep {
+    fun sendNextAnnouncement(): DeliveryStep {
         val request = context.lock.withLock {
             val id = announcementQueue.firstOrNull() ?: return DeliveryStep.IDLE
             announcementQueue -= id
@@ -61,7 +62,10 @@
         machine.state != MachineState.BOOTING
 
     private companion object {
-        /** How long a worker has to show the token without an announcement, and the minimum time between two announcements to it. */
+        /**
+         * How long after loading its state a leader waits for workers to show its token before it sends announcements, and the minimum
+         * time between two announcements to the same worker.
+         */
         const val ANNOUNCEMENT_INTERVAL_MS = 3000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/workers/LeaseRenewalDelegate.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaseRenewalDelegate.kt
@@ -27,7 +27,7 @@
      * Renews the lease of the worker that sent [heartbeat] on behalf of a newly elected leader, at most once per worker and leader. If the
      * lease may not be renewed, refers the worker to the leader or, if none is known, to any other node.
      */
-    fun renewOnBehalf(heartbeat: Heartbeat): HeartbeatOutcome {
+    fun renewLeaseForLeader(heartbeat: Heartbeat): HeartbeatOutcome {
         val token = election.delegatedToken()
         if (token == null || !claimRenewal(heartbeat, token)) return HeartbeatOutcome.Elsewhere(election.leader)
         return HeartbeatOutcome.Accepted(HeartbeatResponse(maxOf(token, heartbeat.token), stopCommandsFor(heartbeat)))
--- a/src/main/kotlin/mountmast/coordination/workers/OutstandingCommands.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/OutstandingCommands.kt
@@ -22,7 +22,7 @@
     private val leaderLease get() = context.leaderLease
 
     /** Returns the fencing token for commands to [machine] and responses to its heartbeats. */
-    fun token(machine: Machine): FencingToken = leaderLease.token.advancedBy(machine.delivery.tokenOffset)
+    fun tokenFor(machine: Machine): FencingToken = leaderLease.token.advancedBy(machine.delivery.tokenOffset)
 
     /**
      * Raises the token of [machine] above the tokens of unanswered start commands whose tasks are to be stopped by now. Such a command may
@@ -89,7 +89,7 @@
      */
     private fun isStartable(assignment: Assignment): Boolean {
         val isCancelled = assignment.job.isCancelled
-        return context.invariants.check(assignment.isJournaled && !isCancelled) {
+        return context.invariantChecker.check(assignment.isJournaled && !isCancelled) {
             "must not send the start of task=${assignment.taskName}: journalled=${assignment.isJournaled} cancelled=$isCancelled"
         }
     }
@@ -105,7 +105,7 @@
             !machine.delivery.hasUnansweredStart(task.taskName, task.attempt)
 
     private companion object {
-        /** Above this number of unassigned attempts, those that did not complete are forgotten, too: heartbeats must stay bounded. */
+        /** With more unassigned attempts, a worker is told to forget uncompleted ones, too: its heartbeats must stay bounded. */
         const val MAX_REMEMBERED_ATTEMPTS = 64
     }
 }
--- a/src/main/kotlin/mountmast/coordination/workers/WorkerContext.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerContext.kt
@@ -20,7 +20,7 @@
     val signals: TermSignals,
     val timing: LeaseTiming,
     val clock: Clock,
-    val invariants: Invariants = Invariants(),
+    val invariantChecker: Invariants = Invariants(),
 ) {
     /** When this leader had loaded its state, or null before that. While it is null, no heartbeat is reconciled and no lease expires. */
     @Volatile
--- a/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
@@ -13,16 +13,16 @@
  * Declares the leases of silent workers expired, and detects that this node cannot communicate with most workers. Guarded by the lock of
  * the leader's term.
  */
-class WorkerLivenessMonitor(private val context: WorkerContext, private val reachability: ReachabilityMonitor) {
+class WorkerLivenessMonitor(private val context: WorkerContext, private val reachabilityMonitor: ReachabilityMonitor) {
     private val cluster = context.cluster
     private val timing = context.timing
 
     /** The renewals of workers' leases in this node's responses during this term. */
-    val renewals = LeaseRenewalLog()
+    val renewalLog = LeaseRenewalLog()
 
     /**
      * Marks the machines whose workers' leases have provably expired, and ends their assignments. A leader that was partitioned does not
-     * know which leases a successor renewed, so a worker's silence counts only up to [confirmedUntil], until when it is certain that no
+     * know which leases a successor renewed, so a worker's silence counts only up to [confirmedUntil], the time up to which certainly no
      * other node was leader (docs/incidents/inc-c485.md). Takes the lock of the leader's term. Test: `RecoveryTest`, "a cut-off leader
      * scales nothing in when it comes back".
      */
@@ -40,8 +40,8 @@
 
     private fun isLeaseExpired(machine: Machine, confirmedUntil: MonotonicTime, readyAt: MonotonicTime): Boolean {
         if (machine.state != MachineState.UP && machine.state != MachineState.SILENT) return false
-        // Until this time other nodes may have renewed leases on behalf of this leader, and this node before it had loaded its state;
-        // the cluster state does not contain those renewals.
+        // Other nodes may renew leases on behalf of this leader for a while after its election, and this node itself renews leases before
+        // it has loaded its state. The cluster state does not contain those renewals.
         val unrecordedRenewalsUntil = maxOf(context.leaderLease.electedAt + timing.delegationMs, readyAt)
         if (confirmedUntil - maxOf(machine.leaseRenewedAt, unrecordedRenewalsUntil) < timing.leaseExpiryMs) return false
         // Until the worker has shown this term's token, the previous leader may have renewed the worker's lease in its own grace period.
@@ -49,13 +49,13 @@
     }
 
     /**
-     * Whether [renewals], too, shows that the lease of [machine] has expired by [confirmedUntil]. Responses from before this leader had
-     * loaded its state count here as well. This is an invariant; if it is violated, the lease is not declared expired
+     * Whether [renewalLog], too, shows that the lease of [machine] has expired by [confirmedUntil]. The log includes responses from
+     * before this leader had loaded its state. If it shows a later renewal, an invariant is violated and the lease is not declared expired
      * (docs/incidents/4000-machines.md). Test: `LeaseRenewalTest`.
      */
     private fun isExpiryConfirmed(machine: Machine, confirmedUntil: MonotonicTime): Boolean {
-        val renewedAt = renewals.lastRenewal(machine.id) ?: return true
-        return context.invariants.check(confirmedUntil - renewedAt >= timing.leaseExpiryMs) {
+        val renewedAt = renewalLog.lastRenewalTime(machine.id) ?: return true
+        return context.invariantChecker.check(confirmedUntil - renewedAt >= timing.leaseExpiryMs) {
             "machine=${machine.id} lease would expire ${confirmedUntil - renewedAt} ms after a renewal missing from the cluster state"
         }
     }
@@ -73,7 +73,7 @@
         if (now - readyAt < timing.silenceTimeoutMs || up.size < ReachabilityMonitor.MIN_MACHINES_TO_JUDGE_NODE) return null
         when {
             up.count { now - it.lastContactAt < timing.silenceTimeoutMs } * 2 < up.size -> "most workers' heartbeats do not reach this node"
-            reachability.areMostUnreached() -> "this node's responses and commands do not reach most workers"
+            reachabilityMonitor.areMostMachinesUnreachable() -> "this node's responses and commands do not reach most workers"
             else -> null
         }
     }
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -221,7 +221,7 @@
     }
 
     @Test
-    fun `an unreached machine gets no more work and is scaled in, and its tasks run elsewhere`() {
+    fun `an unreachable machine gets no more work and is scaled in, and its tasks run elsewhere`() {
         val world = World(35, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(15_000, busy = false)
@@ -316,7 +316,7 @@
     }
 
     @Test
-    fun `a leader just elected does not take its own slow responses for unreached workers`() {
+    fun `a leader just elected does not take its own slow responses for unreachable workers`() {
         // After a crash of all nodes a cold leader responded later than workers wait, and resigned: all began once more.
         val world = World(45, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
