--- a/src/main/kotlin/mountmast/coordination/controller/ElectionLoop.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ElectionLoop.kt
@@ -4,7 +4,7 @@
 import mountmast.coordination.membership.PeerMembership
 import mountmast.storage.StateStore
 
-/** Takes part in the election, and starts or ends this node's term by its result. Confined to one thread. */
+/** Takes part in the election, and starts or ends this node's term by the election's result. Confined to one thread. */
 internal class ElectionLoop(
     private val election: LeaderElection,
     private val membership: PeerMembership,
@@ -23,7 +23,8 @@
     fun step() {
         election.step()
         val leaderTerm = leaderComponents.get()?.leaderTerm
-        // A leader that is partitioned from the workers alone, in either direction, would renew its own lease for ever while theirs expire.
+        // A leader that is partitioned from the workers alone, in either direction, would renew its own lease for ever while the
+        // workers' leases expire.
         val reason = leaderTerm?.let(resignationCheck::reasonToResign)
         if (leaderTerm != null && reason != null && membership.countServing() > 0) election.resign(leaderTerm.leaderLease, reason)
         replaceComponents()
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderComponents.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderComponents.kt
@@ -15,7 +15,7 @@
     fun get(): LeaderComponents? = components.get()
 
     /** Returns the components of the current term, or null while this node does not lead or has not loaded the cluster state. */
-    fun loaded(): LeaderComponents? = components.get()?.takeIf { it.leaderTerm.isLoaded }
+    fun getIfLoaded(): LeaderComponents? = components.get()?.takeIf { it.leaderTerm.isLoaded }
 
     /** Replaces the components; [current] is null when this node stops leading. */
     fun set(current: LeaderComponents?) = components.set(current)
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -39,7 +39,7 @@
 /**
  * The state and the components of one leader's term. The next leader rebuilds all of them from the store and from the workers'
  * heartbeats. Nothing is closed when the term ends: steps in progress finish, and each transaction of the journal compares the
- * revision of the leader key, so that one executed after a successor's election changes nothing.
+ * revision of the leader key, so that a transaction executed after a successor's election changes nothing.
  * Thread-safe, except where a member needs [lock].
  */
 class LeaderTerm(
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
@@ -20,7 +20,7 @@
     private val clock: Clock,
 ) {
     /** Returns the current term, or null while this node does not lead or has not loaded the cluster state. */
-    fun leaderTerm(): LeaderTerm? = leaderComponents.loaded()?.leaderTerm
+    fun leaderTerm(): LeaderTerm? = leaderComponents.getIfLoaded()?.leaderTerm
 
     /**
      * Loads a part of what earlier leaders wrote, if this node leads and has not loaded all of it. Loading is not part of the
@@ -44,7 +44,7 @@
     }
 
     /** Commits one batch of pending changes; returns [StepResult.IDLE] if there was none, and also if the store failed. */
-    fun commitPendingChanges(): StepResult = StepResult.of(leaderComponents.loaded()?.committer?.commitNext() == CommitStep.Written)
+    fun commitPendingChanges(): StepResult = StepResult.of(leaderComponents.getIfLoaded()?.committer?.commitNext() == CommitStep.Written)
 
     /** Watches the jobs in the store: waits up to [waitMs] for new or cancelled jobs and applies them to the cluster state. */
     fun watchJobs(waitMs: Long): StepResult {
@@ -74,7 +74,7 @@
      * may have a successor must do neither.
      */
     fun autoscale() {
-        val current = leaderComponents.loaded() ?: return
+        val current = leaderComponents.getIfLoaded() ?: return
         val confirmed = election.confirmedUntil(current.leaderTerm.leaderLease) ?: return
         if (clock.now() - confirmed < RECENTLY_CONFIRMED_MS) current.autoscaler.runRound()
     }
--- a/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
@@ -45,7 +45,7 @@
         metrics.gauge(MetricNames.ASSIGNMENTS) { readTerm { term -> term.cluster.machines.values.sumOf { it.live.size } } }
         metrics.gauge(MetricNames.JOBS) { readTerm { it.cluster.jobs.size } }
         metrics.gauge(MetricNames.HEAP_USED) { heapUsedMb() }
-        // Not part of the log line: loading the garbage collector beans costs a cold node processor time.
+        // The log line leaves garbage collections out: loading the garbage collector beans costs a cold node processor time.
         metrics.gauge(MetricNames.COLLECTIONS) { ManagementFactory.getGarbageCollectorMXBeans().sumOf { it.collectionCount } }
         metrics.gauge(MetricNames.COLLECTION_TIME) { ManagementFactory.getGarbageCollectorMXBeans().sumOf { it.collectionTime } }
     }
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -51,7 +51,7 @@
 
     /** Returns the snapshot for the cycle at [now]; [assuranceByTeam] holds the smoothed degrees of assurance from the cycle before. */
     fun snapshot(now: MonotonicTime, assuranceByTeam: Map<TeamId, Double>): ClusterSnapshot {
-        val machines = findUsableViews(now)
+        val machines = findOrCreateUsableViews(now)
         val jobs = ArrayList<JobView>(cluster.jobs.size)
         // A job with unmet prerequisites is not yet counted as demand, whatever its quota or deadline: none of its tasks may start.
         jobDependencies.refreshInheritedPriorities()
@@ -67,7 +67,7 @@
     }
 
     /** Returns the views of all usable machines; only machines that changed since the cycle before are added to [machineIndex] anew. */
-    private fun findUsableViews(now: MonotonicTime): List<MachineView> {
+    private fun findOrCreateUsableViews(now: MonotonicTime): List<MachineView> {
         cycleNumber++
         val machines = ArrayList<MachineView>(cluster.machines.size)
         for (machine in cluster.machines.values) {
--- a/src/main/kotlin/mountmast/coordination/election/LeaderElection.kt
+++ b/src/main/kotlin/mountmast/coordination/election/LeaderElection.kt
@@ -28,8 +28,8 @@
     private val clock: Clock,
     metrics: Metrics,
 ) : Leadership by leadership {
-    private val elections = metrics.counter(MetricNames.ELECTIONS)
-    private val resignations = metrics.counter(MetricNames.RESIGNATIONS)
+    private val electionCounter = metrics.counter(MetricNames.ELECTIONS)
+    private val resignationCounter = metrics.counter(MetricNames.RESIGNATIONS)
     private val renewal = LeaseRenewal(store, leadership, clock)
     private val vacancyWatch = VacancyWatch(store, leadership)
     private val delegation = RenewalDelegation(leadership, timing, clock)
@@ -93,7 +93,7 @@
      */
     fun resign(lease: LeaderLease, reason: String) {
         if (!leadership.stepDownFrom(lease, reason)) return
-        resignations.add()
+        resignationCounter.add()
         electionBackoffUntil = clock.now() + RESIGNATION_BACKOFF_MS
         try {
             store.revokeLease(lease.storeLease)
@@ -140,7 +140,7 @@
 
     private fun applyResult(result: ElectionResult) {
         if (result !is ElectionResult.Elected) return
-        elections.add()
+        electionCounter.add()
         leadership.becomeLeader(result)
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
@@ -16,7 +16,7 @@
  * The announcement queue is guarded by the lock of the leader's term.
  */
 internal class LeaderAnnouncer(private val context: WorkerContext, private val sender: CommandSender) {
-    /** Separate from the delivery queue of commands, so that commands do not wait for announcements to silent machines. */
+    /** This queue is separate from the delivery queue of commands, so that commands do not wait for announcements to silent machines. */
     private val announcementQueue = LinkedHashSet<MachineId>()
 
     /**
