--- a/src/main/kotlin/mountmast/coordination/controller/HeartbeatRouter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/HeartbeatRouter.kt
@@ -33,7 +33,7 @@
     private fun respond(heartbeat: Heartbeat, leaderTerm: LeaderTerm, leaderLease: LeaderLease): HeartbeatResponse {
         val receivedAt = clock.now()
         val response = if (leaderTerm.isLoaded) {
-            leaderTerm.heartbeats.onHeartbeat(heartbeat)
+            leaderTerm.heartbeatHandler.onHeartbeat(heartbeat)
         } else {
             HeartbeatResponse(maxOf(leaderLease.token, heartbeat.token), leaseRenewalDelegate.stopCommandsFor(heartbeat))
         }
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -91,13 +91,13 @@
     private val outstandingCommands = OutstandingCommands(workerContext) { now -> jobs.stalenessMs(now) < timing.ttlMs }
 
     /** Applies the workers' heartbeats to the cluster state and creates the responses. */
-    val heartbeats = HeartbeatHandler(workerContext, outstandingCommands, reachabilityMonitor)
+    val heartbeatHandler = HeartbeatHandler(workerContext, outstandingCommands, reachabilityMonitor)
 
     /** Expires the workers' leases, and detects that this node and the workers cannot reach one another. */
     val livenessMonitor = WorkerLivenessMonitor(workerContext, reachabilityMonitor)
 
     /** Delivers commands to the workers, and announces this leader to them. */
-    val commandDispatcher = CommandDispatcher(workerContext, outstandingCommands, workerClient, heartbeats)
+    val commandDispatcher = CommandDispatcher(workerContext, outstandingCommands, workerClient, heartbeatHandler)
 
     private val snapshotCache = SnapshotCache(cluster, jobDependencies, teams, timing, clock)
     private val schedulingCycle = SchedulingCycle(cluster, snapshotCache, commandDispatcher, signals, policy, clock)
--- a/src/main/kotlin/mountmast/coordination/controller/PeriodicRefresh.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/PeriodicRefresh.kt
@@ -21,7 +21,7 @@
         } catch (e: StoreException) {
             log.debug("cannot read the machine types: {}", e.message)
         }
-        formats.step()
+        formats.readOrWriteVersion()
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/membership/CancellationBroadcast.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/CancellationBroadcast.kt
@@ -55,7 +55,7 @@
     operator fun contains(id: JobId): Boolean = lock.withLock { id in retainedCancellations }
 
     /** Returns the cancelled jobs that [member] has not acknowledged, the oldest first, at most [MAX_PER_HEARTBEAT] of them. */
-    fun pendingFor(member: NodeId): List<JobId> = lock.withLock { unacknowledgedJobs[member].orEmpty().take(MAX_PER_HEARTBEAT) }
+    fun unacknowledgedBy(member: NodeId): List<JobId> = lock.withLock { unacknowledgedJobs[member].orEmpty().take(MAX_PER_HEARTBEAT) }
 
     /** Records that [member] answered a heartbeat that carried the cancellations of the jobs [ids]. */
     fun acknowledge(member: NodeId, ids: List<JobId>) {
--- a/src/main/kotlin/mountmast/coordination/membership/FormatNegotiation.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/FormatNegotiation.kt
@@ -29,7 +29,7 @@
  * stores that version, and every node reads it from the store, also after a restart. An upgraded process never restarts as the old
  * version, so the result stays valid.
  *
- * [step] is confined to one thread; [recordVersion] and [isCurrent] are thread-safe, without a lock.
+ * [readOrWriteVersion] is confined to one thread; [recordVersion] and [isCurrent] are thread-safe, without a lock.
  */
 class FormatNegotiation(private val store: StateStore, private val members: List<NodeId>) {
     /** The members that have sent [FORMAT_VERSION] or a later version. */
@@ -37,7 +37,7 @@
 
     /** Revision of the stored format record when it was last read, or null if the record must be read before it may be written. */
     private var storedModRevision: ModRevision? = null
-    private var stepsSinceRead = 0
+    private var callsSinceRead = 0
 
     /** Whether every node of the deployment is known to read [FORMAT_VERSION]; stays true once it is. */
     @Volatile
@@ -51,9 +51,9 @@
 
     /**
      * Reads or writes the stored version, with at most one call to the store, until every node is known to read [FORMAT_VERSION].
-     * Called about once a second. A call that fails is repeated by a later step; the exception is not passed on.
+     * Called about once a second. If the store fails, a later call of this function tries again; the exception is not passed on.
      */
-    fun step() {
+    fun readOrWriteVersion() {
         // A call to an unreachable store would delay the other work of this thread until the call timed out.
         if (isCurrent || !store.isReachable) return
         try {
@@ -61,7 +61,7 @@
             when {
                 modRevision == null -> readStoredVersion()
                 currentMembers.containsAll(members) -> writeStoredVersion(modRevision)
-                ++stepsSinceRead >= READ_INTERVAL_STEPS -> readStoredVersion()
+                ++callsSinceRead >= READ_INTERVAL_CALLS -> readStoredVersion()
             }
         } catch (e: StoreException) {
             // A write that got no answer may have been committed or may be committed later, so the record must be read again.
@@ -72,7 +72,7 @@
 
     private fun readStoredVersion() {
         val entry = store.get(Keys.FORMAT)
-        stepsSinceRead = 0
+        callsSinceRead = 0
         val version = if (entry == null) 0 else decodeVersion(entry.value)
         when {
             version == null -> log.warn("the stored record of the format version cannot be decoded")
@@ -107,6 +107,6 @@
     }
 
     private companion object {
-        const val READ_INTERVAL_STEPS = 10
+        const val READ_INTERVAL_CALLS = 10
     }
 }
--- a/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
@@ -57,7 +57,7 @@
     }
 
     private fun exchangeHeartbeatWith(member: Member) {
-        val cancelled = cancellations.pendingFor(member.node)
+        val cancelled = cancellations.unacknowledgedBy(member.node)
         val response = peerClient.exchangeHeartbeats(member, localNode.ownHeartbeat().copy(cancelled = cancelled.map { it.text })) ?: return
         cancellations.acknowledge(member.node, cancelled)
         recordHeartbeat(response)
--- a/src/test/kotlin/mountmast/coordination/membership/CancellationBroadcastTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/CancellationBroadcastTest.kt
@@ -21,8 +21,8 @@
         broadcast.broadcast(job(1))
         broadcast.broadcast(job(2))
         broadcast.acknowledge(member, listOf(job(1)))
-        assertEquals(listOf(job(2)), broadcast.pendingFor(member))
-        assertEquals(listOf(job(1), job(2)), broadcast.pendingFor(other))
+        assertEquals(listOf(job(2)), broadcast.unacknowledgedBy(member))
+        assertEquals(listOf(job(1), job(2)), broadcast.unacknowledgedBy(other))
         assertTrue(job(1) in broadcast)
     }
 
@@ -31,7 +31,7 @@
         broadcast.receive(listOf(job(1)))
         broadcast.broadcast(job(1))
         assertTrue(job(1) in broadcast)
-        assertEquals(emptyList<JobId>(), broadcast.pendingFor(member))
+        assertEquals(emptyList<JobId>(), broadcast.unacknowledgedBy(member))
     }
 
     @Test
@@ -47,7 +47,7 @@
     fun `a heartbeat carries 500 cancellations, the oldest first, and 5000 wait`() {
         val jobs = (1..6000).map(::job)
         jobs.forEach(broadcast::broadcast)
-        assertEquals(jobs.subList(1000, 1500), broadcast.pendingFor(member))
+        assertEquals(jobs.subList(1000, 1500), broadcast.unacknowledgedBy(member))
     }
 
     private companion object {
--- a/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
@@ -38,7 +38,7 @@
 
     private fun FormatNegotiation.recordAllMembersAsCurrent() = members.forEach { recordVersion(it, FORMAT_VERSION) }
 
-    private fun FormatNegotiation.stepTimes(count: Int) = repeat(count) { step() }
+    private fun FormatNegotiation.stepTimes(count: Int) = repeat(count) { readOrWriteVersion() }
 
     private fun storedRecord(): JsonElement? = store.get(Keys.FORMAT)?.value
 
@@ -81,7 +81,7 @@
         assertEquals(record(FORMAT_VERSION), storedRecord())
         val restarted = negotiation()
         assertFalse(restarted.isCurrent)
-        restarted.step()
+        restarted.readOrWriteVersion()
         assertTrue(restarted.isCurrent)
     }
 
@@ -108,13 +108,13 @@
         val negotiation = negotiation()
         var before = 0
         repeat(100) {
-            negotiation.step()
+            negotiation.readOrWriteVersion()
             assertTrue(standIn.requests - before <= 1)
             before = standIn.requests
         }
         assertTrue(standIn.requests <= 11, "${standIn.requests} requests in 100 steps")
         negotiation.recordAllMembersAsCurrent()
-        negotiation.step()
+        negotiation.readOrWriteVersion()
         assertTrue(negotiation.isCurrent)
         before = standIn.requests
         negotiation.stepTimes(100)
@@ -127,13 +127,13 @@
         val second = negotiation()
         first.recordAllMembersAsCurrent()
         second.recordAllMembersAsCurrent()
-        first.step()
-        second.step()
-        first.step()
-        second.step()
+        first.readOrWriteVersion()
+        second.readOrWriteVersion()
+        first.readOrWriteVersion()
+        second.readOrWriteVersion()
         assertTrue(first.isCurrent)
         assertFalse(second.isCurrent)
-        second.step()
+        second.readOrWriteVersion()
         assertTrue(second.isCurrent)
         assertEquals(1, standIn.writes - 1, "each node must have requested one write")
     }
@@ -146,7 +146,7 @@
             val negotiation = negotiation(faultyStore)
             negotiation.recordAllMembersAsCurrent()
             repeat(200) {
-                negotiation.step()
+                negotiation.readOrWriteVersion()
                 time.advance(1000)
             }
             assertTrue(negotiation.isCurrent, "seed $seed")
@@ -170,7 +170,7 @@
             }
             repeat(60) {
                 time.advance(1000)
-                negotiation.step()
+                negotiation.readOrWriteVersion()
             }
             assertTrue(negotiation.isCurrent, "seed $seed")
             assertEquals(record(FORMAT_VERSION + 1), faultyStore.get(Keys.FORMAT)?.value, "seed $seed")
@@ -184,11 +184,11 @@
         negotiation.stepTimes(20)
         assertFalse(negotiation.isCurrent)
         negotiation.recordAllMembersAsCurrent()
-        negotiation.step()
+        negotiation.readOrWriteVersion()
         assertTrue(negotiation.isCurrent)
         assertEquals(record(FORMAT_VERSION), storedRecord())
         storeRecord(record(FORMAT_VERSION + 1), checkNotNull(store.get(Keys.FORMAT)).modRevision)
-        assertTrue(negotiation().apply { step() }.isCurrent)
+        assertTrue(negotiation().apply { readOrWriteVersion() }.isCurrent)
     }
 
     @Test
@@ -205,7 +205,7 @@
     fun `a store that does not answer gets no requests`() {
         val negotiation = negotiation()
         standIn.outage(20_000)
-        negotiation.step()
+        negotiation.readOrWriteVersion()
         val before = standIn.requests
         negotiation.stepTimes(10)
         assertEquals(before, standIn.requests)
--- a/src/test/kotlin/mountmast/coordination/workers/LeaseRenewalTest.kt
+++ b/src/test/kotlin/mountmast/coordination/workers/LeaseRenewalTest.kt
@@ -35,6 +35,6 @@
     private fun deliverCommandResponse(world: World, worker: StandInWorker) {
         val leader = world.hosts.firstNotNullOf { it.controller?.leaderTerm() }
         val now = MonotonicTime(1_000_000 + world.time.now)
-        leader.lock.withLock { leader.heartbeats.onCommandResponse(worker.heartbeat(), now) }
+        leader.lock.withLock { leader.heartbeatHandler.onCommandResponse(worker.heartbeat(), now) }
     }
 }
