--- a/src/main/kotlin/mountmast/coordination/controller/ElectionLoop.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/ElectionLoop.kt
@@ -4,30 +4,31 @@
 import mountmast.coordination.membership.PeerMembership
 import mountmast.storage.StateStore
 
-/** Takes part in the election, and starts or ends this node's term by its result. Confined to one thread. */
+/** Takes part in the election, and starts or ends this node's term by the election's result. Confined to one thread. */
 internal class ElectionLoop(
     private val election: LeaderElection,
     private val membership: PeerMembership,
     private val leaderComponents: CurrentLeaderComponents,
     private val componentsFactory: LeaderComponentsFactory,
-    private val resignation: ResignationCheck,
-    private val readiness: ReadinessMonitor,
+    private val resignationCheck: ResignationCheck,
+    private val readinessMonitor: ReadinessMonitor,
     private val store: StateStore,
 ) {
     /**
      * Renews the leader lease, observes another leader or attempts to be elected; then checks whether this node should resign,
-     * replaces the components of the term and updates [readiness]. Called about once a second. Apart from the election and a
+     * replaces the components of the term and updates [readinessMonitor]. Called about once a second. Apart from the election and a
      * resignation no call to the store belongs here: on a cold node that all workers and users call, each call to the store took a
      * second, and the lease expired between two renewals.
      */
     fun step() {
         election.step()
         val leaderTerm = leaderComponents.get()?.leaderTerm
-        // A leader that is partitioned from the workers alone, in either direction, would renew its own lease for ever while theirs expire.
-        val reason = leaderTerm?.let(resignation::reasonToResign)
+        // A leader that is partitioned from the workers alone, in either direction, would renew its own lease for ever while the
+        // workers' leases expire.
+        val reason = leaderTerm?.let(resignationCheck::reasonToResign)
         if (leaderTerm != null && reason != null && membership.countServing() > 0) election.resign(leaderTerm.leaderLease, reason)
         replaceComponents()
-        readiness.updateAdmission()
+        readinessMonitor.updateAdmission()
     }
 
     /**
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
@@ -20,11 +20,11 @@
     private val clock: Clock,
 ) {
     /** Returns the current term, or null while this node does not lead or has not loaded the cluster state. */
-    fun leaderTerm(): LeaderTerm? = leaderComponents.loaded()?.leaderTerm
+    fun leaderTerm(): LeaderTerm? = leaderComponents.getIfLoaded()?.leaderTerm
 
     /**
-     * Loads a part of what earlier leaders wrote, if this node leads and has not loaded all of it. Not part of the election's step:
-     * after a start loading takes seconds, during which the leader lease must be renewed.
+     * Loads a part of what earlier leaders wrote, if this node leads and has not loaded all of it. Loading is not part of the
+     * election step: after a start it takes seconds, during which the leader lease must be renewed.
      */
     fun load(): StepResult {
         val leaderTerm = leaderComponents.get()?.leaderTerm ?: return StepResult.IDLE
@@ -40,11 +40,11 @@
     fun runSchedulingCycle() {
         val leaderTerm = leaderTerm() ?: return
         leaderTerm.runSchedulingCycle()
-        election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.liveness.expireLeases(it) }
+        election.confirmedUntil(leaderTerm.leaderLease)?.let { leaderTerm.livenessMonitor.expireLeases(it) }
     }
 
     /** Commits one batch of pending changes; returns [StepResult.IDLE] if there was none, and also if the store failed. */
-    fun commitPendingChanges(): StepResult = StepResult.of(leaderComponents.loaded()?.committer?.commitNext() == CommitStep.Written)
+    fun commitPendingChanges(): StepResult = StepResult.of(leaderComponents.getIfLoaded()?.committer?.commitNext() == CommitStep.Written)
 
     /** Watches the jobs in the store: waits up to [waitMs] for new or cancelled jobs and applies them to the cluster state. */
     fun watchJobs(waitMs: Long): StepResult {
@@ -74,14 +74,15 @@
      * may have a successor must do neither.
      */
     fun autoscale() {
-        val current = leaderComponents.loaded() ?: return
+        val current = leaderComponents.getIfLoaded() ?: return
         val confirmed = election.confirmedUntil(current.leaderTerm.leaderLease) ?: return
         if (clock.now() - confirmed < RECENTLY_CONFIRMED_MS) current.autoscaler.runRound()
     }
 
     /** Delivers the outstanding commands of one worker; waits up to [waitMs] if no worker is queued. May run on several threads. */
-    fun deliverCommands(waitMs: Long): StepResult = StepResult.of(leaderTerm()?.dispatch?.deliverNext(waitMs) == DeliveryStep.DONE)
+    fun deliverCommands(waitMs: Long): StepResult =
+        StepResult.of(leaderTerm()?.commandDispatcher?.deliverNextCommands(waitMs) == DeliveryStep.DONE)
 
     /** Announces this leader to one worker that has not shown the token of this term yet. May run on several threads. */
-    fun announceLeader(): StepResult = StepResult.of(leaderTerm()?.dispatch?.announceNext() == DeliveryStep.DONE)
+    fun announceLeader(): StepResult = StepResult.of(leaderTerm()?.commandDispatcher?.sendNextAnnouncement() == DeliveryStep.DONE)
 }
