--- a/src/main/kotlin/mountmast/coordination/jobs/FinalStateCache.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/FinalStateCache.kt
@@ -7,9 +7,9 @@
 import mountmast.storage.FinishedJobRecord
 
 /**
- * Caches the final states of jobs that are done or cancelled. A final state never changes, so that a cached one is answered without
- * a read of the state service. A job may be cached as cancelled once its cancellation, or that of one of its direct or
- * indirect prerequisites, is committed. Thread-safe.
+ * Caches the final states of jobs that are done or cancelled. A final state never changes, so requests for a job whose final state is
+ * cached are answered without a read of the state service. A job may be cached as cancelled once its cancellation, or that of one of its
+ * direct or indirect prerequisites, is committed. Thread-safe.
  */
 internal class FinalStateCache {
     private val records: Cache<JobId, FinishedJobRecord> = CacheBuilder.newBuilder().maximumSize(MAX_RECORDS).build()
--- a/src/main/kotlin/mountmast/coordination/jobs/JobCancellation.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobCancellation.kt
@@ -14,7 +14,7 @@
 import mountmast.storage.Write
 
 /** Cancels jobs in the state service; cancelling a job again changes nothing. Thread-safe. */
-internal class JobCancellation(private val store: StateStore, private val statuses: JobStatusReader, private val node: HostNode) {
+internal class JobCancellation(private val store: StateStore, private val statusReader: JobStatusReader, private val node: HostNode) {
     /**
      * Cancels [id] unless it is finished, and returns its status. Rejects the request if the job was never accepted, or if its record
      * changed between the read and the write at each of [MAX_COMMIT_ATTEMPTS] attempts. Throws `StoreException` if a request to the
@@ -23,7 +23,7 @@
      */
     fun cancel(id: JobId): RequestOutcome {
         repeat(MAX_COMMIT_ATTEMPTS) {
-            val entry = store.get(Keys.job(id)) ?: return statuses.find(id).orReject(RequestRejection.JobNotFound)
+            val entry = store.get(Keys.job(id)) ?: return statusReader.find(id).orReject(RequestRejection.JobNotFound)
             val record = WireJson.decodeFromJsonElement<JobRecord>(entry.value)
             if (record.cancelled || commitCancellation(entry, record) is TransactionResult.Committed) return broadcastAndCache(record)
         }
@@ -32,7 +32,8 @@
 
     /** Writes [record] as cancelled, unless the key of [entry] was modified after [entry] was read. */
     private fun commitCancellation(entry: Entry, record: JobRecord): TransactionResult {
-        // The transaction that writes a job as done compares the same key, so that only one of completion and cancellation is committed.
+        // The leader's transaction that replaces a finished job's record by its final state compares the key of that record as well. So a
+        // cancellation and a completion of the same job are never both committed.
         val transaction = Transaction(
             listOf(Compare(entry.key, entry.modRevision)),
             listOf(Write.Put(entry.key, WireJson.encodeToJsonElement(record.copy(cancelled = true)))),
@@ -42,7 +43,7 @@
 
     private fun broadcastAndCache(record: JobRecord): RequestOutcome {
         node.onCancelled(record.spec.id)
-        return RequestOutcome.Existing(statuses.cacheCancelled(record))
+        return RequestOutcome.Existing(statusReader.cacheCancelled(record))
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
@@ -12,7 +12,7 @@
 
 /**
  * Reads the states of jobs for users' requests, in batches. No node may answer with an older state than another node has answered
- * before, so each read needs a request to the state service that begins after the read. A single transaction without writes
+ * before, so each read needs a request to the state service that begins after the call of the read. A single transaction without writes
  * compares the revisions of many cached records and so confirms them all. Only one thread at a time reads a batch, for itself
  * and for others; reads that begin meanwhile wait for the next batch. Thread-safe.
  */
@@ -90,25 +90,25 @@
     }
 
     private fun readNextBatch() {
-        val batch = lock.withLock { removeBatch() }
+        val reads = lock.withLock { removeBatch() }
         try {
-            complete(batch)
+            complete(reads)
         } finally {
-            batch.forEach { it.signal.completeExceptionally(StoreTimeoutException("the batch ended without a result for this read")) }
+            reads.forEach { it.signal.completeExceptionally(StoreTimeoutException("the batch ended without a result for this read")) }
             lock.withLock { signalNextReader() }
         }
     }
 
     /** Removes the first pending reads, at least one, that have at most [maxBatchJobs] jobs together; the caller holds [lock]. */
     private fun removeBatch(): List<PendingRead> {
-        val batch = ArrayList<PendingRead>()
+        val reads = ArrayList<PendingRead>()
         var size = 0
-        while (pendingReads.isNotEmpty() && (batch.isEmpty() || size + pendingReads.first().ids.size <= maxBatchJobs)) {
+        while (pendingReads.isNotEmpty() && (reads.isEmpty() || size + pendingReads.first().ids.size <= maxBatchJobs)) {
             val read = pendingReads.removeFirst()
             size += read.ids.size
-            batch += read
+            reads += read
         }
-        return batch
+        return reads
     }
 
     /** Signals the first pending read to read the next batch; without one, no batch is in progress. The caller holds [lock]. */
@@ -117,9 +117,9 @@
         if (next == null) isBatchInProgress = false else next.signal.complete(Signal.ReadNextBatch)
     }
 
-    private fun complete(batch: List<PendingRead>) {
-        val states = HashMap(loader.confirmCached(batch.flatMapTo(LinkedHashSet()) { it.ids }))
-        for (read in batch) complete(read, states)
+    private fun complete(reads: List<PendingRead>) {
+        val states = HashMap(loader.confirmCached(reads.flatMapTo(LinkedHashSet()) { it.ids }))
+        for (read in reads) complete(read, states)
     }
 
     private fun complete(read: PendingRead, states: MutableMap<JobId, JobState>) {
--- a/src/main/kotlin/mountmast/coordination/jobs/JobRecordPrefetcher.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobRecordPrefetcher.kt
@@ -24,10 +24,10 @@
 }
 
 /**
- * Watches the records of jobs that other nodes accept, for the caches of a node that does not lead. A submission that names such
- * jobs as prerequisites then needs no read before it is written, and one comparison answers the reads of many jobs. Unless they are
- * confirmed, these records answer only what never changes in them, so that a missed record costs no more than a read. Not
- * thread-safe: called by one thread.
+ * Watches the records of jobs that other nodes accept, for the caches of a node that does not lead. A submission that names these jobs as
+ * prerequisites then needs no read before it is written. One transaction that compares the revisions of many cached records can confirm
+ * all of them, in place of one read for each. A cached record that is not confirmed is used only for what never changes in it, so a
+ * record that the watch misses costs no more than a read. Not thread-safe: called by one thread.
  */
 class JobRecordPrefetcher(private val store: StateStore, private val onRecord: (JobRecord, ModRevision) -> Unit) {
     /** The revision from which the next watch begins; null to begin from the revision of the store at that time. */
@@ -43,7 +43,7 @@
                     result.changes.forEach(::passOnRecord)
                     nextRevision = result.upTo
                 }
-                // Records that were written in the meantime are missed; each is read when a request needs it.
+                // The watch misses records that were written before it begins anew; each is read when a request needs it.
                 WatchResult.Compacted -> nextRevision = null
             }
             PrefetchResult.WATCHED
--- a/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
@@ -20,7 +20,7 @@
 /**
  * Serves users' requests on any node. The state service is the source of truth: a job is reported as accepted, done or cancelled only
  * after the state service has committed or returned that state. Final states are answered from memory; the state of any other
- * job is read from the state service for each request. Only its progress, which is for display, comes from a cache. Thread-safe.
+ * job is read from the state service for each request. Only a job's progress, which is for display, comes from a cache. Thread-safe.
  */
 class JobService(
     store: StateStore,
@@ -30,30 +30,30 @@
     limits: StateLimits,
     private val node: HostNode,
 ) : UserService {
-    private val machineTypes = MachineTypeCache(store)
-    private val finalStates = FinalStateCache()
-    private val records = UnconfirmedRecordCache()
-    private val reader = JobReader(JobStateLoader(store, records, limits.transactionCompares), limits.transactionCompares)
+    private val machineTypeCache = MachineTypeCache(store)
+    private val finalStateCache = FinalStateCache()
+    private val recordCache = UnconfirmedRecordCache()
+    private val jobReader = JobReader(JobStateLoader(store, recordCache, limits.transactionCompares), limits.transactionCompares)
     private val prerequisiteLists = PrerequisiteLists(store, limits)
-    private val prerequisites = PrerequisiteEvaluator(reader, records, prerequisiteLists, finalStates)
-    private val statuses = JobStatusReader(reader, finalStates, prerequisites, ProgressCache(store, clock))
-    private val prerequisiteValidator = PrerequisiteValidator(store, reader, records, finalStates, limits.transactionCompares)
-    private val validator = SubmissionValidator(teams, machineTypes, prerequisiteValidator, node)
-    private val submission = JobSubmission(store, validator, prerequisiteLists, records, statuses, clock)
-    private val cancellation = JobCancellation(store, statuses, node)
+    private val prerequisiteEvaluator = PrerequisiteEvaluator(jobReader, recordCache, prerequisiteLists, finalStateCache)
+    private val statusReader = JobStatusReader(jobReader, finalStateCache, prerequisiteEvaluator, ProgressCache(store, clock))
+    private val prerequisiteValidator = PrerequisiteValidator(store, jobReader, recordCache, finalStateCache, limits.transactionCompares)
+    private val submissionValidator = SubmissionValidator(teams, machineTypeCache, prerequisiteValidator, node)
+    private val submission = JobSubmission(store, submissionValidator, prerequisiteLists, recordCache, statusReader, clock)
+    private val cancellation = JobCancellation(store, statusReader, node)
     private val forwarder = RequestForwarder(node)
 
     /** Whether machine types have been read; without them, no job can be accepted. */
-    val knowsTypes: Boolean get() = machineTypes.types.isNotEmpty()
+    val knowsTypes: Boolean get() = machineTypeCache.types.isNotEmpty()
 
     /**
      * Reads the machine types that the leader has stored. Throws [StoreException] if a request to the state service fails, and
      * [IllegalArgumentException] if the machine types cannot be decoded.
      */
-    fun refreshTypes() = machineTypes.refresh()
+    fun refreshTypes() = machineTypeCache.refresh()
 
     /** Caches the record of a live job that another component watched or listed, unless one of the same or a later revision is cached. */
-    fun cacheRecord(record: JobRecord, modRevision: ModRevision) = records.putIfNewer(record, modRevision)
+    fun cacheRecord(record: JobRecord, modRevision: ModRevision) = recordCache.putIfNewer(record, modRevision)
 
     override fun isReady() = node.isReady()
 
@@ -72,7 +72,7 @@
     override fun status(id: String, isForwarded: Boolean): UserAnswer {
         val job = JobId.parse(id) ?: return RequestRejection.JobNotFound.toUserAnswer()
         val request = ForwardedRequest("GET", "/v1/jobs/$id", "")
-        return serve(job, request, isForwarded) { statuses.find(job).orReject(RequestRejection.JobNotFound) }
+        return serve(job, request, isForwarded) { statusReader.find(job).orReject(RequestRejection.JobNotFound) }
     }
 
     override fun cancel(id: String, isForwarded: Boolean): UserAnswer {
@@ -82,6 +82,6 @@
 
     /** Answers any request for a job whose final state is cached with that state; serves or forwards all other requests. */
     private fun serve(id: JobId, request: ForwardedRequest, isForwarded: Boolean, serveFromStore: () -> RequestOutcome): UserAnswer =
-        statuses.cachedFinalStatus(id)?.let { RequestOutcome.Existing(it).toUserAnswer() }
+        statusReader.cachedFinalStatus(id)?.let { RequestOutcome.Existing(it).toUserAnswer() }
             ?: forwarder.serveOrForward(request, isForwarded, serveFromStore)
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/JobStateLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobStateLoader.kt
@@ -17,13 +17,18 @@
  * the revisions of up to [maxCompares] records; all other jobs are read one by one. Thread-safe; blocks during its requests to
  * the state service.
  */
-internal class JobStateLoader(private val store: StateStore, private val records: UnconfirmedRecordCache, private val maxCompares: Int) {
+internal class JobStateLoader(
+    private val store: StateStore,
+    private val recordCache: UnconfirmedRecordCache,
+    private val maxCompares: Int,
+) {
     /**
-     * Returns the states of those of [ids] whose cached records a comparison has confirmed as current. Leaves out all other jobs: those
-     * without a cached record, those whose record has changed, and those whose comparison the state service did not answer.
+     * Returns the states of those of [ids] whose cached records are current, as a comparison of their revisions shows. Leaves out all
+     * other jobs: those without a cached record, those whose record has changed, and those whose comparison the state service did not
+     * answer.
      */
     fun confirmCached(ids: Set<JobId>): Map<JobId, JobState> {
-        val cached = ids.mapNotNull { id -> records[id]?.let { id to it } }
+        val cached = ids.mapNotNull { id -> recordCache[id]?.let { id to it } }
         val confirmed = HashMap<JobId, JobState>()
         for (chunk in cached.chunked(maxCompares)) {
             // Reading a single job costs no more than comparing its revision, so it is left to a read.
@@ -51,10 +56,10 @@
     fun load(id: JobId): JobState {
         store.get(Keys.job(id))?.let { entry ->
             val record = WireJson.decodeFromJsonElement<JobRecord>(entry.value)
-            records.put(record, entry.modRevision)
+            recordCache.put(record, entry.modRevision)
             return JobState.Live(record)
         }
-        records.remove(id)
+        recordCache.remove(id)
         // One transaction deletes the job record and writes the final state, never the reverse, so this order cannot miss an accepted job.
         val entry = store.get(Keys.finished(id)) ?: return JobState.Unknown
         return JobState.Finished(WireJson.decodeFromJsonElement<FinishedJobRecord>(entry.value))
--- a/src/main/kotlin/mountmast/coordination/jobs/JobStatusReader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobStatusReader.kt
@@ -8,22 +8,22 @@
 
 /** Reads the status of jobs for users: cached final states from memory, all others from the state service each time. Thread-safe. */
 internal class JobStatusReader(
-    private val reader: JobReader,
-    private val finalStates: FinalStateCache,
-    private val prerequisites: PrerequisiteEvaluator,
-    private val progress: ProgressCache,
+    private val jobReader: JobReader,
+    private val finalStateCache: FinalStateCache,
+    private val prerequisiteEvaluator: PrerequisiteEvaluator,
+    private val progressCache: ProgressCache,
 ) {
     /** Returns the final status of [id] without a read of the state service, or null if no final state is cached. */
-    fun cachedFinalStatus(id: JobId): JobAnswer? = finalStates[id]?.let { buildAnswer(id, it) }
+    fun cachedFinalStatus(id: JobId): JobAnswer? = finalStateCache[id]?.let { buildAnswer(id, it) }
 
     /**
      * Reads the status of [id] from the state service, and caches it if it is final. Throws `StoreException` if a request to the state
      * service fails, and [IllegalArgumentException] if a record cannot be decoded.
      */
-    fun find(id: JobId): JobLookup = when (val state = reader.read(id)) {
+    fun find(id: JobId): JobLookup = when (val state = jobReader.read(id)) {
         is JobState.Live -> JobLookup.Found(buildAnswer(state.record))
         is JobState.Finished -> {
-            finalStates[id] = state.record
+            finalStateCache[id] = state.record
             JobLookup.Found(buildAnswer(id, state.record))
         }
         JobState.Unknown -> JobLookup.NotFound
@@ -33,14 +33,14 @@
     fun cacheCancelled(record: JobRecord): JobAnswer {
         val id = record.spec.id
         val cancelled = FinishedJobRecord(JobStatus.CANCELLED, record.spec.tasks)
-        finalStates[id] = cancelled
+        finalStateCache[id] = cancelled
         return buildAnswer(id, cancelled)
     }
 
     private fun buildAnswer(record: JobRecord): JobAnswer {
         if (record.cancelled) return cacheCancelled(record)
         val id = record.spec.id
-        return when (val state = prerequisites.evaluate(record)) {
+        return when (val state = prerequisiteEvaluator.evaluate(record)) {
             PrerequisiteState.Satisfied -> buildRunnableAnswer(id)
             PrerequisiteState.Cancelled -> cacheCancelled(record)
             is PrerequisiteState.Waiting ->
@@ -49,7 +49,7 @@
     }
 
     private fun buildRunnableAnswer(id: JobId): JobAnswer {
-        val progress = progress.getProgress(id)
+        val progress = progressCache.getProgress(id)
         val status = if (progress.running > 0) JobStatus.RUNNING else JobStatus.PENDING
         return JobAnswer(id, status, progress.done, progress.running)
     }
--- a/src/main/kotlin/mountmast/coordination/jobs/JobSubmission.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobSubmission.kt
@@ -25,8 +25,8 @@
     private val store: StateStore,
     private val validator: SubmissionValidator,
     private val prerequisiteLists: PrerequisiteLists,
-    private val records: UnconfirmedRecordCache,
-    private val statuses: JobStatusReader,
+    private val recordCache: UnconfirmedRecordCache,
+    private val statusReader: JobStatusReader,
     private val clock: Clock,
 ) {
     /**
@@ -35,13 +35,13 @@
      * decoded.
      */
     fun submit(id: JobId, submission: JsonObject): RequestOutcome = when (val check = validator.check(submission)) {
-        is SubmissionCheck.Invalid -> statuses.find(id).orReject(check.reason)
+        is SubmissionCheck.Invalid -> statusReader.find(id).orReject(check.reason)
         is SubmissionCheck.Valid -> accept(JobRecord(check.spec, clock.wall()))
     }
 
     private fun accept(record: JobRecord): RequestOutcome {
         val id = record.spec.id
-        if (!prerequisiteLists.fitsWithoutPrerequisites(record)) return statuses.find(id).orReject(RequestRejection.RecordTooLarge)
+        if (!prerequisiteLists.fitsWithoutPrerequisites(record)) return statusReader.find(id).orReject(RequestRejection.RecordTooLarge)
         val stored = prerequisiteLists.store(record)
         val transaction = Transaction(
             listOf(Compare(Keys.job(id), ModRevision.ABSENT), Compare(Keys.finished(id), ModRevision.ABSENT)),
@@ -50,10 +50,10 @@
         return when (val result = store.commit(transaction)) {
             is TransactionResult.Committed -> {
                 // The next submission may name this job as a prerequisite, and then needs no read of it.
-                records.putIfNewer(stored, ModRevision(result.revision.number))
+                recordCache.putIfNewer(stored, ModRevision(result.revision.number))
                 RequestOutcome.Accepted(JobAnswer(id, JobStatus.PENDING))
             }
-            is TransactionResult.CompareFailed -> statuses.find(id).orReject(RequestRejection.ConcurrentChange)
+            is TransactionResult.CompareFailed -> statusReader.find(id).orReject(RequestRejection.ConcurrentChange)
         }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteEvaluator.kt
@@ -26,15 +26,15 @@
  * may be unreachable, or may not have written yet that a job is cancelled because a prerequisite is. For this reason, the record of
  * a job with prerequisites is never enough to report the job as pending or running.
  *
- * The search does not go beyond a prerequisite that is done, because all prerequisites of that one are done as well. Final states, lists
- * of prerequisites, and that all prerequisites of a job are done never change and are cached; the states of all other jobs are read
- * from the state service for each evaluation. Thread-safe.
+ * The search does not go beyond a prerequisite that is done, because all prerequisites of a done job are done as well. Three facts
+ * never change and are cached: the final state of a job, its list of prerequisites, and that all of its prerequisites are done. The
+ * states of all other jobs are read from the state service for each evaluation. Thread-safe.
  */
 internal class PrerequisiteEvaluator(
-    private val reader: JobReader,
-    private val records: UnconfirmedRecordCache,
-    private val lists: PrerequisiteLists,
-    private val finalStates: FinalStateCache,
+    private val jobReader: JobReader,
+    private val recordCache: UnconfirmedRecordCache,
+    private val prerequisiteLists: PrerequisiteLists,
+    private val finalStateCache: FinalStateCache,
 ) {
     /** The result of reading one level of prerequisites. */
     private sealed interface Expansion {
@@ -44,8 +44,8 @@
         class NextLevel(val jobs: List<JobId>) : Expansion
     }
 
-    private val satisfiedJobs: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_SATISFIED).build()
-    private val longLists: Cache<JobId, List<JobId>> = CacheBuilder.newBuilder().maximumSize(MAX_LONG_LISTS).build()
+    private val satisfiedJobs: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_SATISFIED_JOBS).build()
+    private val longListCache: Cache<JobId, List<JobId>> = CacheBuilder.newBuilder().maximumSize(MAX_LONG_LISTS).build()
 
     /**
      * Returns whether the prerequisites of the job in [record] allow it to run. Throws `StoreException` if the prerequisites cannot be
@@ -56,9 +56,9 @@
         if (!record.hasPrerequisites || satisfiedJobs.getIfPresent(id) != null) return PrerequisiteState.Satisfied
         val directPrerequisites = readPrerequisites(record)
         if (isAnyCancelledTransitively(directPrerequisites)) return PrerequisiteState.Cancelled
-        val waiting = directPrerequisites.filterNot(finalStates::isDone)
-        if (waiting.isEmpty()) satisfiedJobs.put(id, Unit)
-        return if (waiting.isEmpty()) PrerequisiteState.Satisfied else PrerequisiteState.Waiting(waiting)
+        val unfinished = directPrerequisites.filterNot(finalStateCache::isDone)
+        if (unfinished.isEmpty()) satisfiedJobs.put(id, Unit)
+        return if (unfinished.isEmpty()) PrerequisiteState.Satisfied else PrerequisiteState.Waiting(unfinished)
     }
 
     /**
@@ -67,54 +67,55 @@
      */
     private fun isAnyCancelledTransitively(directPrerequisites: List<JobId>): Boolean {
         val visited = HashSet<JobId>()
-        var level = collectWithCachedAncestors(directPrerequisites, visited)
+        var level = collectWithCachedPrerequisites(directPrerequisites, visited)
         while (level.isNotEmpty()) {
-            if (level.any(finalStates::isCancelled)) return true
-            val states = reader.readAll(level.filterNotTo(HashSet(), finalStates::isDone))
-            when (val expansion = expand(states)) {
+            if (level.any(finalStateCache::isCancelled)) return true
+            val states = jobReader.readAll(level.filterNotTo(HashSet(), finalStateCache::isDone))
+            when (val expansion = expandLevel(states)) {
                 Expansion.FoundCancelled -> return true
-                is Expansion.NextLevel -> level = collectWithCachedAncestors(expansion.jobs, visited)
+                is Expansion.NextLevel -> level = collectWithCachedPrerequisites(expansion.jobs, visited)
             }
         }
         return false
     }
 
     /** Returns the direct prerequisites of the live jobs in [states], unless one of [states] is cancelled; caches the final states. */
-    private fun expand(states: Map<JobId, JobState>): Expansion {
+    private fun expandLevel(states: Map<JobId, JobState>): Expansion {
         val next = ArrayList<JobId>()
         for ((id, state) in states) {
             when (state) {
-                is JobState.Finished -> finalStates[id] = state.record
+                is JobState.Finished -> finalStateCache[id] = state.record
                 is JobState.Live -> if (state.record.cancelled) return Expansion.FoundCancelled else next += readPrerequisites(state.record)
                 JobState.Unknown -> log.error("prerequisite job={} is not in the store", id)
             }
         }
-        return if (states.keys.any(finalStates::isCancelled)) Expansion.FoundCancelled else Expansion.NextLevel(next)
+        return if (states.keys.any(finalStateCache::isCancelled)) Expansion.FoundCancelled else Expansion.NextLevel(next)
     }
 
     /**
-     * Returns those of [ids] that are neither done nor [visited], and their direct and indirect prerequisites as far as cached records
-     * name them. Prerequisites never change, so cached records may name them; a long chain is then read level by level only once.
+     * Returns the jobs among [ids], and among their direct and indirect prerequisites, that are neither done nor [visited]. Follows the
+     * prerequisites of a job only if its record is cached; the record need not be current, since prerequisites never change. So a long
+     * chain of jobs is read level by level only until the records of its jobs are cached.
      */
-    private fun collectWithCachedAncestors(ids: List<JobId>, visited: MutableSet<JobId>): List<JobId> {
+    private fun collectWithCachedPrerequisites(ids: List<JobId>, visited: MutableSet<JobId>): List<JobId> {
         val found = ArrayList<JobId>()
         val pending = ArrayDeque(ids)
         while (pending.isNotEmpty()) {
             val id = pending.removeFirst()
-            if (finalStates.isDone(id) || !visited.add(id)) continue
+            if (finalStateCache.isDone(id) || !visited.add(id)) continue
             found += id
-            records[id]?.let { pending += readPrerequisites(it.record) }
+            recordCache[id]?.let { pending += readPrerequisites(it.record) }
         }
         return found
     }
 
     private fun readPrerequisites(record: JobRecord): List<JobId> {
         if (record.prerequisiteList == null) return record.spec.prerequisites
-        return longLists.getIfPresent(record.spec.id) ?: lists.read(record).also { longLists.put(record.spec.id, it) }
+        return longListCache.getIfPresent(record.spec.id) ?: prerequisiteLists.read(record).also { longListCache.put(record.spec.id, it) }
     }
 
     private companion object {
-        const val MAX_SATISFIED = 20_000L
+        const val MAX_SATISFIED_JOBS = 20_000L
         const val MAX_LONG_LISTS = 16L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteValidator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/PrerequisiteValidator.kt
@@ -31,13 +31,13 @@
  */
 internal class PrerequisiteValidator(
     private val store: StateStore,
-    private val reader: JobReader,
-    private val records: UnconfirmedRecordCache,
-    private val finalStates: FinalStateCache,
+    private val jobReader: JobReader,
+    private val recordCache: UnconfirmedRecordCache,
+    private val finalStateCache: FinalStateCache,
     private val maxCompares: Int,
 ) {
     /** Jobs known to have been accepted, whether they are live or finished. */
-    private val acceptedJobs: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_ACCEPTED).build()
+    private val acceptedJobs: Cache<JobId, Unit> = CacheBuilder.newBuilder().maximumSize(MAX_ACCEPTED_JOBS).build()
 
     /**
      * Returns whether [ids] may all be prerequisites; if not, names the first that was never accepted, or else the first that is known
@@ -54,14 +54,14 @@
         return ids.firstOrNull(::isKnownService)?.let { PrerequisiteCheck.IsService(it) } ?: PrerequisiteCheck.Valid
     }
 
-    private fun isKnownAccepted(id: JobId) = id in finalStates || id in records || acceptedJobs.getIfPresent(id) != null
+    private fun isKnownAccepted(id: JobId) = id in finalStateCache || id in recordCache || acceptedJobs.getIfPresent(id) != null
 
-    private fun isKnownService(id: JobId) = finalStates[id]?.isService == true || records[id]?.record?.spec?.shape == Shape.SERVICE
+    private fun isKnownService(id: JobId) = finalStateCache[id]?.isService == true || recordCache[id]?.record?.spec?.shape == Shape.SERVICE
 
     /** Reads [ids] by their keys. The reader caches the records of live jobs, this function the final states of the others. */
     private fun readIndividually(ids: Set<JobId>) {
-        for ((id, state) in reader.readAll(ids)) {
-            if (state is JobState.Finished) finalStates[id] = state.record
+        for ((id, state) in jobReader.readAll(ids)) {
+            if (state is JobState.Finished) finalStateCache[id] = state.record
         }
     }
 
@@ -75,7 +75,7 @@
                 val record = WireJson.decodeFromJsonElement<JobRecord>(entry.value)
                 if (record.spec.id in ids) {
                     acceptedJobs.put(record.spec.id, Unit)
-                    records.putIfNewer(record, entry.modRevision)
+                    recordCache.putIfNewer(record, entry.modRevision)
                 }
             }
             after = page.entries.lastOrNull()?.key
@@ -96,7 +96,7 @@
     }
 
     private companion object {
-        const val MAX_ACCEPTED = 20_000L
+        const val MAX_ACCEPTED_JOBS = 20_000L
 
         /** More jobs than this are not read by their keys but searched for in a list of all live jobs. */
         const val MAX_JOBS_READ_INDIVIDUALLY = 16
--- a/src/main/kotlin/mountmast/coordination/jobs/ProgressCache.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/ProgressCache.kt
@@ -38,7 +38,7 @@
             (now >= nextReadAt).also { if (it) nextReadAt = now + READ_INTERVAL_MS }
         }
         if (isReadDue) refresh()
-        return lock.withLock { progressByJob[id] } ?: NONE
+        return lock.withLock { progressByJob[id] } ?: NO_PROGRESS
     }
 
     private fun refresh() {
@@ -74,6 +74,6 @@
     private companion object {
         const val READ_INTERVAL_MS = 1000L
         const val FIELDS_PER_JOB = 3
-        val NONE = Progress(0, 0)
+        val NO_PROGRESS = Progress(0, 0)
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/RequestForwarder.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/RequestForwarder.kt
@@ -18,14 +18,14 @@
         serve().toUserAnswer()
     } catch (e: StoreRequestRejectedException) {
         // Not forwarded, because the state service would reject the same record from every other node.
-        log.debug("record rejected by the state service, path={}: {}", request.path, e.message)
+        log.debug("the state service rejected the job record of a user's request, request path={}: {}", request.path, e.message)
         RequestRejection.RecordRejectedByStore.toUserAnswer()
     } catch (e: StoreException) {
         val forwarded = if (isForwarded) null else node.forward(request)
         forwarded ?: RequestRejection.StoreUnavailable.toUserAnswer()
     } catch (e: IllegalArgumentException) {
         // The stored record is at fault, not the request, so the answer must differ from that to a malformed request.
-        log.error("cannot decode a stored record, path={}: {}", request.path, e.message)
+        log.error("cannot decode a stored record that a user's request needs, request path={}: {}", request.path, e.message)
         RequestRejection.RecordUnreadable.toUserAnswer()
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/RequestRejection.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/RequestRejection.kt
@@ -15,7 +15,7 @@
     /** The body violates the protocol; [detail] says how. */
     class MalformedBody(detail: String?) : RequestRejection(400, detail ?: "malformed")
 
-    /** The record without its prerequisites is larger than one value of the state service. */
+    /** The job's record without its prerequisites is larger than one value of the state service. */
     data object RecordTooLarge : RequestRejection(400, "names are too long")
 
     data object JobNotFound : RequestRejection(404, "no such job")
--- a/src/main/kotlin/mountmast/coordination/jobs/SubmissionValidator.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/SubmissionValidator.kt
@@ -17,8 +17,8 @@
 /** Checks submissions against the protocol, the quotas of teams, the machine types and the prerequisites that they name. Thread-safe. */
 internal class SubmissionValidator(
     private val teams: Map<TeamId, TeamQuota>,
-    private val machineTypes: MachineTypeCache,
-    private val prerequisites: PrerequisiteValidator,
+    private val machineTypeCache: MachineTypeCache,
+    private val prerequisiteValidator: PrerequisiteValidator,
     private val node: HostNode,
 ) {
     /**
@@ -37,7 +37,7 @@
 
     /** Returns why the job in [spec] can never run, or cannot be checked yet; null if machine types and quotas allow it. */
     private fun checkCanRun(spec: JobSpec): RequestRejection? {
-        val types = machineTypes.types
+        val types = machineTypeCache.types
         if (types.isEmpty()) return RequestRejection.MachineTypesUnknown
         return JobValidation.neverRuns(spec, teams, types)?.let { RequestRejection.NeverRuns(it) }
     }
@@ -46,7 +46,7 @@
     private fun checkPrerequisites(spec: JobSpec): RequestRejection? = when {
         spec.prerequisites.isEmpty() -> null
         !node.acceptsPrerequisites -> RequestRejection.PrerequisitesUnsupported
-        else -> when (val check = prerequisites.check(spec.prerequisites)) {
+        else -> when (val check = prerequisiteValidator.check(spec.prerequisites)) {
             PrerequisiteCheck.Valid -> null
             is PrerequisiteCheck.NeverAccepted -> RequestRejection.PrerequisiteNeverAccepted(check.id)
             is PrerequisiteCheck.IsService -> RequestRejection.PrerequisiteIsService(check.id)
--- a/src/main/kotlin/mountmast/coordination/jobs/UnconfirmedRecordCache.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/UnconfirmedRecordCache.kt
@@ -10,9 +10,9 @@
 internal class CachedRecord(val record: JobRecord, val modRevision: ModRevision)
 
 /**
- * Caches records of jobs that were live when the records were read, listed, watched or written. A record may be out of date: without
- * a request to the state service, it answers only what never changes in it, such as the job's spec and that the job was accepted;
- * a comparison of its modification revision confirms the rest. Thread-safe.
+ * Caches records of jobs that were live when the records were read, listed, watched or written. A record may be out of date.
+ * Without a request to the state service, it may be used only for what never changes, such as the job's spec and the fact that the
+ * job was accepted. A transaction that compares its modification revision confirms the rest. Thread-safe.
  */
 internal class UnconfirmedRecordCache {
     private val records: Cache<JobId, CachedRecord> = CacheBuilder.newBuilder().maximumSize(MAX_RECORDS).build()
@@ -36,7 +36,7 @@
     fun remove(id: JobId) = records.invalidate(id)
 
     private companion object {
-        /** A record has about 400 bytes. */
+        /** Each cached record takes about 400 bytes. */
         const val MAX_RECORDS = 4000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/AdaptiveWriteLimits.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/AdaptiveWriteLimits.kt
@@ -24,14 +24,14 @@
     /** Whether no transaction may be sent now, since the store rejected one that was within the minimum limits. */
     fun isPaused(): Boolean = clock.now() < pausedUntil
 
-    /** Halves the limits after a rejection. If they are at their minimum already, pauses all commits for [REJECTED_PAUSE_MS]. */
+    /** Halves the limits after a rejection. If they are at their minimum already, pauses all commits for [PAUSE_AFTER_REJECTION_MS]. */
     fun reduce() {
         wasTransactionRejected = true
-        if (current.isMinimum) pausedUntil = clock.now() + REJECTED_PAUSE_MS
+        if (current.isMinimum) pausedUntil = clock.now() + PAUSE_AFTER_REJECTION_MS
         current = current.halved()
     }
 
     private companion object {
-        const val REJECTED_PAUSE_MS = 1000L
+        const val PAUSE_AFTER_REJECTION_MS = 1000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/BatchCollector.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/BatchCollector.kt
@@ -25,7 +25,7 @@
     fun collect(): WriteBatch? {
         val budget = store.writeBudget()
         if (budget.available <= 0) return null
-        if (!writers.progress.areStoredPartsKnown && !loadStoredProgressParts()) return null
+        if (!writers.progressWriter.areStoredPartsKnown && !loadStoredProgressParts()) return null
         return context.lock.withLock {
             val batch = WriteBatch(context.leaderModRevision, minOf(budget.available, limits.current.transactionOps))
             writers.fill(batch, createOptions(budget.isScarce))
@@ -33,15 +33,21 @@
         }
     }
 
-    private fun createOptions(isScarce: Boolean): BatchOptions {
-        val isCompact = areCompactFormsAgreed()
-        val journalSize = if (isCompact) largeJournalSize else JournalSize.MINIMUM
-        return BatchOptions(limits.current, journalSize, isCompact, isScarce, maySplitTypes = isCompact || limits.wasTransactionRejected)
+    private fun createOptions(areWritesScarce: Boolean): BatchOptions {
+        val mayCompress = areCompactFormsAgreed()
+        val journalSize = if (mayCompress) largeJournalSize else JournalSize.MINIMUM
+        return BatchOptions(
+            limits.current,
+            journalSize,
+            mayCompress,
+            areWritesScarce,
+            maySplitTypes = mayCompress || limits.wasTransactionRejected,
+        )
     }
 
     /** Reads which parts of the progress record earlier leaders stored; returns whether the store could be read. */
     private fun loadStoredProgressParts(): Boolean = try {
-        writers.progress.setStoredParts(store.listAll(Keys.PROGRESS).first.map { it.key })
+        writers.progressWriter.setStoredParts(store.listAll(Keys.PROGRESS).first.map { it.key })
         true
     } catch (e: StoreException) {
         log.debug("the stored parts of the progress record cannot be listed: {}", e.message)
--- a/src/main/kotlin/mountmast/coordination/persistence/CancellationWatermarkWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CancellationWatermarkWriter.kt
@@ -9,29 +9,30 @@
 import mountmast.storage.Keys
 
 /**
- * Writes the low watermark of cancellations: tasks of jobs whose cancellation was committed before it no longer run. The next leader
- * reads it, and so do the nodes that renew worker leases on that leader's behalf. Guarded by the lock of [PersistenceContext].
+ * Writes the low watermark of cancellations: a time such that no task runs of a job whose cancellation was committed before that time.
+ * The next leader reads the watermark, and so do the nodes that renew worker leases on that leader's behalf. Guarded by the lock of
+ * [PersistenceContext].
  */
 internal class CancellationWatermarkWriter(private val context: PersistenceContext, private val clock: Clock) : BatchContributor {
-    private var notBefore = MonotonicTime(0)
-    private var lastAdded: WallTime? = null
+    private var nextWriteNotBefore = MonotonicTime(0)
+    private var lastAddedWatermark: WallTime? = null
 
     override fun contribute(batch: WriteBatch, options: BatchOptions) {
         val now = clock.now()
-        if (now < notBefore || batch.remainingOps <= 0) return
-        notBefore = now + INTERVAL_MS
+        if (now < nextWriteNotBefore || batch.remainingOps <= 0) return
+        nextWriteNotBefore = now + WRITE_INTERVAL_MS
         val watermark = context.jobs.watermark()
-        if (watermark == lastAdded) return
-        lastAdded = watermark
+        if (watermark == lastAddedWatermark) return
+        lastAddedWatermark = watermark
         batch.put(Keys.WATERMARK, WireJson.encodeToJsonElement(CancellationWatermarkRecord(watermark)))
     }
 
     override fun requeue() {
-        notBefore = MonotonicTime(0)
-        lastAdded = null
+        nextWriteNotBefore = MonotonicTime(0)
+        lastAddedWatermark = null
     }
 
     private companion object {
-        const val INTERVAL_MS = 2000L
+        const val WRITE_INTERVAL_MS = 2000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/CommitAttempt.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/CommitAttempt.kt
@@ -20,18 +20,18 @@
     class Repeated(override val batch: WriteBatch) : CommitAttempt
 
     /**
-     * [batch] is in doubt, and the store now rejects it as too large. An earlier attempt may have been executed, or may still be. So a
-     * tombstone, a journal record without entries, is written to the slot of the batch's first record under that record's number.
-     * Once the tombstone is committed, the compare of that slot fails for every earlier attempt.
+     * [batch] is in doubt, and the store now rejects it as too large. An earlier attempt may have been executed, or may still be
+     * executed. So a tombstone, a journal record without entries, is written to the slot of the batch's first record under that record's
+     * number. Once the tombstone is committed, the compare of that slot fails for every earlier attempt.
      *
      * Test: `FallingLimitsTest`, "failures of every kind meet falling limits".
      */
     class Tombstone(override val batch: WriteBatch) : CommitAttempt {
         private val tombstoneInSlot = batch.journalRecords.first().let { SlottedRecord(it.slot, JournalRecord(it.number, "")) }
-        private val value = WireJson.encodeToJsonElement(tombstoneInSlot.record)
+        private val tombstoneValue = WireJson.encodeToJsonElement(tombstoneInSlot.record)
 
         /** Whether [entry] holds the tombstone. */
-        fun isStoredIn(entry: Entry): Boolean = entry.value == value
+        fun isStoredIn(entry: Entry): Boolean = entry.value == tombstoneValue
 
         /** Creates the transaction that writes the tombstone; the caller holds the lock of [context]. */
         fun createTransaction(context: PersistenceContext) = Transaction(
@@ -39,7 +39,7 @@
                 Compare(Keys.LEADER, context.leaderModRevision),
                 Compare(tombstoneInSlot.key, context.journal.modRevisionOf(tombstoneInSlot.slot)),
             ),
-            listOf(Write.Put(tombstoneInSlot.key, value)),
+            listOf(Write.Put(tombstoneInSlot.key, tombstoneValue)),
         )
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ConflictResolver.kt
@@ -20,29 +20,31 @@
 internal class ConflictResolver(
     private val context: PersistenceContext,
     private val store: StateStore,
-    private val snapshots: SnapshotWriter,
+    private val snapshotWriter: SnapshotWriter,
 ) {
     /**
      * Adopts what the store holds under [key]. Throws `StoreException` if the store cannot be read, and `IllegalArgumentException` if
      * the record cannot be decoded.
      */
-    fun resolve(key: String) {
+    fun resolveConflict(key: String) {
         when {
             key.startsWith(Keys.JOBS) -> Keys.jobOfKey(key)?.let { resolveJob(it, key) }
-            // An earlier transaction with a snapshot's pointer may have been committed without an answer.
+            // An earlier transaction with a snapshot's pointer may have been committed although this node got no answer.
             key == Keys.SNAPSHOT -> resolveSnapshot()
             else -> log.error("key={} was changed by another writer", key)
         }
     }
 
     private fun resolveJob(id: JobId, key: String) {
-        val live = store.get(key)
-        val finished = if (live == null) store.get(Keys.finished(id)) else null
+        val liveEntry = store.get(key)
+        val finishedEntry = if (liveEntry == null) store.get(Keys.finished(id)) else null
         context.lock.withLock {
             val job = context.cluster.jobs[id] ?: return
             when {
-                live != null -> context.jobs.applyRecord(WireJson.decodeFromJsonElement<JobRecord>(live.value), live.modRevision)
-                finished != null -> context.jobs.removeFinished(job, WireJson.decodeFromJsonElement<FinishedJobRecord>(finished.value))
+                liveEntry != null ->
+                    context.jobs.applyRecord(WireJson.decodeFromJsonElement<JobRecord>(liveEntry.value), liveEntry.modRevision)
+                finishedEntry != null ->
+                    context.jobs.removeFinished(job, WireJson.decodeFromJsonElement<FinishedJobRecord>(finishedEntry.value))
                 else -> log.error("job={} has neither a live nor a finished record in the store", id)
             }
         }
@@ -51,6 +53,6 @@
     private fun resolveSnapshot() {
         val entry = store.get(Keys.SNAPSHOT) ?: return
         val pointer = WireJson.decodeFromJsonElement<SnapshotRecord>(entry.value)
-        context.lock.withLock { snapshots.onPointerStored(pointer, entry.modRevision) }
+        context.lock.withLock { snapshotWriter.onPointerStored(pointer, entry.modRevision) }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/FailingJobsWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/FailingJobsWriter.kt
@@ -17,31 +17,31 @@
  * not started whole again by each new leader"). Guarded as its [ClusterState] is.
  */
 internal class FailingJobsWriter(private val cluster: ClusterState, private val clock: Clock) : BatchContributor {
-    private var notBefore = MonotonicTime(Long.MIN_VALUE / 2)
-    private var lastAdded: Map<JobId, FailingJob> = emptyMap()
+    private var nextWriteNotBefore = MonotonicTime(Long.MIN_VALUE / 2)
+    private var lastAddedJobs: Map<JobId, FailingJob> = emptyMap()
 
     override fun contribute(batch: WriteBatch, options: BatchOptions) {
         val now = clock.now()
-        if (batch.remainingOps <= 0 || now < notBefore) return
-        notBefore = now + INTERVAL_MS
+        if (batch.remainingOps <= 0 || now < nextWriteNotBefore) return
+        nextWriteNotBefore = now + WRITE_INTERVAL_MS
         val maxBytes = options.limits.valueBytes
         val failing = cluster.health.failingJobs(limit = maxBytes / BYTES_PER_JOB)
-        if (failing == lastAdded) return
+        if (failing == lastAddedJobs) return
         val value = WireJson.encodeToJsonElement(FailingRecord(failing))
         if (jsonSize(value) > maxBytes) return
-        lastAdded = failing
+        lastAddedJobs = failing
         batch.put(Keys.FAILING, value)
     }
 
     override fun requeue() {
-        notBefore = MonotonicTime(Long.MIN_VALUE / 2)
-        lastAdded = emptyMap()
+        nextWriteNotBefore = MonotonicTime(Long.MIN_VALUE / 2)
+        lastAddedJobs = emptyMap()
     }
 
     private companion object {
-        const val INTERVAL_MS = 1000L
+        const val WRITE_INTERVAL_MS = 1000L
 
-        /** Approximate size of one job in the record, as JSON. */
+        /** Approximate size of one job in the record, in bytes of JSON. */
         const val BYTES_PER_JOB = 200
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/FinishedJobsWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/FinishedJobsWriter.kt
@@ -9,7 +9,7 @@
 /** Replaces the live record of each finished job by its final record. Guarded by the lock of [PersistenceContext]. */
 internal class FinishedJobsWriter(private val context: PersistenceContext, private val clock: Clock) {
     /** Returns the completed and cancelled jobs of which no task runs any more. */
-    fun findFinishedJobs(): List<Job> = context.cluster.finishing.filter { it.hasNoLiveAssignments() }
+    fun findFinishedJobs(): List<Job> = context.cluster.finishingJobs.filter { it.hasNoLiveAssignments() }
 
     /** Adds as many of [jobs] to [batch] as it has operations left for. */
     fun contribute(batch: WriteBatch, jobs: List<Job>) {
--- a/src/main/kotlin/mountmast/coordination/persistence/ImagesWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ImagesWriter.kt
@@ -15,50 +15,50 @@
 private typealias ImageSizesGb = Map<ImageId, Double>
 
 /**
- * Writes which images the machines have cached, one bucket of machines at a time, as a hint for the next leader. Heartbeats do not list
- * cached images, and a leader without the hint sends urgent tasks to machines that must fetch the image first. Guarded as its
- * [ClusterState] is.
+ * Writes which images the machines have cached, as a hint for the next leader. The machines are divided into buckets by their ID, and
+ * each bucket is stored as one value. Heartbeats do not list cached images, and a leader without the hint sends urgent tasks to machines
+ * that must fetch the image first. Guarded as its [ClusterState] is.
  */
 internal class ImagesWriter(private val cluster: ClusterState, private val clock: Clock) : BatchContributor {
-    private var notBefore = MonotonicTime(Long.MIN_VALUE / 2)
+    private var nextWriteNotBefore = MonotonicTime(Long.MIN_VALUE / 2)
     private var nextBucket = 0
-    private val lastAdded = HashMap<Int, Map<MachineId, ImageSizesGb>>()
+    private val lastAddedByBucket = HashMap<Int, Map<MachineId, ImageSizesGb>>()
 
     override fun contribute(batch: WriteBatch, options: BatchOptions) {
         val now = clock.now()
-        if (batch.remainingOps <= 0 || now < notBefore) return
-        notBefore = now + if (options.isScarce) SCARCE_INTERVAL_MS else INTERVAL_MS
-        val buckets = computeBucketCount(options.limits.valueBytes)
+        if (batch.remainingOps <= 0 || now < nextWriteNotBefore) return
+        nextWriteNotBefore = now + if (options.areWritesScarce) SCARCE_WRITE_INTERVAL_MS else WRITE_INTERVAL_MS
+        val bucketCount = computeBucketCount(options.limits.valueBytes)
         // Unless writes are scarce, each bucket is written within ROUND_MS, however many buckets there are.
-        val dueBuckets = if (options.isScarce) 1 else 1 + buckets * INTERVAL_MS.toInt() / ROUND_MS
-        repeat(minOf(dueBuckets, buckets)) { addNextBucket(batch, buckets, options.limits) }
+        val dueBucketCount = if (options.areWritesScarce) 1 else 1 + bucketCount * WRITE_INTERVAL_MS.toInt() / ROUND_MS
+        repeat(minOf(dueBucketCount, bucketCount)) { addNextBucket(batch, bucketCount, options.limits) }
     }
 
-    private fun addNextBucket(batch: WriteBatch, buckets: Int, limits: WriteLimits) {
+    private fun addNextBucket(batch: WriteBatch, bucketCount: Int, limits: WriteLimits) {
         if (batch.remainingOps <= 0) return
-        val bucket = nextBucket % buckets
+        val bucket = nextBucket % bucketCount
         nextBucket = bucket + 1
-        val images = collectImages(bucket, buckets, limits.valueBytes - TextCodec.ENVELOPE_BYTES)
-        if (images == lastAdded[bucket] || (images.isEmpty() && bucket !in lastAdded)) return
-        lastAdded[bucket] = images
+        val images = collectImages(bucket, bucketCount, limits.valueBytes - TextCodec.ENVELOPE_BYTES)
+        if (images == lastAddedByBucket[bucket] || (images.isEmpty() && bucket !in lastAddedByBucket)) return
+        lastAddedByBucket[bucket] = images
         batch.put(Keys.IMAGES + bucket, WireJson.encodeToJsonElement(ImagesRecord(images)))
     }
 
     /** Returns how many buckets the machines need: a power of two, so that machines rarely move to another bucket. */
     private fun computeBucketCount(valueBytes: Int): Int {
-        var buckets = MIN_BUCKETS
-        while (buckets.toLong() * valueBytes < cluster.machines.size.toLong() * USUAL_MACHINE_BYTES) buckets *= 2
-        return buckets
+        var bucketCount = MIN_BUCKETS
+        while (bucketCount.toLong() * valueBytes < cluster.machines.size.toLong() * USUAL_MACHINE_BYTES) bucketCount *= 2
+        return bucketCount
     }
 
     /** Returns the images on the machines of [bucket], for as many machines as fit into [maxBytes] of JSON. */
-    private fun collectImages(bucket: Int, buckets: Int, maxBytes: Int): Map<MachineId, ImageSizesGb> {
+    private fun collectImages(bucket: Int, bucketCount: Int, maxBytes: Int): Map<MachineId, ImageSizesGb> {
         val imagesByMachine = LinkedHashMap<MachineId, ImageSizesGb>()
         var bytes = 0
         for (machine in cluster.machines.values) {
-            if (machine.id.hashCode().mod(buckets) != bucket || machine.images.isEmpty()) continue
+            if (machine.id.hashCode().mod(bucketCount) != bucket || machine.images.isEmpty()) continue
             val images = machine.images.mapValuesTo(LinkedHashMap()) { (_, sizeGb) -> Math.rint(sizeGb * STEPS_PER_GB) / STEPS_PER_GB }
-            // The braces of this object count in place of the comma between two machines in the record.
+            // The braces of this JSON object are counted in place of the comma that separates two machines in the record.
             bytes += jsonSize(WireJson.encodeToJsonElement(mapOf(machine.id to images)))
             if (bytes > maxBytes) break
             imagesByMachine[machine.id] = images
@@ -67,18 +67,21 @@
     }
 
     private companion object {
-        const val INTERVAL_MS = 1500L
-        const val SCARCE_INTERVAL_MS = 6000L
+        const val WRITE_INTERVAL_MS = 1500L
+        const val SCARCE_WRITE_INTERVAL_MS = 6000L
 
         const val MIN_BUCKETS = 8
 
-        /** Approximate JSON size of a machine with some images, with a margin for buckets with more machines than the average. */
+        /**
+         * Approximate size of one machine with its images, in bytes of JSON, with a margin for buckets that have more machines than the
+         * average.
+         */
         const val USUAL_MACHINE_BYTES = 128
 
         /** Time within which each bucket is written once, unless writes are scarce. */
         const val ROUND_MS = 60_000
 
-        /** Sizes are rounded to a hundredth of a gigabyte. */
+        /** Image sizes are rounded to a hundredth of a gigabyte. */
         const val STEPS_PER_GB = 100.0
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/InDoubtResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/InDoubtResolver.kt
@@ -30,13 +30,13 @@
      * Returns the outcome of the attempts before [attempt], of which a compare failed. Throws `StoreException` if the store cannot be
      * read, and `IllegalArgumentException` if the journal record cannot be decoded.
      */
-    fun resolve(attempt: CommitAttempt): EarlierOutcome {
+    fun findOutcome(attempt: CommitAttempt): EarlierOutcome {
         if (attempt is CommitAttempt.First) return EarlierOutcome.NotCommitted
-        val first = attempt.batch.journalRecords.firstOrNull() ?: return EarlierOutcome.NotCommitted
-        val entry = store.get(first.key) ?: return EarlierOutcome.NotCommitted
+        val firstRecord = attempt.batch.journalRecords.firstOrNull() ?: return EarlierOutcome.NotCommitted
+        val entry = store.get(firstRecord.key) ?: return EarlierOutcome.NotCommitted
         val stored = WireJson.decodeFromJsonElement<JournalRecord>(entry.value)
         return when {
-            stored.number != first.number -> EarlierOutcome.NotCommitted
+            stored.number != firstRecord.number -> EarlierOutcome.NotCommitted
             attempt is CommitAttempt.Tombstone && attempt.isStoredIn(entry) -> EarlierOutcome.TombstoneCommitted(entry.modRevision)
             else -> EarlierOutcome.BatchCommitted(entry.modRevision)
         }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalCommitter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalCommitter.kt
@@ -16,16 +16,16 @@
 private val log = LoggerFactory.getLogger("mountmast.writer")
 
 /**
- * Commits the changes of the cluster state to the store by group commit into a write-ahead journal. Its records are few and large,
- * since the store limits the number of writes. From time to time a snapshot of the whole cluster state is written, in parts; once its
- * pointer is committed, the slots of all records that the snapshot contains are free for new records.
+ * Commits the changes of the cluster state to the store by group commit into a write-ahead journal. The journal has few and large
+ * records, since the store limits the number of writes. From time to time a snapshot of the whole cluster state is written, in parts;
+ * once its pointer is committed, the slots of all records that the snapshot contains are free for new records.
  *
  * Every transaction compares the leader's key, and the key of each journal slot that it writes. So a transaction that the store executes
  * late is not committed if the leader's key was deleted or written since its batch was collected, or if any of these slots was written.
  *
  * Called by one thread. Takes the lock of [PersistenceContext], but never holds it during a call to the store.
  *
- * @param areCompactFormsAgreed whether every node reads the compressed forms; called with the lock held
+ * @param areCompactFormsAgreed whether every node can read compressed values; called with the lock held
  * @param onLeadershipLost called, without the lock, when the compare of the leader's key fails: this node no longer leads
  */
 class JournalCommitter(
@@ -38,10 +38,10 @@
 ) {
     private val limits = AdaptiveWriteLimits(stateLimits, clock)
     private val writers = BatchWriters(context, clock)
-    private val collector = BatchCollector(context, store, limits, writers, areCompactFormsAgreed)
-    private val applier = CommittedBatchApplier(context, writers, clock)
+    private val batchCollector = BatchCollector(context, store, limits, writers, areCompactFormsAgreed)
+    private val batchApplier = CommittedBatchApplier(context, writers, clock)
     private val inDoubtResolver = InDoubtResolver(store)
-    private val conflicts = ConflictResolver(context, store, writers.snapshots)
+    private val conflictResolver = ConflictResolver(context, store, writers.snapshotWriter)
 
     /** The next attempt at the batch in doubt, which may or may not be in the store; null if no batch is in doubt. */
     private var inDoubtAttempt: CommitAttempt? = null
@@ -49,7 +49,7 @@
     /** Sends one transaction, if there is anything to write. A failure of the store is part of the result, and is not thrown. */
     fun commitNext(): CommitStep {
         if (limits.isPaused()) return CommitStep.NothingToWrite
-        val attempt = inDoubtAttempt ?: collector.collect()?.let(CommitAttempt::First) ?: return CommitStep.NothingToWrite
+        val attempt = inDoubtAttempt ?: batchCollector.collect()?.let(CommitAttempt::First) ?: return CommitStep.NothingToWrite
         return commit(attempt)
     }
 
@@ -74,8 +74,8 @@
     private fun onCommitted(attempt: CommitAttempt, modRevision: ModRevision): CommitStep {
         inDoubtAttempt = null
         when (attempt) {
-            is CommitAttempt.First, is CommitAttempt.Repeated -> applier.apply(attempt.batch, modRevision)
-            is CommitAttempt.Tombstone -> applier.applyTombstone(attempt.batch, modRevision)
+            is CommitAttempt.First, is CommitAttempt.Repeated -> batchApplier.apply(attempt.batch, modRevision)
+            is CommitAttempt.Tombstone -> batchApplier.applyTombstone(attempt.batch, modRevision)
         }
         return CommitStep.Written
     }
@@ -113,7 +113,7 @@
             return CommitStep.Failed
         }
         return try {
-            resolve(attempt, failedKeys)
+            resolveFailedCompares(attempt, failedKeys)
         } catch (e: StoreException) {
             log.debug("the keys of failed compares cannot be read: {}", e.message)
             CommitStep.Failed
@@ -124,13 +124,13 @@
     }
 
     /** Finds out why compares of [attempt] failed: by an earlier attempt at the same batch, or by a change that the leader has to adopt. */
-    private fun resolve(attempt: CommitAttempt, failedKeys: List<String>): CommitStep {
-        when (val earlier = inDoubtResolver.resolve(attempt)) {
+    private fun resolveFailedCompares(attempt: CommitAttempt, failedKeys: List<String>): CommitStep {
+        when (val earlier = inDoubtResolver.findOutcome(attempt)) {
             is EarlierOutcome.BatchCommitted -> return onCommitted(CommitAttempt.Repeated(attempt.batch), earlier.modRevision)
             is EarlierOutcome.TombstoneCommitted -> return onCommitted(attempt, earlier.modRevision)
             EarlierOutcome.NotCommitted -> requeue(attempt.batch)
         }
-        failedKeys.forEach(conflicts::resolve)
+        failedKeys.forEach(conflictResolver::resolveConflict)
         return CommitStep.Failed
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalSize.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalSize.kt
@@ -9,24 +9,27 @@
  */
 internal class JournalSize private constructor(val slotCount: Int) {
     /** A snapshot is begun once the journal has this many records since the latest complete snapshot. */
-    val beginSnapshotAfter: Long = (slotCount * BEGIN_SNAPSHOT_SHARE).toLong()
+    val beginSnapshotAfterRecords: Long = (slotCount * BEGIN_SNAPSHOT_SHARE).toLong()
 
     /** A snapshot should be complete before the journal has this many records since the previous complete snapshot. */
-    val completeSnapshotBefore: Long = (slotCount * COMPLETE_SNAPSHOT_SHARE).toLong()
+    val completeSnapshotBeforeRecords: Long = (slotCount * COMPLETE_SNAPSHOT_SHARE).toLong()
 
     /** The slot of the record with [recordNumber]. */
     fun slotOf(recordNumber: Long): Int = (recordNumber % slotCount).toInt()
 
     companion object {
-        private const val TARGET_BYTES = 1024 * 1024
+        private const val TARGET_TOTAL_BYTES = 1024 * 1024
         private const val BEGIN_SNAPSHOT_SHARE = 0.375
         private const val COMPLETE_SNAPSHOT_SHARE = 0.875
 
-        /** The size that the release in production uses; no journal is smaller. */
+        /** The journal size that the release in production uses; no journal is smaller. */
         val MINIMUM = JournalSize(128)
 
-        /** Returns the size for values of up to [valueBytes], once every node reads journals above the minimum size. */
+        /**
+         * Returns the journal size for values of up to [valueBytes]. A journal above [MINIMUM] may be used only if every node can read
+         * it.
+         */
         fun forValuesOf(valueBytes: Int): JournalSize =
-            if (TARGET_BYTES / valueBytes > MINIMUM.slotCount) JournalSize(TARGET_BYTES / valueBytes) else MINIMUM
+            if (TARGET_TOTAL_BYTES / valueBytes > MINIMUM.slotCount) JournalSize(TARGET_TOTAL_BYTES / valueBytes) else MINIMUM
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalState.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalState.kt
@@ -10,7 +10,7 @@
 
     private val slots = HashMap<Int, Slot>()
 
-    /** When this leader's last transaction was committed; null before the first. */
+    /** When this leader's last transaction was committed; null before its first transaction. */
     var writtenAt: MonotonicTime? = null
         private set
 
@@ -18,11 +18,11 @@
     var nextRecordNumber = 1L
         private set
 
-    /** Number of the last record whose changes the latest complete snapshot contains; 0 without a snapshot. */
+    /** Number of the last record whose changes the latest complete snapshot contains; 0 if there is no snapshot. */
     var lastRecordInSnapshot = 0L
         private set
 
-    /** Number of the latest complete snapshot; 0 without one. */
+    /** Number of the latest complete snapshot; 0 if there is none. */
     var snapshotGeneration = 0L
         private set
 
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -17,18 +17,20 @@
 internal class JournalWriter(private val context: PersistenceContext, private val clock: Clock) {
     private val cluster get() = context.cluster
     private val journal get() = context.journal
+
+    /** When journal records were last added to a batch. */
     private var lastAddedAt = MonotonicTime(Long.MIN_VALUE / 2)
 
-    /** Changes taken from the queue of pending changes, and their [text] with one journal entry for each. */
+    /** Changes taken from the queue of pending changes, and the journal [text] with one entry for each change. */
     private class JournalEntries(val text: String, val changes: List<PendingChange>)
 
     /** Adds pending changes to [batch] in the order in which they happened, in at most [maxRecords] records. */
     fun contribute(batch: WriteBatch, options: BatchOptions, maxRecords: Int) {
         val now = clock.now()
-        if (options.isScarce && now - lastAddedAt < SCARCE_INTERVAL_MS && cluster.pendingChanges.size < MANY_PENDING_CHANGES) return
+        if (options.areWritesScarce && now - lastAddedAt < SCARCE_INTERVAL_MS && cluster.pendingChanges.size < MANY_PENDING_CHANGES) return
         val maxFreeRecords = countFreeSlots(options.journalSize, minOf(maxRecords, batch.remainingOps))
         if (maxFreeRecords <= 0) return
-        val maxChars = maxFreeRecords * options.limits.valueBytes * if (options.isCompact) USUAL_COMPRESSION_RATIO else 1
+        val maxChars = maxFreeRecords * options.limits.valueBytes * if (options.mayCompress) USUAL_COMPRESSION_RATIO else 1
         addRecords(batch, options, dequeueEntries(maxChars), maxFreeRecords)
         if (batch.journalRecords.isNotEmpty()) lastAddedAt = now
     }
@@ -37,7 +39,7 @@
         val text = entries.text
         var from = 0
         while (from < text.length && batch.journalRecords.size < maxRecords && batch.remainingOps > 0) {
-            val piece = TextCodec.packNext(text, from, options.limits.valueBytes, options.isCompact)
+            val piece = TextCodec.packNext(text, from, options.limits.valueBytes, options.mayCompress)
             val record = JournalRecord(journal.nextRecordNumber + batch.journalRecords.size, piece.plain, piece.compressed)
             val slot = options.journalSize.slotOf(record.number)
             val addedCount = batch.journaledChanges.size
@@ -51,9 +53,9 @@
     /** Returns how many of the next slots are free, up to [max]; one slot of the journal always stays free. */
     private fun countFreeSlots(size: JournalSize, max: Int): Int {
         val maxUsable = minOf(max.toLong(), size.slotCount - 1 - journal.recordsSinceSnapshot).toInt()
-        var free = 0
-        while (free < maxUsable && journal.isFree(size.slotOf(journal.nextRecordNumber + free))) free++
-        return free
+        var freeCount = 0
+        while (freeCount < maxUsable && journal.isFree(size.slotOf(journal.nextRecordNumber + freeCount))) freeCount++
+        return freeCount
     }
 
     /** Removes the first pending changes from their queue and returns their entries, of about [maxChars] characters in total. */
@@ -62,7 +64,8 @@
         val changes = ArrayList<PendingChange>()
         while (text.length < maxChars) {
             val change = cluster.pendingChanges.removeFirstOrNull() ?: break
-            // The assignment ended, or its job was cancelled, before the start was journaled: the start was not sent and is not journaled.
+            // The assignment ended, or its job was cancelled, before the start was journaled: the start is not journaled, nor was its
+            // command sent.
             if (change is PendingChange.Started && isObsoleteStart(change.assignment)) {
                 cluster.assignments.release(change.assignment, clock.now())
             } else {
@@ -103,7 +106,9 @@
     }
 
     private companion object {
-        /** While writes are scarce, minimum time between batches with journal records, unless [MANY_PENDING_CHANGES] are pending. */
+        /**
+         * While writes are scarce, minimum time between batches with journal records, unless [MANY_PENDING_CHANGES] or more are pending.
+         */
         const val SCARCE_INTERVAL_MS = 400L
         const val MANY_PENDING_CHANGES = 100
 
--- a/src/main/kotlin/mountmast/coordination/persistence/MachineTypesWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/MachineTypesWriter.kt
@@ -7,22 +7,23 @@
 
 /** Adds the machine types to batches until the store holds all of them. Guarded by the lock of [PersistenceContext]. */
 internal class MachineTypesWriter(private val context: PersistenceContext) : BatchContributor {
-    /** Puts of [types] that are not committed yet; the value that names the other parts comes last. */
+    /** Puts of [types] that are not committed yet; the value that tells how many other parts there are comes last. */
     private var remainingPuts: List<Write.Put> = emptyList()
     private var types: MachineTypes? = null
     private var limits: WriteLimits? = null
 
     override fun contribute(batch: WriteBatch, options: BatchOptions) {
-        val pending = context.pendingTypes ?: return
+        val pendingTypes = context.pendingTypes ?: return
         val limits = options.limits
-        if (types !== pending || this.limits != limits) {
-            types = pending
+        if (types !== pendingTypes || this.limits != limits) {
+            types = pendingTypes
             this.limits = limits
-            remainingPuts = if (options.maySplitTypes) TypesForm.writes(pending, limits.valueBytes) else listOf(TypesForm.whole(pending))
+            remainingPuts =
+                if (options.maySplitTypes) TypesForm.writes(pendingTypes, limits.valueBytes) else listOf(TypesForm.whole(pendingTypes))
         }
         for (put in remainingPuts) {
             if (batch.remainingOps <= 0) return
-            batch.addMachineTypes(pending, put)
+            batch.addMachineTypes(pendingTypes, put)
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/PersistenceContext.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/PersistenceContext.kt
@@ -22,10 +22,10 @@
     /** Which part of the cluster state the journal and the snapshot in the store hold. */
     val journal: JournalState
 
-    /** The live jobs as the leader knows them. */
+    /** The informer that keeps the leader's live jobs up to date. */
     val jobs: JobInformer
 
-    /** Requests a scheduling cycle when committed changes have freed capacity. */
+    /** Wakes the thread that runs scheduling cycles, for example when committed changes have freed capacity. */
     val signals: TermSignals
 
     /** Machine types that the store does not hold yet; null once it holds the current ones. */
--- a/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
@@ -14,50 +14,52 @@
  * status. Writes about once a second, and less often while writes are scarce. Guarded as its [ClusterState] is.
  */
 internal class ProgressWriter(private val cluster: ClusterState, private val clock: Clock) : BatchContributor {
-    /** The record that was added last for each part; null if it is unknown or may not be in the store. */
-    private val lastAdded = ArrayList<ProgressRecord?>()
-    private var roundEndedAt = MonotonicTime(Long.MIN_VALUE / 2)
+    /** The record that was added last for each part of the progress; null if that record is unknown or may not be in the store. */
+    private val lastAddedRecords = ArrayList<ProgressRecord?>()
+    private var allAddedAt = MonotonicTime(Long.MIN_VALUE / 2)
 
-    /** All parts of the progress that is being written, possibly by several batches; null once all of them were added. */
-    private var round: List<ProgressRecord>? = null
+    /** The records of all parts of the progress, which several batches may have to write; null once all of them were added to a batch. */
+    private var recordsToAdd: List<ProgressRecord>? = null
 
-    /** Whether [setStoredParts] was called. Before that, outdated parts of an earlier leader might stay in the store. */
+    /** Whether [setStoredParts] was called. Before that, outdated progress of an earlier leader might stay in the store. */
     var areStoredPartsKnown = false
         private set
 
-    /** Sets which [keys] of progress the store holds; parts of an earlier leader that are no longer needed will be emptied. */
+    /**
+     * Sets which [keys] of progress the store holds. Keys that the current progress does not need will be overwritten with an empty text.
+     */
     fun setStoredParts(keys: List<String>) {
         areStoredPartsKnown = true
-        val parts = keys.mapNotNull { it.removePrefix(Keys.PROGRESS).toIntOrNull() }.maxOrNull()?.plus(1) ?: 0
-        while (lastAdded.size < parts) lastAdded += null
+        val partCount = keys.mapNotNull { it.removePrefix(Keys.PROGRESS).toIntOrNull() }.maxOrNull()?.plus(1) ?: 0
+        while (lastAddedRecords.size < partCount) lastAddedRecords += null
     }
 
     override fun contribute(batch: WriteBatch, options: BatchOptions) {
         val now = clock.now()
-        if (round == null && now - roundEndedAt < if (options.isScarce) SCARCE_INTERVAL_MS else INTERVAL_MS) return
-        val records = round ?: packRecords(options).also { round = it }
+        if (recordsToAdd == null && now - allAddedAt < if (options.areWritesScarce) SCARCE_WRITE_INTERVAL_MS else WRITE_INTERVAL_MS) return
+        val records = recordsToAdd ?: packRecords(options).also { recordsToAdd = it }
         for ((part, record) in records.withIndex()) {
-            if (lastAdded[part] == record) continue
+            if (lastAddedRecords[part] == record) continue
             if (batch.remainingOps <= 0) return
             batch.put(Keys.progress(part), WireJson.encodeToJsonElement(record))
-            lastAdded[part] = record
+            lastAddedRecords[part] = record
         }
-        round = null
-        roundEndedAt = now
+        recordsToAdd = null
+        allAddedAt = now
     }
 
     override fun requeue() {
-        lastAdded.replaceAll { null }
-        round = null
-        roundEndedAt = MonotonicTime(Long.MIN_VALUE / 2)
+        lastAddedRecords.replaceAll { null }
+        recordsToAdd = null
+        allAddedAt = MonotonicTime(Long.MIN_VALUE / 2)
     }
 
     private fun packRecords(options: BatchOptions): List<ProgressRecord> {
-        val records = TextCodec.pack(formatProgress(), options.limits.valueBytes, options.isCompact)
+        val records = TextCodec.pack(formatProgress(), options.limits.valueBytes, options.mayCompress)
             .mapTo(ArrayList()) { ProgressRecord(it.plain, it.compressed) }
-        // Parts that are no longer needed are emptied.
-        while (records.size < lastAdded.size) records += ProgressRecord("")
-        while (lastAdded.size < records.size) lastAdded += null
+        // Keys of progress that are no longer needed are overwritten with an empty text.
+        while (records.size < lastAddedRecords.size) records += ProgressRecord("")
+        while (lastAddedRecords.size < records.size) lastAddedRecords += null
         return records
     }
 
@@ -69,7 +71,7 @@
     }
 
     private companion object {
-        const val INTERVAL_MS = 1000L
-        const val SCARCE_INTERVAL_MS = 3000L
+        const val WRITE_INTERVAL_MS = 1000L
+        const val SCARCE_WRITE_INTERVAL_MS = 3000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/SnapshotWriter.kt
@@ -15,42 +15,43 @@
  */
 internal class SnapshotWriter(private val context: PersistenceContext) : BatchContributor {
     /**
-     * The snapshot being written. Its [text] is packed part by part, since packing all of it at once would hold the lock for too long.
+     * The snapshot being written. Its [text] is divided into values, and compressed, one part at a time: doing so for the whole text
+     * at once would hold the lock for too long.
      *
-     * @property lastRecord number of the last journal record whose changes the text contains
+     * @property lastRecordNumber number of the last journal record whose changes the text contains
      * @property recordsAtBegin number of journal records since the previous snapshot at the time this one was begun
-     * @property position length of the text that committed parts hold, in characters
-     * @property parts number of committed parts
+     * @property committedChars length of the text that committed parts hold, in characters
+     * @property committedParts number of committed parts
      */
     private data class Draft(
         val text: String,
         val generation: Long,
-        val lastRecord: Long,
+        val lastRecordNumber: Long,
         val recordsAtBegin: Long,
-        val position: Int = 0,
-        val parts: Int = 0,
+        val committedChars: Int = 0,
+        val committedParts: Int = 0,
     ) {
-        val areAllPartsStored: Boolean get() = position == text.length
-        fun toPointer() = SnapshotRecord(generation, lastRecord, parts)
+        val areAllPartsStored: Boolean get() = committedChars == text.length
+        fun toPointer() = SnapshotRecord(generation, lastRecordNumber, committedParts)
     }
 
     private var draft: Draft? = null
 
     override fun contribute(batch: WriteBatch, options: BatchOptions) {
-        val current = draft ?: begin(options.journalSize) ?: return
-        // Parts are committed only while the pointer still names the previous snapshot: a transaction executed late changes no part of a
-        // complete snapshot.
+        val current = draft ?: beginIfDue(options.journalSize) ?: return
+        // Parts are committed only while the pointer still names the previous snapshot. So a transaction that the store executes late
+        // changes no part of a complete snapshot.
         batch.addCompare(Keys.SNAPSHOT, context.journal.snapshotModRevision)
         addParts(batch, current, options)
         if (current.areAllPartsStored && batch.remainingOps > 0) batch.addSnapshotPointer(current.toPointer())
     }
 
     private fun addParts(batch: WriteBatch, current: Draft, options: BatchOptions) {
-        val dueEnd = if (options.isScarce) computeDueEnd(current, options.journalSize) else current.text.length
-        var position = current.position
-        while (batch.remainingOps > 0 && batch.snapshotPartCount < PARTS_PER_BATCH && position < dueEnd) {
-            val piece = TextCodec.packNext(current.text, position, options.limits.valueBytes, options.isCompact)
-            val key = Keys.snapshotPart(current.generation, current.parts + batch.snapshotPartCount)
+        val dueEnd = if (options.areWritesScarce) computeDueEnd(current, options.journalSize) else current.text.length
+        var position = current.committedChars
+        while (batch.remainingOps > 0 && batch.snapshotPartCount < MAX_PARTS_PER_BATCH && position < dueEnd) {
+            val piece = TextCodec.packNext(current.text, position, options.limits.valueBytes, options.mayCompress)
+            val key = Keys.snapshotPart(current.generation, current.committedParts + batch.snapshotPartCount)
             batch.addSnapshotPart(key, WireJson.encodeToJsonElement(SnapshotPart(piece.plain, piece.compressed)), piece.end)
             position = piece.end
         }
@@ -58,7 +59,9 @@
 
     override fun onCommitted(batch: WriteBatch, modRevision: ModRevision) {
         if (batch.snapshotPartCount > 0) {
-            draft = draft?.let { it.copy(position = batch.snapshotTextEnd, parts = it.parts + batch.snapshotPartCount) }
+            draft = draft?.let {
+                it.copy(committedChars = batch.snapshotTextEnd, committedParts = it.committedParts + batch.snapshotPartCount)
+            }
         }
         batch.completedSnapshot?.let { onPointerStored(it, modRevision) }
     }
@@ -70,24 +73,27 @@
     }
 
     /** Begins a snapshot of all changes in the journal so far, if one is due. Later records are replayed after the snapshot. */
-    private fun begin(size: JournalSize): Draft? {
+    private fun beginIfDue(size: JournalSize): Draft? {
         val journal = context.journal
         // If a former leader used another journal size, the next slot may hold a record that is still needed, although few slots do.
-        val isDue = journal.recordsSinceSnapshot >= size.beginSnapshotAfter || !journal.isFree(size.slotOf(journal.nextRecordNumber))
+        val isDue = journal.recordsSinceSnapshot >= size.beginSnapshotAfterRecords || !journal.isFree(size.slotOf(journal.nextRecordNumber))
         if (!isDue) return null
-        val text = context.cluster.describe()
+        val text = context.cluster.toSnapshotText()
         return Draft(text, journal.snapshotGeneration + 1, journal.nextRecordNumber - 1, journal.recordsSinceSnapshot).also { draft = it }
     }
 
-    /** Returns up to which character the text should be written now, for the snapshot to be complete before the free slots run out. */
+    /**
+     * Returns up to which character the text of the snapshot should be written now, for the snapshot to be complete before the free slots
+     * run out.
+     */
     private fun computeDueEnd(current: Draft, size: JournalSize): Int {
         val recordsSinceBegin = context.journal.recordsSinceSnapshot - current.recordsAtBegin
-        val available = maxOf(size.completeSnapshotBefore, current.recordsAtBegin + 1) - current.recordsAtBegin
-        val share = (recordsSinceBegin + 1).toDouble() / available
-        return minOf(current.text.length.toLong(), (current.text.length * share).toLong()).toInt()
+        val recordsUntilComplete = maxOf(size.completeSnapshotBeforeRecords, current.recordsAtBegin + 1) - current.recordsAtBegin
+        val dueShare = (recordsSinceBegin + 1).toDouble() / recordsUntilComplete
+        return minOf(current.text.length.toLong(), (current.text.length * dueShare).toLong()).toInt()
     }
 
     private companion object {
-        const val PARTS_PER_BATCH = 4
+        const val MAX_PARTS_PER_BATCH = 4
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/StateLoader.kt
@@ -23,7 +23,7 @@
 
 private val log = LoggerFactory.getLogger("mountmast.leader")
 
-/** Result of [StateLoader.loadHints]. */
+/** Result of [StateLoader.loadHints]: whether it read the hints about images that are cached on machines. */
 enum class HintsLoad {
     /** The hints were read and restored. */
     LOADED,
@@ -33,9 +33,9 @@
 }
 
 /**
- * Rebuilds the leader's state from what earlier leaders wrote. Apart from the records of live jobs, whose later changes a watch delivers,
- * only leaders write what is read here, and no transaction of an earlier leader can be committed any more. Called by one thread. Takes
- * [lock], but never holds it during a call to the store.
+ * Rebuilds the leader's state from the records of live jobs and from what earlier leaders wrote. Later changes of the records of live jobs
+ * are delivered by a watch. All else that is read here is written by leaders only, and no transaction of an earlier leader can be
+ * committed any more. Called by one thread. Takes [lock], but never holds it during a call to the store.
  */
 class StateLoader(
     private val lock: ReentrantLock,
@@ -54,7 +54,7 @@
         val requestedAtWall = clock.wall()
         val stored = reader.readState()
         val readAt = clock.now()
-        lock.withLock { restore(stored, requestedAt, requestedAtWall) }
+        lock.withLock { restoreState(stored, requestedAt, requestedAtWall) }
         log.info(
             "read {} jobs up to revision {}, {} parts of snapshot {} and {} slots of the journal in {} ms, replayed in {} ms",
             stored.liveJobs.size,
@@ -67,7 +67,10 @@
         )
     }
 
-    /** Reads and restores the hints, once in each term. Throws `StoreException` if the store cannot be read. */
+    /**
+     * Reads and restores the hints about which images are cached on which machines; the leader can begin to work without them. Reads
+     * them only once in each term. Throws `StoreException` if the store cannot be read.
+     */
     fun loadHints(): HintsLoad {
         if (areHintsLoaded) return HintsLoad.ALREADY_LOADED
         val images = reader.readImages()
@@ -76,13 +79,13 @@
         return HintsLoad.LOADED
     }
 
-    private fun restore(stored: StoredState, requestedAt: MonotonicTime, requestedAtWall: WallTime) {
-        stored.types?.let(cluster::replaceTypes)
+    private fun restoreState(stored: StoredState, requestedAt: MonotonicTime, requestedAtWall: WallTime) {
+        stored.machineTypes?.let(cluster::replaceTypes)
         jobs.applyAll(stored.liveJobs, stored.revision, requestedAt, requestedAtWall)
         val replay = JournalReplay(cluster, clock.now())
-        val unreadable = replaySnapshot(stored.snapshot, replay) + replayJournal(stored.journalSlots, replay)
-        if (unreadable > 0) log.error("{} entries of the snapshot and the journal cannot be read", unreadable)
-        stored.failingJobs?.let(::restoreFailingJobs)
+        val unreadableCount = replaySnapshot(stored.snapshot, replay) + replayJournal(stored.journalSlots, replay)
+        if (unreadableCount > 0) log.error("{} entries of the snapshot and the journal cannot be read", unreadableCount)
+        stored.failingJobsEntry?.let(::restoreFailingJobs)
     }
 
     private fun restoreFailingJobs(entry: Entry) {
@@ -97,7 +100,7 @@
     private fun replaySnapshot(snapshot: StoredSnapshot, replay: JournalReader): Int {
         journal.setSnapshot(snapshot.record, snapshot.pointer?.modRevision ?: ModRevision.ABSENT)
         return snapshot.parts.take(snapshot.record?.parts ?: 0).sumOf { entry ->
-            RecordDecoder.decode<SnapshotPart>(entry.key, entry.value)?.let { replayText(entry.key, replay, it::text) } ?: 0
+            RecordDecoder.decode<SnapshotPart>(entry.key, entry.value)?.let { replayEntries(entry.key, replay, it::text) } ?: 0
         }
     }
 
@@ -105,7 +108,7 @@
     private fun replayJournal(slots: List<Entry>, replay: JournalReader): Int {
         val records = slots.mapNotNull(::restoreSlot).sortedBy { it.number }
         journal.continueNumberingAfter(records.lastOrNull()?.number ?: 0)
-        return records.filter { it.number > journal.lastRecordInSnapshot }.sumOf { replayText("record ${it.number}", replay, it::text) }
+        return records.filter { it.number > journal.lastRecordInSnapshot }.sumOf { replayEntries("record ${it.number}", replay, it::text) }
     }
 
     /** Returns the journal record in the slot of [entry], or null if it is unreadable; the slot of an unreadable record counts as free. */
@@ -116,11 +119,14 @@
         return record
     }
 
-    /** Replays the entries in [text]. Returns how many of them could not be read, or 1 if the whole text is unreadable. */
-    private fun replayText(name: String, replay: JournalReader, text: () -> String): Int = try {
+    /**
+     * Replays the journal entries in [text], which was read from [source]. Returns how many of them could not be read, or 1 if the whole
+     * text is unreadable.
+     */
+    private fun replayEntries(source: String, replay: JournalReader, text: () -> String): Int = try {
         JournalText.read(text(), replay)
     } catch (e: UnreadableText) {
-        log.error("unreadable text in {}: {}", name, e.message)
+        log.error("unreadable text in {}: {}", source, e.message)
         1
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/WriteBatch.kt
@@ -28,7 +28,7 @@
 internal class WriteBatch(leaderModRevision: ModRevision, private val maxOps: Int) {
     private val compares = arrayListOf(Compare(Keys.LEADER, leaderModRevision))
     private val writes = ArrayList<Write>()
-    private var bytes = 0L
+    private var valueBytes = 0L
     private val collectedChanges = ArrayList<PendingChange>()
     private val collectedRecords = ArrayList<SlottedRecord>()
     private val collectedJobs = ArrayList<FinishedJob>()
@@ -42,7 +42,7 @@
     /** Finished jobs whose live records the batch replaces by final ones. */
     val finishedJobs: List<FinishedJob> get() = collectedJobs
 
-    /** Machine types of which the batch writes at least a part, or null if it writes none. */
+    /** The machine types of which the batch writes at least one value, or null if it writes none. */
     var machineTypes: MachineTypes? = null
         private set
 
@@ -54,7 +54,7 @@
     var snapshotPartCount = 0
         private set
 
-    /** Position in the snapshot's text, in characters, where the last snapshot part of the batch ends; 0 without parts. */
+    /** Position in the snapshot's text, in characters, where the last snapshot part of the batch ends; 0 if it writes no part. */
     var snapshotTextEnd = 0
         private set
 
@@ -62,8 +62,8 @@
     var completedSnapshot: SnapshotRecord? = null
         private set
 
-    /** How many puts and deletes may still be added; 0 once the values take [MAX_BYTES]. */
-    val remainingOps: Int get() = if (bytes >= MAX_BYTES) 0 else maxOps - writes.size
+    /** How many puts and deletes may still be added; 0 once the values take [MAX_TOTAL_VALUE_BYTES]. */
+    val remainingOps: Int get() = if (valueBytes >= MAX_TOTAL_VALUE_BYTES) 0 else maxOps - writes.size
 
     /** Whether there is nothing to write. */
     val isEmpty: Boolean get() = writes.isEmpty()
@@ -93,7 +93,7 @@
         collectedJobs += finished
     }
 
-    /** Adds [value], which writes all or some of [types]. */
+    /** Adds the put [value], which holds all or some of [types]. */
     fun addMachineTypes(types: MachineTypes, value: Write.Put) {
         machineTypes = types
         machineTypesWriteCount++
@@ -107,7 +107,7 @@
         snapshotTextEnd = textEnd
     }
 
-    /** Adds the put of [pointer], to a snapshot of which all parts are in the store. */
+    /** Adds the put of [pointer]. All parts of the snapshot that it points to have to be in the store already. */
     fun addSnapshotPointer(pointer: SnapshotRecord) {
         put(Keys.SNAPSHOT, WireJson.encodeToJsonElement(pointer))
         completedSnapshot = pointer
@@ -118,11 +118,14 @@
 
     private fun put(write: Write.Put) {
         writes += write
-        bytes += jsonSize(write.value)
+        valueBytes += jsonSize(write.value)
     }
 
     private companion object {
-        /** Less than the 64 KiB that a transaction may have, so that the compares, the keys and one more value still fit. */
-        const val MAX_BYTES = 40 * 1024
+        /**
+         * Total size of values from which on no put or delete is added. Less than the 64 KiB that a transaction may have, so that the
+         * compares, the keys and one more value still fit.
+         */
+        const val MAX_TOTAL_VALUE_BYTES = 40 * 1024
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/WriteLimits.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/WriteLimits.kt
@@ -19,7 +19,7 @@
     )
 
     companion object {
-        /** The longest journal entry fits, together with the JSON around it. */
+        /** The longest journal entry fits into a value of this size, together with the JSON around it. */
         private const val MIN_VALUE_BYTES = 512
 
         /** Returns the [limits] of the settings, but never less than the minimum. */
--- a/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
+++ b/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
@@ -10,7 +10,7 @@
 /**
  * Moves assignments through their life cycle, from the placement decision to the release. Guarded by the lock of the leader's term.
  *
- * A task is freed only on evidence that cannot be outdated: the worker reports that the attempt has exited, the worker's
+ * An assignment is ended only on evidence that cannot be outdated: the worker reports that the attempt has exited, the worker's
  * incarnation has ended, or the machine is deleted. A heartbeat that merely does not list a task proves nothing, since the start
  * command may still be on its way. Even with that evidence the assignment keeps its resources until the store no longer lists it,
  * because the next leader would restore it from the store and start the task again.
@@ -30,7 +30,7 @@
     }
 
     /** The resources of all assignments of [team] that are not released. */
-    fun usageOf(team: TeamId): Resources = usage.of(team)
+    fun usageOf(team: TeamId): Resources = usage.usageOf(team)
 
     /**
      * Assigns the task [index] of [job] to [machine], whose incarnation and zone must be known. The start command may be sent only
--- a/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -35,7 +35,7 @@
     val pendingChanges = ArrayDeque<PendingChange>()
 
     /** Jobs that are complete or cancelled. Such a job is finished as soon as all of its assignments have ended. */
-    val finishing = LinkedHashSet<Job>()
+    val finishingJobs = LinkedHashSet<Job>()
 
     /** Creates, ends and releases assignments. */
     val assignments = AssignmentLifecycle(this, losses)
@@ -62,22 +62,22 @@
         }
         job.modRevision = modRevision
         if (record.cancelled && !job.isCancellationRecorded) {
-            job.cancel(knownUpTo, recorded = true)
-            finishing += job
+            job.cancel(knownUpTo, isRecorded = true)
+            finishingJobs += job
         }
         return job
     }
 
     /**
-     * The low watermark of cancellations, given that all changes of jobs before [knownUpTo] are known: no job whose cancellation was
-     * committed before it has an assignment that may still run.
+     * The low watermark of cancellations, given that all changes of jobs before [knownUpTo] are known. No job whose cancellation was
+     * committed before the watermark has an assignment that may still run.
      */
     fun watermark(knownUpTo: WallTime): WallTime =
         jobs.values.filter { it.isCancelled && !it.hasNoLiveAssignments() }.minOfOrNull { it.cancelledAfter }?.let { minOf(it, knownUpTo) }
             ?: knownUpTo
 
-    /** The tasks and assignments that the store lists now, as the text of a snapshot. */
-    fun describe(): String = ClusterStateText.of(jobs.values)
+    /** Returns the tasks and assignments that the store lists now, as the text of a snapshot. */
+    fun toSnapshotText(): String = ClusterStateText.of(jobs.values)
 
     /** Records that the task [index] of [job] is done, and marks the job for finishing if that was its last task. */
     fun completeTask(job: Job, index: Int) {
@@ -87,14 +87,14 @@
 
     /** Marks [job] for finishing if all of its tasks are done. */
     fun finishIfComplete(job: Job) {
-        if (job.isComplete) finishing += job
+        if (job.isComplete) finishingJobs += job
     }
 
     /** Removes a finished job and releases the assignments that it still has. */
     fun removeJob(job: Job, now: MonotonicTime) {
         for (assignment in job.live.values.toList()) assignments.release(assignment, now)
         jobs.remove(job.id)
-        finishing.remove(job)
+        finishingJobs.remove(job)
     }
 
     /** Adds [machine], or replaces its entry that held only the name, and takes over the images recorded for it by the previous leader. */
--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -33,7 +33,7 @@
     }
 
     private fun backOff(job: Job, now: MonotonicTime) {
-        val doublings = minOf(job.failures - Job.MIN_FAILED_MACHINES, MAX_DOUBLINGS)
+        val doublings = minOf(job.failures - Job.MIN_FAILED_MACHINES, MAX_BACKOFF_DOUBLINGS)
         job.recentFailures.pausePlacementUntil(now + (MIN_BACKOFF_MS shl maxOf(0, doublings)))
     }
 
@@ -48,7 +48,7 @@
             if (!job.isPoisoned || job.isCancelled) continue
             failing[job.id] = FailingJob(
                 job.failedMachines.take(MAX_RECORDED_MACHINES),
-                minOf(job.failures, Job.MIN_FAILED_MACHINES + MAX_DOUBLINGS),
+                minOf(job.failures, Job.MIN_FAILED_MACHINES + MAX_BACKOFF_DOUBLINGS),
             )
         }
         return failing
@@ -132,7 +132,7 @@
     private companion object {
         const val FAILURE_PAUSE_MS = 2000L
         const val MIN_BACKOFF_MS = 5000L
-        const val MAX_DOUBLINGS = 4
+        const val MAX_BACKOFF_DOUBLINGS = 4
         const val MAX_RECORDED_MACHINES = 5
         const val QUARANTINE_THRESHOLD = 2
         const val MIN_RUNS_TO_COMPARE = 2
--- a/src/main/kotlin/mountmast/coordination/state/ImageCache.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ImageCache.kt
@@ -11,19 +11,19 @@
     val images = LinkedHashMap<ImageId, Double>()
 
     /** Adds the images that the previous leader recorded, except those that are known already. */
-    fun restore(known: Map<ImageId, Double>) {
-        for ((image, sizeGb) in known) images.putIfAbsent(image, sizeGb)
+    fun restore(recorded: Map<ImageId, Double>) {
+        for ((image, sizeGb) in recorded) images.putIfAbsent(image, sizeGb)
     }
 
     /** Records a use of [image] and evicts the least recently used images until the rest fits into [cacheGb]. */
     fun touch(image: ImageId, sizeGb: Double, cacheGb: Double) {
         images.remove(image)
         images[image] = sizeGb
-        var used = images.values.sum()
-        val oldest = images.entries.iterator()
-        while (used > cacheGb && oldest.hasNext()) {
-            used -= oldest.next().value
-            oldest.remove()
+        var usedGb = images.values.sum()
+        val oldestImages = images.entries.iterator()
+        while (usedGb > cacheGb && oldestImages.hasNext()) {
+            usedGb -= oldestImages.next().value
+            oldestImages.remove()
         }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/InheritedPriorities.kt
+++ b/src/main/kotlin/mountmast/coordination/state/InheritedPriorities.kt
@@ -7,13 +7,13 @@
  * Priority inheritance along the dependency graph: a job inherits the highest urgency of the jobs that depend on it, and a due time
  * that leaves them their estimated run times (the critical path). Users set urgency and deadline on a pipeline's last job only.
  *
- * Updated incrementally: a job that is added propagates its requirement to its prerequisites, as far as it is stricter than what
- * they inherited before. The priority of a job that lost dependents is recomputed before the next scheduling cycle, once
- * however many dependents were removed. Guarded by the lock of the leader's term.
+ * Updated incrementally: a job that is added propagates its requirement to each direct or indirect prerequisite that inherited a less
+ * strict one. The priority of a job that lost dependents is recomputed before the next scheduling cycle, only once for all dependents
+ * that were removed. Guarded by the lock of the leader's term.
  */
 internal class InheritedPriorities(private val dependents: Map<JobId, Set<Job>>) {
     /** Jobs that lost a dependent and whose inherited priority is not recomputed yet. */
-    private val stale = LinkedHashSet<Job>()
+    private val staleJobs = LinkedHashSet<Job>()
 
     /** Propagates the requirement of [job] to its direct and indirect prerequisites among the [live] jobs. */
     fun addDependent(job: Job, live: Map<JobId, Job>) {
@@ -38,14 +38,14 @@
 
     /** Makes the next [refresh] recompute the inherited priority of [job], which lost a dependent. */
     fun markStale(job: Job) {
-        stale += job
+        staleJobs += job
     }
 
     /** Recomputes the inherited priorities of the jobs that lost a dependent, and of their prerequisites among the [live] jobs. */
     fun refresh(live: Map<JobId, Job>) {
-        if (stale.isEmpty()) return
-        val pending = ArrayDeque(stale)
-        stale.clear()
+        if (staleJobs.isEmpty()) return
+        val pending = ArrayDeque(staleJobs)
+        staleJobs.clear()
         while (pending.isNotEmpty()) {
             val job = pending.removeFirst()
             val inheritedPriority = priorityFromDependents(job)
--- a/src/main/kotlin/mountmast/coordination/state/Invariants.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Invariants.kt
@@ -11,15 +11,15 @@
  * relies on them. A violation is logged at `error` and counted, and the caller skips the action; the process goes on. Thread-safe.
  */
 class Invariants(metrics: Metrics = Metrics()) {
-    private val violations = metrics.counter(MetricNames.INVARIANT_VIOLATIONS)
+    private val violationCounter = metrics.counter(MetricNames.INVARIANT_VIOLATIONS)
 
     /** How many violations were found since the process started. */
-    val violationCount: Long get() = violations.value
+    val violationCount: Long get() = violationCounter.value
 
     /** Returns [isMet]. If it is false, counts a violation and logs the result of [message], which is not called otherwise. */
     fun check(isMet: Boolean, message: () -> String): Boolean {
         if (!isMet) {
-            violations.add()
+            violationCounter.add()
             log.error("invariant violated: {}", message())
         }
         return isMet
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -35,17 +35,17 @@
         private set
 
     /**
-     * Cancels the job and stops its tasks without a grace period. [recorded] tells whether the job's record says that it is cancelled,
-     * or only a broadcast. The cancellation was committed no earlier than [after].
+     * Cancels the job and stops its tasks without a grace period. [isRecorded] tells whether the job's record says that it is cancelled,
+     * or only a broadcast. The cancellation was committed no earlier than [committedAfter].
      */
-    fun cancel(after: WallTime, recorded: Boolean) {
+    fun cancel(committedAfter: WallTime, isRecorded: Boolean) {
         if (!isCancelled) {
             isCancelled = true
-            cancelledAfter = after
+            cancelledAfter = committedAfter
             // The results of a cancelled job are not needed, so its tasks get no time to save their progress.
             for (assignment in live.values) assignment.stopAtOnce()
         }
-        isCancellationRecorded = isCancellationRecorded || recorded
+        isCancellationRecorded = isCancellationRecorded || isRecorded
     }
 
     /** The job's prerequisites that are not known to be done. */
--- a/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobDependencies.kt
@@ -27,7 +27,7 @@
     private val inheritedPriorities = InheritedPriorities(dependents)
 
     /** The records of the jobs whose list of prerequisites is still to be read from the state service. */
-    internal val unreadLists: List<JobRecord> get() = lookups.lists
+    internal val recordsWithUnreadList: List<JobRecord> get() = lookups.recordsWithUnreadList
 
     /** Whether the job [id] is among those that finished most recently. */
     internal fun isRecentlyFinished(id: JobId) = id in finishedJobs
@@ -71,24 +71,24 @@
 
     /** Cancels all jobs that depend on [job], whose cancellation is recorded in the state service. */
     internal fun cancelDependents(job: Job) {
-        val count = cancelAll(dependents[job.id].orEmpty())
-        if (count > 0) log.info("job={} is cancelled, and {} dependent jobs with it", job.id, count)
+        val cancelledCount = cancelAll(dependents[job.id].orEmpty())
+        if (cancelledCount > 0) log.info("job={} is cancelled, and {} dependent jobs with it", job.id, cancelledCount)
     }
 
     /** Cancels [roots] and their direct and indirect dependents; returns how many had no recorded cancellation before. */
     private fun cancelAll(roots: Collection<Job>): Int {
-        var count = 0
+        var cancelledCount = 0
         val pending = ArrayDeque(roots)
         while (pending.isNotEmpty()) {
             val job = pending.removeFirst()
             if (job.isCancellationRecorded) continue
-            count++
+            cancelledCount++
             // No task of a job with open prerequisites ever ran, so its cancellation need not hold back the watermark.
-            job.cancel(WallTime(0), recorded = true)
-            cluster.finishing += job
+            job.cancel(WallTime(0), isRecorded = true)
+            cluster.finishingJobs += job
             pending += dependents[job.id].orEmpty()
         }
-        return count
+        return cancelledCount
     }
 
     /**
@@ -98,14 +98,14 @@
     internal fun recordFinished(id: JobId, record: FinishedJobRecord, now: MonotonicTime): List<Job> {
         finishedJobs.add(id, record)
         lookups.removePrerequisite(id)
-        val waiting = dependents.remove(id) ?: return emptyList()
+        val waitingJobs = dependents.remove(id) ?: return emptyList()
         if (record.status == JobStatus.CANCELLED) {
-            val count = cancelAll(waiting)
-            if (count > 0) log.info("job={} was cancelled, and {} dependent jobs with it", id, count)
+            val cancelledCount = cancelAll(waitingJobs)
+            if (cancelledCount > 0) log.info("job={} was cancelled, and {} dependent jobs with it", id, cancelledCount)
             return emptyList()
         }
-        for (job in waiting) job.unmetDependencies.recordDone(id, record.endedAt)
-        val released = waiting.filter { it.isReleased }
+        for (job in waitingJobs) job.unmetDependencies.recordDone(id, record.endedAt)
+        val released = waitingJobs.filter { it.isReleased }
         for (job in released) {
             // The released job waits for free capacity from now on, so stalls are measured from here.
             job.recordReady(now)
@@ -118,10 +118,10 @@
     internal fun removeJob(job: Job) {
         lookups.removeList(job.id)
         for (id in job.unmetDependencies.open) {
-            val others = dependents[id] ?: continue
-            others -= job
+            val remainingDependents = dependents[id] ?: continue
+            remainingDependents -= job
             cluster.jobs[id]?.let(inheritedPriorities::markStale)
-            if (others.isNotEmpty()) continue
+            if (remainingDependents.isNotEmpty()) continue
             dependents.remove(id)
             lookups.removePrerequisite(id)
         }
@@ -131,5 +131,5 @@
     fun refreshInheritedPriorities() = inheritedPriorities.refresh(cluster.jobs)
 
     /** Returns at most [limit] prerequisites whose final state is to be looked up at [now]; they are due again after a pause. */
-    internal fun nextUnresolved(limit: Int, now: MonotonicTime): List<JobId> = lookups.nextPrerequisites(limit, now)
+    internal fun nextUnresolvedPrerequisites(limit: Int, now: MonotonicTime): List<JobId> = lookups.nextPrerequisites(limit, now)
 }
--- a/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
@@ -39,8 +39,8 @@
     private val dependencies = state.dependencies
     private val signals = state.signals
     private val store = sources.store
-    private val resolver = PrerequisiteResolver(lock, dependencies, store, sources.prerequisiteLists, clock, ::recordFinished)
-    private var watchFrom = Revision(0u)
+    private val prerequisiteResolver = PrerequisiteResolver(lock, dependencies, store, sources.prerequisiteLists, clock, ::recordFinished)
+    private var nextWatchRevision = Revision(0u)
 
     /** The time before which all changes of jobs are known. */
     private var knownUpTo = Moment(MonotonicTime(0), knownBefore)
@@ -57,10 +57,10 @@
      */
     fun watch(waitMs: Long) {
         val requestedAt = Moment(clock.now(), clock.wall())
-        when (val result = store.watch(Keys.JOBS, watchFrom, waitMs)) {
+        when (val result = store.watch(Keys.JOBS, nextWatchRevision, waitMs)) {
             is WatchResult.Changes -> lock.withLock {
                 for (change in result.changes) change.value?.let { applyChange(Entry(change.key, it, change.modRevision)) }
-                watchFrom = result.upTo
+                nextWatchRevision = result.upTo
                 // A response holds all changes that were made before it was requested.
                 knownUpTo = requestedAt
             }
@@ -76,8 +76,8 @@
         val id = Keys.jobOfKey(entry.key) ?: return
         val record = RecordDecoder.decode<JobRecord>(entry.key, entry.value) ?: return
         listener.onRecord(record, entry.modRevision)
-        val known = cluster.jobs[id]
-        if (known == null || entry.modRevision.number > known.modRevision.number) applyRecord(record, entry.modRevision)
+        val knownJob = cluster.jobs[id]
+        if (knownJob == null || entry.modRevision.number > knownJob.modRevision.number) applyRecord(record, entry.modRevision)
     }
 
     /**
@@ -86,7 +86,7 @@
      */
     fun applyAll(entries: List<Entry>, revision: Revision, requestedAt: MonotonicTime, requestedWall: WallTime) {
         for (entry in entries) RecordDecoder.decode<JobRecord>(entry.key, entry.value)?.let { applyRecord(it, entry.modRevision) }
-        watchFrom = revision
+        nextWatchRevision = revision
         knownUpTo = Moment(requestedAt, requestedWall)
     }
 
@@ -109,11 +109,11 @@
 
     /** Cancels the jobs [ids], whose cancellation another node broadcast. Their cancelled records may be read much later. */
     fun cancelByBroadcast(ids: List<JobId>) = lock.withLock {
-        for (id in ids) cluster.jobs[id]?.let { cancel(it, recorded = false) }
+        for (id in ids) cluster.jobs[id]?.let { cancel(it, isRecorded = false) }
     }
 
-    private fun cancel(job: Job, recorded: Boolean) {
-        job.cancel(knownUpTo.wall, recorded)
+    private fun cancel(job: Job, isRecorded: Boolean) {
+        job.cancel(knownUpTo.wall, isRecorded)
         job.live.values.forEach { listener.onCommandsDue(it) }
     }
 
@@ -127,14 +127,14 @@
 
     private fun recordFinished(id: JobId, record: FinishedJobRecord) {
         if (dependencies.recordFinished(id, record, clock.now()).isNotEmpty()) signals.requestSchedulingCycle()
-        if (cluster.finishing.isNotEmpty()) signals.wakeWriter()
+        if (cluster.finishingJobs.isNotEmpty()) signals.wakeWriter()
     }
 
     /**
      * Reads the final states and the lists of prerequisites that live jobs refer to and that this leader does not know. Returns
-     * whether any were due. Throws a `StoreException` if the state service fails.
+     * whether any read was due. Throws a `StoreException` if the state service fails.
      */
-    fun resolvePrerequisites(): Boolean = resolver.resolveDue() > 0
+    fun resolvePrerequisites(): Boolean = prerequisiteResolver.resolveDue() > 0
 
     /** One moment, on this node's monotonic clock and as its time of day. */
     private class Moment(val monotonic: MonotonicTime, val wall: WallTime)
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -49,8 +49,8 @@
     val hasShownCurrentTerm by worker::hasShownCurrentTerm
     val unassignedTasks by worker::unassignedTasks
 
-    val deliveryInFlight by delivery::isInFlight
-    val deliverNotBefore by delivery::notBefore
+    val isCommandRequestInFlight by delivery::isInFlight
+    val nextCommandNotBefore by delivery::notBefore
     val announcedAt by delivery::announcedAt
     val tokenOffset by delivery::tokenOffset
 
@@ -135,8 +135,8 @@
     }
 
     /** Adds the images that the previous leader recorded for this machine, with their sizes in GB. */
-    fun restoreImages(known: Map<ImageId, Double>) {
-        imageCache.restore(known)
+    fun restoreImages(recorded: Map<ImageId, Double>) {
+        imageCache.restore(recorded)
         changeCount++
     }
 
--- a/src/main/kotlin/mountmast/coordination/state/PrerequisiteResolver.kt
+++ b/src/main/kotlin/mountmast/coordination/state/PrerequisiteResolver.kt
@@ -26,22 +26,22 @@
     fun resolveDue(): Int = readLists() + readFinalStates()
 
     private fun readLists(): Int {
-        val lists = lock.withLock { dependencies.unreadLists }
-        for (record in lists) {
+        val recordsWithUnreadList = lock.withLock { dependencies.recordsWithUnreadList }
+        for (record in recordsWithUnreadList) {
             val prerequisites = prerequisiteLists.read(record)
             lock.withLock { dependencies.addReadList(record.spec.id, prerequisites, clock.now()) }
         }
-        return lists.size
+        return recordsWithUnreadList.size
     }
 
     private fun readFinalStates(): Int {
-        val unresolved = lock.withLock { dependencies.nextUnresolved(MAX_RESOLVED_AT_ONCE, clock.now()) }
-        for (id in unresolved) {
+        val unresolvedIds = lock.withLock { dependencies.nextUnresolvedPrerequisites(MAX_RESOLVED_AT_ONCE, clock.now()) }
+        for (id in unresolvedIds) {
             val entry = store.get(Keys.finished(id)) ?: continue
             val record = RecordDecoder.decode<FinishedJobRecord>(entry.key, entry.value) ?: continue
             lock.withLock { onFinished(id, record) }
         }
-        return unresolved.size
+        return unresolvedIds.size
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/coordination/state/RunStatistics.kt
+++ b/src/main/kotlin/mountmast/coordination/state/RunStatistics.kt
@@ -4,11 +4,11 @@
 
 /** The run times of one job's completed tasks, and the machines on which its tasks were slow. Guarded by the lock of the leader's term. */
 class RunStatistics {
-    /** How many of the job's tasks completed, without stragglers. */
+    /** How many of the job's tasks completed, not counting stragglers. */
     var runCount = 0
         private set
 
-    /** The total run time of the completed tasks, without stragglers, in seconds. */
+    /** The total run time of the completed tasks, not counting stragglers, in seconds. */
     var totalRunS = 0.0
         private set
 
--- a/src/main/kotlin/mountmast/coordination/state/RunTimeEstimates.kt
+++ b/src/main/kotlin/mountmast/coordination/state/RunTimeEstimates.kt
@@ -10,15 +10,15 @@
     /** The weight of the previous mean when one more run is averaged in, from 0 to 1. */
     private val decay: Double,
 ) {
-    private val meanRunS = HashMap<TeamId, Double>()
+    private val meanRunSByTeam = HashMap<TeamId, Double>()
 
     /** Records that a task of [team] ran for [runS] seconds. */
     fun recordRun(team: TeamId, runS: Double) {
-        meanRunS.merge(team, runS) { old, new -> old * decay + new * (1 - decay) }
+        meanRunSByTeam.merge(team, runS) { old, new -> old * decay + new * (1 - decay) }
     }
 
     /** The estimated run time of one task of [job], from start to end, in seconds. */
-    fun estimateS(job: Job): Double = if (job.spec.estimateS > 0) job.spec.estimateS else meanRunS[job.spec.team] ?: DEFAULT_RUN_S
+    fun estimateS(job: Job): Double = if (job.spec.estimateS > 0) job.spec.estimateS else meanRunSByTeam[job.spec.team] ?: DEFAULT_RUN_S
 
     private companion object {
         const val DEFAULT_RUN_S = 60.0
--- a/src/main/kotlin/mountmast/coordination/state/TaskProgress.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TaskProgress.kt
@@ -3,13 +3,13 @@
 import java.util.BitSet
 
 /** Which of a job's tasks are done and which may be placed. Guarded by the lock of the leader's term. */
-internal class TaskProgress(private val tasks: Int) {
+internal class TaskProgress(private val taskCount: Int) {
     /** Tasks whose completion is known. */
     val done = BitSet()
 
     /** Tasks that may be placed: neither done nor assigned. */
-    val open = BitSet(tasks).apply { set(0, tasks) }
-    var openCount = tasks
+    val open = BitSet(taskCount).apply { set(0, taskCount) }
+    var openCount = taskCount
         private set
     var doneCount = 0
         private set
--- a/src/main/kotlin/mountmast/coordination/state/TeamUsage.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TeamUsage.kt
@@ -5,16 +5,16 @@
 
 /** The resources of each team's assignments that are not released. Guarded by the lock of the leader's term. */
 internal class TeamUsage {
-    private val used = HashMap<TeamId, Resources>()
+    private val usageByTeam = HashMap<TeamId, Resources>()
 
     /** The resources that the assignments of [team] take now. */
-    fun of(team: TeamId): Resources = used[team] ?: Resources.NONE
+    fun usageOf(team: TeamId): Resources = usageByTeam[team] ?: Resources.NONE
 
     fun add(team: TeamId, resources: Resources) {
-        used.merge(team, resources) { sum, added -> sum + added }
+        usageByTeam.merge(team, resources) { sum, added -> sum + added }
     }
 
     fun subtract(team: TeamId, resources: Resources) {
-        used.merge(team, resources) { sum, freed -> sum - freed }
+        usageByTeam.merge(team, resources) { sum, freed -> sum - freed }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
@@ -25,13 +25,13 @@
         isCycleRequested = false
     }
 
-    /** Waits until a scheduling cycle is requested, for at most [ms] milliseconds; takes the lock. */
-    fun awaitCycleRequest(ms: Long) {
-        lock.withLock { if (!isCycleRequested) cycleCondition.await(ms, TimeUnit.MILLISECONDS) }
+    /** Waits until a scheduling cycle is requested, for at most [timeoutMs] milliseconds; takes the lock. */
+    fun awaitCycleRequest(timeoutMs: Long) {
+        lock.withLock { if (!isCycleRequested) cycleCondition.await(timeoutMs, TimeUnit.MILLISECONDS) }
     }
 
-    /** Waits until [wakeWriter] is called, for at most [ms] milliseconds; takes the lock. */
-    fun awaitWritable(ms: Long) {
-        lock.withLock { writerCondition.await(ms, TimeUnit.MILLISECONDS) }
+    /** Waits until [wakeWriter] is called, for at most [timeoutMs] milliseconds; takes the lock. */
+    fun awaitWritable(timeoutMs: Long) {
+        lock.withLock { writerCondition.await(timeoutMs, TimeUnit.MILLISECONDS) }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/UnmetDependencies.kt
+++ b/src/main/kotlin/mountmast/coordination/state/UnmetDependencies.kt
@@ -33,9 +33,9 @@
         openIds += id
     }
 
-    /** Records that the prerequisite [id] was done at [at], which is null if an earlier version wrote the record. */
-    internal fun recordDone(id: JobId, at: WallTime?) {
+    /** Records that the prerequisite [id] was done at [doneAt], which is null if an earlier version wrote the record. */
+    internal fun recordDone(id: JobId, doneAt: WallTime?) {
         openIds -= id
-        if (at != null) lastDoneAt = maxOf(at, lastDoneAt ?: at)
+        if (doneAt != null) lastDoneAt = maxOf(doneAt, lastDoneAt ?: doneAt)
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/WorkerStatus.kt
+++ b/src/main/kotlin/mountmast/coordination/state/WorkerStatus.kt
@@ -65,10 +65,13 @@
         leaseRenewedAt = now
     }
 
-    /** Records that the heartbeat [received] arrived at [now], unsolicited or in the answer to a command, from a worker at [from]. */
-    fun recordHeartbeat(received: HeartbeatSequence, from: String, now: MonotonicTime) {
+    /**
+     * Records that the heartbeat [received] arrived at [now], unsolicited or in the answer to a command, from a worker at
+     * [senderAddress].
+     */
+    fun recordHeartbeat(received: HeartbeatSequence, senderAddress: String, now: MonotonicTime) {
         sequence = received
-        address = from
+        address = senderAddress
         lastContactAt = now
     }
 
--- a/src/test/kotlin/mountmast/coordination/persistence/InDoubtResolverTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/InDoubtResolverTest.kt
@@ -33,17 +33,17 @@
 
     @Test
     fun `a batch is not committed if its slot is empty or holds an older record`() {
-        assertEquals(EarlierOutcome.NotCommitted, resolver.resolve(CommitAttempt.Repeated(batch)))
+        assertEquals(EarlierOutcome.NotCommitted, resolver.findOutcome(CommitAttempt.Repeated(batch)))
         storeInSlot(JournalRecord(3, "-j-000001/0;"))
-        assertEquals(EarlierOutcome.NotCommitted, resolver.resolve(CommitAttempt.Repeated(batch)))
-        assertEquals(EarlierOutcome.NotCommitted, resolver.resolve(CommitAttempt.Tombstone(batch)))
+        assertEquals(EarlierOutcome.NotCommitted, resolver.findOutcome(CommitAttempt.Repeated(batch)))
+        assertEquals(EarlierOutcome.NotCommitted, resolver.findOutcome(CommitAttempt.Tombstone(batch)))
     }
 
     @Test
     fun `a batch is committed if its slot holds its record, whether or not a tombstone was sent since`() {
         val revision = storeInSlot(slotted.record)
         for (attempt in listOf(CommitAttempt.Repeated(batch), CommitAttempt.Tombstone(batch))) {
-            val outcome = assertInstanceOf(EarlierOutcome.BatchCommitted::class.java, resolver.resolve(attempt))
+            val outcome = assertInstanceOf(EarlierOutcome.BatchCommitted::class.java, resolver.findOutcome(attempt))
             assertEquals(revision, outcome.modRevision)
         }
     }
@@ -51,15 +51,19 @@
     @Test
     fun `a tombstone record in the slot means that the batch is not committed`() {
         val revision = storeInSlot(JournalRecord(131, ""))
-        val outcome = assertInstanceOf(EarlierOutcome.TombstoneCommitted::class.java, resolver.resolve(CommitAttempt.Tombstone(batch)))
+        val outcome =
+            assertInstanceOf(EarlierOutcome.TombstoneCommitted::class.java, resolver.findOutcome(CommitAttempt.Tombstone(batch)))
         assertEquals(revision, outcome.modRevision)
     }
 
     @Test
     fun `nothing is read for a first attempt, or for a batch without journal records`() {
         val requests = standIn.requests
-        assertEquals(EarlierOutcome.NotCommitted, resolver.resolve(CommitAttempt.First(batch)))
-        assertEquals(EarlierOutcome.NotCommitted, resolver.resolve(CommitAttempt.Repeated(WriteBatch(ModRevision(1u), maxOps = 16))))
+        assertEquals(EarlierOutcome.NotCommitted, resolver.findOutcome(CommitAttempt.First(batch)))
+        assertEquals(
+            EarlierOutcome.NotCommitted,
+            resolver.findOutcome(CommitAttempt.Repeated(WriteBatch(ModRevision(1u), maxOps = 16))),
+        )
         assertEquals(requests, standIn.requests)
     }
 }
--- a/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
@@ -62,9 +62,9 @@
     fun `what is not known to be done is waited for and looked up`() {
         val job = add(2, 1)
         assertFalse(job.isReleased)
-        assertEquals(listOf(id(1)), dependencies.nextUnresolved(10, now))
-        assertEquals(emptyList<JobId>(), dependencies.nextUnresolved(10, now))
-        assertEquals(listOf(id(1)), dependencies.nextUnresolved(10, now + 1000))
+        assertEquals(listOf(id(1)), dependencies.nextUnresolvedPrerequisites(10, now))
+        assertEquals(emptyList<JobId>(), dependencies.nextUnresolvedPrerequisites(10, now))
+        assertEquals(listOf(id(1)), dependencies.nextUnresolvedPrerequisites(10, now + 1000))
         // A record that an earlier version wrote does not tell when the job ended.
         dependencies.recordFinished(id(1), FinishedJobRecord(JobStatus.DONE, 1), now)
         assertTrue(job.isReleased)
@@ -75,7 +75,7 @@
     fun `a prerequisite that is read after its dependent is no longer looked up`() {
         val job = add(2, 1)
         add(1)
-        assertEquals(emptyList<JobId>(), dependencies.nextUnresolved(10, now))
+        assertEquals(emptyList<JobId>(), dependencies.nextUnresolvedPrerequisites(10, now))
         end(1)
         assertTrue(job.isReleased)
     }
@@ -87,7 +87,7 @@
         val job = cluster.putJob(record, ModRevision(1u), now)
         dependencies.addJob(job, record, now)
         assertFalse(job.isReleased)
-        assertEquals(listOf(id(2)), dependencies.unreadLists.map { it.spec.id })
+        assertEquals(listOf(id(2)), dependencies.recordsWithUnreadList.map { it.spec.id })
         dependencies.addReadList(id(2), listOf(id(1)), now)
         assertFalse(job.isReleased)
         end(1)
@@ -99,14 +99,14 @@
         add(0)
         val chain = (1..2000).map { add(it, it - 1) }
         val fan = (3001..5000).map { add(it, 1000) }
-        cluster.jobs.getValue(id(0)).cancel(WallTime(0), recorded = true)
+        cluster.jobs.getValue(id(0)).cancel(WallTime(0), isRecorded = true)
         dependencies.cancelDependents(cluster.jobs.getValue(id(0)))
-        assertTrue((chain + fan).all { it.isCancellationRecorded && it in cluster.finishing })
+        assertTrue((chain + fan).all { it.isCancellationRecorded && it in cluster.finishingJobs })
     }
 
     @Test
     fun `a job that names a cancelled one is cancelled, whether that is live, just finished or long finished`() {
-        add(1).cancel(WallTime(0), recorded = true)
+        add(1).cancel(WallTime(0), isRecorded = true)
         assertTrue(add(2, 1).isCancellationRecorded)
         end(1, JobStatus.CANCELLED)
         assertTrue(add(3, 1).isCancellationRecorded)
@@ -120,7 +120,7 @@
     fun `a broadcast alone, which no record confirms, cancels no dependent`() {
         val first = add(1)
         val second = add(2, 1)
-        first.cancel(WallTime(0), recorded = false)
+        first.cancel(WallTime(0), isRecorded = false)
         assertFalse(second.isCancelled)
         assertFalse(add(3, 1).isCancelled)
     }
@@ -172,6 +172,6 @@
         }
         assertTrue(cluster.jobs.isEmpty())
         assertFalse(dependencies.isRecentlyFinished(id(0)))
-        assertEquals(emptyList<JobId>(), dependencies.nextUnresolved(10, now + 10_000))
+        assertEquals(emptyList<JobId>(), dependencies.nextUnresolvedPrerequisites(10, now + 10_000))
     }
 }
