--- a/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
@@ -12,7 +12,7 @@
 
 /**
  * Reads the states of jobs for users' requests, in batches. No node may answer with an older state than another node has answered
- * before, so each read needs a request to the state service that begins after the call of the read. A single transaction without writes
+ * before, so each read needs a request to the state service that is sent after the read was called. A single transaction without writes
  * compares the revisions of many cached records and so confirms them all. Only one thread at a time reads a batch, for itself
  * and for others; reads that begin meanwhile wait for the next batch. Thread-safe.
  */
