--- a/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
@@ -40,7 +40,7 @@
     init {
         metrics.gauge(MetricNames.RENEWAL_AGE) { election.renewalAgeMs ?: NO_VALUE }
         metrics.gauge(MetricNames.PENDING_CHANGES) { readTerm { it.cluster.pendingChanges.size } }
-        metrics.gauge(MetricNames.LAST_WRITE_AGE) { readTerm { term -> term.journal.writtenAt?.let { clock.now() - it } ?: NO_VALUE } }
+        metrics.gauge(MetricNames.LAST_WRITE_AGE) { readTerm { term -> term.journal.lastCommitAt?.let { clock.now() - it } ?: NO_VALUE } }
         metrics.gauge(MetricNames.MACHINES_UP) { readTerm { term -> term.cluster.machines.values.count { it.state == MachineState.UP } } }
         metrics.gauge(MetricNames.ASSIGNMENTS) { readTerm { term -> term.cluster.machines.values.sumOf { it.live.size } } }
         metrics.gauge(MetricNames.JOBS) { readTerm { it.cluster.jobs.size } }
--- a/src/main/kotlin/mountmast/coordination/controller/NodeLoops.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/NodeLoops.kt
@@ -78,7 +78,7 @@
 
     private fun commitOrWait(leaderTerm: LeaderTerm): StepResult {
         val result = leaderWork.commitPendingChanges()
-        if (result != DID_WORK) leaderTerm.signals.awaitWritable(COMMIT_WAIT_MS)
+        if (result != DID_WORK) leaderTerm.signals.awaitWriterWakeUp(COMMIT_WAIT_MS)
         return result
     }
 
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalState.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalState.kt
@@ -11,7 +11,7 @@
     private val slots = HashMap<Int, Slot>()
 
     /** When this leader's last transaction was committed; null before its first transaction. */
-    var writtenAt: MonotonicTime? = null
+    var lastCommitAt: MonotonicTime? = null
         private set
 
     /** Number of the next record; records are numbered from 1. */
@@ -65,6 +65,6 @@
 
     /** Records that a transaction was committed at [now]. */
     fun recordCommit(now: MonotonicTime) {
-        writtenAt = now
+        lastCommitAt = now
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/Assignment.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Assignment.kt
@@ -57,8 +57,8 @@
 
     /** Which messages to the worker carry the command to start this attempt. */
     val startDelivery = StartDelivery()
-    val deliveriesInFlight by startDelivery::inFlight
-    val startedInHeartbeat by startDelivery::inHeartbeat
+    val startRequestsInFlight by startDelivery::requestsInFlight
+    val startSentInAnswerTo by startDelivery::lastAnsweredHeartbeat
 
     /** Records that a heartbeat which arrived at [now] lists the attempt with the state [state]. */
     fun recordReported(state: TaskState, now: MonotonicTime) {
--- a/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/CommandDeliveryState.kt
@@ -6,7 +6,7 @@
 /** The state of the direct requests that carry commands to one machine's worker. Guarded by the lock of the leader's term. */
 class CommandDeliveryState {
     /** Whether a request to the worker waits for its answer; there is never more than one at a time. */
-    var isInFlight = false
+    var isRequestInFlight = false
         private set
 
     /** The time before which no request is sent to the worker. */
@@ -29,19 +29,19 @@
     private val unansweredStarts = HashMap<TaskAttempt, Int>()
 
     /** Records that a request with commands is being sent. */
-    fun begin() {
-        isInFlight = true
+    fun beginRequest() {
+        isRequestInFlight = true
     }
 
     /** Records that a request without commands, which announces the new leader, is being sent at [now]. */
     fun beginAnnouncement(now: MonotonicTime) {
-        isInFlight = true
+        isRequestInFlight = true
         announcedAt = now
     }
 
     /** Records that the outstanding request was answered or given up. */
-    fun end() {
-        isInFlight = false
+    fun endRequest() {
+        isRequestInFlight = false
     }
 
     /** Delays the next request to the worker until [until]. */
--- a/src/main/kotlin/mountmast/coordination/state/StartDelivery.kt
+++ b/src/main/kotlin/mountmast/coordination/state/StartDelivery.kt
@@ -8,30 +8,30 @@
  */
 class StartDelivery {
     /** How many direct requests with the start command wait for their answer. */
-    var inFlight = 0
+    var requestsInFlight = 0
         private set
 
     /** The latest heartbeat whose answer carries the start command; the next heartbeat shows whether the command was executed. */
-    var inHeartbeat: HeartbeatSequence? = null
+    var lastAnsweredHeartbeat: HeartbeatSequence? = null
         private set
 
     /** Records that the answer to [heartbeat] carries the start command. */
     fun recordAnswer(heartbeat: HeartbeatSequence) {
-        inHeartbeat = heartbeat
+        lastAnsweredHeartbeat = heartbeat
     }
 
     /** Records that a heartbeat shows that the start command was executed. */
     fun confirm() {
-        inHeartbeat = null
+        lastAnsweredHeartbeat = null
     }
 
     /** Records that a direct request with the start command is being sent. */
     fun beginRequest() {
-        inFlight++
+        requestsInFlight++
     }
 
     /** Records that a direct request with the start command was answered or given up. */
     fun endRequest() {
-        inFlight--
+        requestsInFlight--
     }
 }
--- a/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TermSignals.kt
@@ -31,7 +31,7 @@
     }
 
     /** Waits until [wakeWriter] is called, for at most [timeoutMs] milliseconds; takes the lock. */
-    fun awaitWritable(timeoutMs: Long) {
+    fun awaitWriterWakeUp(timeoutMs: Long) {
         lock.withLock { writerCondition.await(timeoutMs, TimeUnit.MILLISECONDS) }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -54,7 +54,7 @@
 
     private fun mayBeDequeued(id: MachineId, now: MonotonicTime): Boolean {
         val machine = context.cluster.machines[id] ?: return true
-        return !machine.delivery.isInFlight && now >= machine.delivery.notBefore
+        return !machine.delivery.isRequestInFlight && now >= machine.delivery.notBefore
     }
 
     private fun beginRequest(machine: Machine, now: MonotonicTime): OutgoingRequest? {
--- a/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
@@ -40,7 +40,7 @@
      */
     fun prepareRequest(machine: Machine, incarnation: WorkerIncarnation, commands: List<WorkerCommand>): OutgoingRequest {
         forEachStart(machine, commands) { it.startDelivery.beginRequest() }
-        machine.delivery.begin()
+        machine.delivery.beginRequest()
         return OutgoingRequest(machine, incarnation, commands)
     }
 
@@ -55,7 +55,7 @@
     private fun applyOutcome(request: OutgoingRequest, outcome: CommandOutcome) {
         val now = context.clock.now()
         val machine = request.machine
-        machine.delivery.end()
+        machine.delivery.endRequest()
         forEachStart(machine, request.commands) { it.startDelivery.endRequest() }
         when (outcome) {
             is CommandOutcome.Executed -> heartbeats.onCommandResponse(outcome.heartbeat, now)
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -113,8 +113,8 @@
     }
 
     private fun mayStillStart(assignment: Assignment, machine: Machine, heartbeat: Heartbeat): Boolean {
-        val startSentIn = assignment.startedInHeartbeat
-        return assignment.deliveriesInFlight > 0 ||
+        val startSentIn = assignment.startSentInAnswerTo
+        return assignment.startRequestsInFlight > 0 ||
             machine.delivery.hasUnansweredStart(assignment.taskName, assignment.attempt) ||
             (startSentIn != null && heartbeat.sequence <= startSentIn)
     }
--- a/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
@@ -44,7 +44,7 @@
     }
 
     private fun beginAnnouncement(machine: Machine, now: MonotonicTime): OutgoingRequest? {
-        if (machine.delivery.isInFlight || !needsAnnouncement(machine, now)) return null
+        if (machine.delivery.isRequestInFlight || !needsAnnouncement(machine, now)) return null
         machine.delivery.beginAnnouncement(now)
         // The request contains no command, so any incarnation is valid if the worker's incarnation is unknown.
         val incarnation = machine.incarnation ?: machine.live.values.firstOrNull()?.incarnation ?: WorkerIncarnation(1u)
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -77,7 +77,7 @@
 
     /** Whether the response to an earlier heartbeat of the same incarnation carried the start of [assignment]. */
     private fun wasStartSentBefore(assignment: Assignment, heartbeat: Heartbeat): Boolean {
-        val startSentIn = assignment.startedInHeartbeat ?: return false
+        val startSentIn = assignment.startSentInAnswerTo ?: return false
         return assignment.phase == Phase.COMMITTED && assignment.incarnation == heartbeat.incarnation && heartbeat.sequence > startSentIn
     }
 
