--- a/src/main/kotlin/mountmast/coordination/persistence/JournalState.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalState.kt
@@ -10,19 +10,19 @@
 
     private val slots = HashMap<Int, Slot>()
 
-    /** When this leader's last transaction was committed; null before the first. */
-    var writtenAt: MonotonicTime? = null
+    /** When this leader's last transaction was committed; null before its first transaction. */
+    var lastCommitAt: MonotonicTime? = null
         private set
 
     /** Number of the next record; records are numbered from 1. */
     var nextRecordNumber = 1L
         private set
 
-    /** Number of the last record whose changes the latest complete snapshot contains; 0 without a snapshot. */
+    /** Number of the last record whose changes the latest complete snapshot contains; 0 if there is no snapshot. */
     var lastRecordInSnapshot = 0L
         private set
 
-    /** Number of the latest complete snapshot; 0 without one. */
+    /** Number of the latest complete snapshot; 0 if there is none. */
     var snapshotGeneration = 0L
         private set
 
@@ -65,6 +65,6 @@
 
     /** Records that a transaction was committed at [now]. */
     fun recordCommit(now: MonotonicTime) {
-        writtenAt = now
+        lastCommitAt = now
     }
 }
