--- a/src/test/kotlin/mountmast/standin/ControllerHost.kt
+++ b/src/test/kotlin/mountmast/standin/ControllerHost.kt
@@ -13,7 +13,7 @@
 import java.net.InetSocketAddress
 import kotlin.random.Random
 
-/** One of the controllers of a [World], with the process that runs on it at the moment. */
+/** One controller node of a [World], with the controller process that it runs at present; [controller] is null while none runs. */
 class ControllerHost(private val world: World, val number: Int, var version: NodeVersion) {
     val name = NodeId("node-$number")
     val zone = world.zones[number % world.zones.size]
@@ -21,22 +21,24 @@
     var controller: Controller? = null
     private var metrics = Metrics()
 
-    /** How often the present process found one of its invariants violated. */
+    /** How many violations of its own invariants the running controller process has counted. */
     val violations: Long get() = metrics.counter(MetricNames.INVARIANT_VIOLATIONS).value
+
+    /** Virtual time, in milliseconds, from which a new process is started if none runs. */
     var downUntil = 0L
 
-    /** This node is elected, but gets no further. */
+    /** Injected fault: this node can be elected leader, but never loads the cluster state. */
     var loadsNothing = false
-    private var due = LongArray(STEPS)
-    private var starts = 0
+    private var nextRunAt = LongArray(STEP_COUNT)
+    private var processCount = 0
 
-    /** Starts a new process. */
+    /** Starts a new controller process. */
     fun start() {
         faults.lossRate = if (world.quietNetwork) 0.0 else LOSS_RATE
         faults.repeats = !world.quietNetwork
-        val started = faults
-        started.standStill = { ms -> standStill(started, ms) }
-        val drift = if (number == 0) DRIFT else 0.0
+        val startedProcess = faults
+        startedProcess.standStill = { ms -> standStill(startedProcess, ms) }
+        val drift = if (number == 0) CLOCK_DRIFT else 0.0
         val store = world.store.View(world.random, faults, Random(world.seed))
         metrics = Metrics()
         val systems = ExternalSystems(
@@ -47,25 +49,27 @@
         )
         controller = Controller(
             settings(),
-            OperatorSettings(autoscaling = AutoscalingPolicy(idleTimeoutMs = IDLE_RETURN_MS)),
+            OperatorSettings(autoscaling = AutoscalingPolicy(idleTimeoutMs = IDLE_TIMEOUT_MS)),
             systems,
-            world.time.clock(drift, world.random.nextLong(-CLOCK_OFF_MS, CLOCK_OFF_MS)),
-            "${world.seed}-$number-${starts++}",
+            world.time.clock(drift, world.random.nextLong(-MAX_CLOCK_OFFSET_MS, MAX_CLOCK_OFFSET_MS)),
+            "${world.seed}-$number-${processCount++}",
             metrics,
         )
-        due = LongArray(STEPS)
+        nextRunAt = LongArray(STEP_COUNT)
     }
 
     private fun settings() = Settings(
-        name, zone, local(1), local(2),
-        (0 until World.NODES).filter { it != number }.map { Member(NodeId("node-$it"), world.zones[it % world.zones.size], local(2)) },
-        local(3), local(4), world.teams, 20.0, World.HEARTBEAT_MS / 1000.0, World.LEASE_MS / 1000.0, World.CANCEL_MS / 1000.0,
+        name, zone, localAddress(1), localAddress(2),
+        (0 until World.NODES).filter { it != number }.map {
+            Member(NodeId("node-$it"), world.zones[it % world.zones.size], localAddress(2))
+        },
+        localAddress(3), localAddress(4), world.teams, 20.0, World.HEARTBEAT_MS / 1000.0, World.LEASE_MS / 1000.0, World.CANCEL_MS / 1000.0,
         version.limits(world.limits), 5.0, 3.0, 100,
     )
 
-    private fun local(port: Int) = InetSocketAddress("127.0.0.1", port)
+    private fun localAddress(port: Int) = InetSocketAddress("127.0.0.1", port)
 
-    /** Runs the steps that are due by now. */
+    /** Runs the due steps of the controller process in random order, or starts a process if none runs and [downUntil] has passed. */
     fun step() {
         val running = controller
         if (running == null) {
@@ -75,13 +79,13 @@
         if (faults.isStalled()) return
         val steps = steps(running)
         for (i in steps.indices.shuffled(world.random)) {
-            if (world.time.now < due[i]) continue
-            due[i] = world.time.now + steps[i].everyMs
-            if (!guarded { steps[i].act() }) return
+            if (world.time.now < nextRunAt[i]) continue
+            nextRunAt[i] = world.time.now + steps[i].intervalMs
+            if (!guarded { steps[i].action() }) return
         }
     }
 
-    private class Step(val everyMs: Long, val act: () -> Unit)
+    private class Step(val intervalMs: Long, val action: () -> Unit)
 
     private fun steps(running: Controller): List<Step> = listOf(
         Step(1000L) { running.electionStep() },
@@ -96,27 +100,27 @@
         Step(100L) { while (running.leaderWork.deliverCommands(0) == DID_WORK || running.leaderWork.announceLeader() == DID_WORK) Unit },
     )
 
-    /** Runs part of this node; false where the process died in it. */
-    fun guarded(act: () -> Unit): Boolean {
-        val running = faults
+    /** Runs [action] as part of the controller process. Returns false if an injected fault killed the process in it. */
+    fun guarded(action: () -> Unit): Boolean {
+        val process = faults
         return try {
-            act()
+            action()
             true
         } catch (e: NodeDied) {
-            // One that died while it stood still has been replaced by now.
-            if (faults === running) crash(if (world.random.nextInt(3) == 0) 200L else RESTART_MS)
+            // A process killed during an injected pause has already been replaced.
+            if (faults === process) crash(if (world.random.nextInt(3) == 0) 200L else RESTART_DELAY_MS)
             false
         }
     }
 
-    /** Everybody else goes on, while this process is in the middle of what it does; its clocks run on too. */
+    /** Pauses [process] in the middle of a step for [ms]; everything else in the simulation, and the clocks of this node, go on. */
     private fun standStill(process: ProcessFaults, ms: Long) {
         process.stalledUntil = world.time.now + ms
         world.run(ms, busy = false)
         if (faults !== process) throw NodeDied()
     }
 
-    /** Ends the process; another one starts after [downMs]. */
+    /** Kills the controller process; a new one starts after [downMs]. */
     fun crash(downMs: Long) {
         controller = null
         downUntil = world.time.now + downMs
@@ -124,12 +128,13 @@
     }
 
     private companion object {
-        /** As many as [steps] lists. */
-        const val STEPS = 10
+        /** Number of entries that [steps] returns. */
+        const val STEP_COUNT = 10
         const val LOSS_RATE = 0.01
-        const val DRIFT = 0.0005
-        const val CLOCK_OFF_MS = 20L
-        const val IDLE_RETURN_MS = 8000L
-        const val RESTART_MS = 4000L
+        /** Relative error of the monotonic clock of node 0. */
+        const val CLOCK_DRIFT = 0.0005
+        const val MAX_CLOCK_OFFSET_MS = 20L
+        const val IDLE_TIMEOUT_MS = 8000L
+        const val RESTART_DELAY_MS = 4000L
     }
 }
--- a/src/test/kotlin/mountmast/standin/DayDigest.kt
+++ b/src/test/kotlin/mountmast/standin/DayDigest.kt
@@ -3,18 +3,18 @@
 import java.security.MessageDigest
 
 /**
- * A SHA-256 hash over all events that the stand-ins of one [World] report, each with its virtual time. Two days with the same
- * digest looked the same from outside of the controllers.
+ * A SHA-256 hash over all events that the simulated cloud, workers, users, network and state service of one [World] report,
+ * each with its virtual time. In two simulation runs with the same digest the controllers had the same external behaviour.
  *
- * Events are reported through [VirtualTime.record], in wire form: JSON, keys and numbers. They hold no names of classes or
- * properties of the main code, so that a renaming leaves the digest as it is. Not safe for use by several threads.
+ * Events are reported through [VirtualTime.record], in wire form: JSON, keys and numbers. They contain no names of classes or
+ * properties of the main code, so that renaming those does not change the digest. Not thread-safe.
  *
- * @param trace where each event is also written, as one line, so that two days can be compared
+ * @param trace receives each event as one line, so that the events of two simulation runs can be compared
  */
 class DayDigest(private val trace: Appendable? = null) {
     private val hash = MessageDigest.getInstance("SHA-256")
 
-    /** How many events were recorded so far. */
+    /** Number of events recorded so far. */
     var events = 0
         private set
 
@@ -26,6 +26,6 @@
         events++
     }
 
-    /** The digest in hexadecimal; ends the recording. */
+    /** Returns the digest in hexadecimal. No event may be added afterwards. */
     fun finish(): String = hash.digest().joinToString("") { "%02x".format(it) }
 }
--- a/src/test/kotlin/mountmast/standin/FallingLimits.kt
+++ b/src/test/kotlin/mountmast/standin/FallingLimits.kt
@@ -4,32 +4,38 @@
 import mountmast.storage.Keys
 import mountmast.storage.Write
 
-/** The state service's limits, which fall to [next] at [fallsAtMs]; [isAnnounced] tells whether the nodes' settings say so. */
+/**
+ * The limits of the state service, which drop from [initial] to [next] at virtual time [fallsAtMs].
+ *
+ * @param isAnnounced whether the settings of the nodes contain [next]
+ * @param enforcesRates whether the state service refuses requests and writes above the rates of its limits
+ */
 class FallingLimits(
-    private val first: StateLimits = StateLimits(80.0, 30.0, 2.0, 8),
-    private val next: StateLimits = first,
+    private val initial: StateLimits = StateLimits(80.0, 30.0, 2.0, 8),
+    private val next: StateLimits = initial,
     private val fallsAtMs: Long = 0,
     isAnnounced: Boolean = true,
     val enforcesRates: Boolean = false,
 ) {
-    /** What a version keeps to that knows nothing of limits to come. */
-    val present: StateLimits get() = first
+    /** The limits that a node keeps to if its version has no setting for future limits. */
+    val present: StateLimits get() = initial
 
-    /** What the nodes keep to. */
-    val known: StateLimits = if (isAnnounced) first.lowerOf(next) else first
+    /** The limits that the nodes keep to: the lower of the present and the announced ones. */
+    val known: StateLimits = if (isAnnounced) initial.lowerOf(next) else initial
 
-    fun now(time: VirtualTime): StateLimits = if (time.now < fallsAtMs) first else next
+    /** The limits that the state service enforces at the present virtual time. */
+    fun now(time: VirtualTime): StateLimits = if (time.now < fallsAtMs) initial else next
 }
 
-/** A rate that allows bursts of one second's worth. */
+/** A rate limiter of the state service; a burst may take the tokens of one second. */
 class ServiceRate(private val time: VirtualTime) {
     private var tokens = Double.MAX_VALUE
-    private var filledAt = 0L
+    private var refilledAt = 0L
 
     fun allows(count: Int, perSecond: Double): Boolean {
-        tokens = minOf(perSecond, tokens + (time.now - filledAt) / MS_PER_S * perSecond)
-        filledAt = time.now
-        // What is refused counts as well, down to nothing.
+        tokens = minOf(perSecond, tokens + (time.now - refilledAt) / MS_PER_S * perSecond)
+        refilledAt = time.now
+        // A refused request also takes tokens, down to zero.
         val allowed = tokens >= count
         tokens = maxOf(0.0, tokens - count)
         return allowed
@@ -40,7 +46,7 @@
     }
 }
 
-/** What a change of a key is for. */
+/** The kind of data that a write changes, by the prefix of its key. */
 enum class WriteKind {
     JOURNAL,
     SNAPSHOT,
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/Network.kt
@@ -21,52 +21,56 @@
 import mountmast.transport.PeerClient
 import mountmast.transport.WorkerClient
 
-/** What connects the controllers of a [World] with its workers and with one another. */
+/** The simulated network of a [World]: carries heartbeats, commands and the messages between controllers, and injects faults into them. */
 @OptIn(ExperimentalSerializationApi::class)
 class Network(private val world: World) {
     private val time get() = world.time
     private val random get() = world.random
-    private var cutZone: Zone? = null
-    private var cutZoneUntil = 0L
+    private var partitionedZone: Zone? = null
+    private var partitionedUntil = 0L
 
-    /** Whether a report that does not get through may be held up and arrive late. */
+    /** Whether a heartbeat that does not get through may be held up and arrive late. */
     var delaysHeartbeats = true
 
-    /** How long a report waits at its node before it is looked at, while commands and their answers go on. */
+    /** How long, in milliseconds, a heartbeat waits at its node before it is processed; commands and their answers are not delayed. */
     var heartbeatsWaitMs = 0L
 
-    /** Commands sent to workers so far, how many of them to workers that nobody reaches, and how many were held up. */
+    /** Number of command requests sent to workers. */
     var commandsSent = 0
         private set
+
+    /** Number of command requests that did not reach their worker at once; some of them arrive late. */
     var commandsLost = 0
         private set
+
+    /** Number of command requests held up by [World.holdCommands]. */
     var heldCommands = 0
         private set
 
-    /** Cuts [zone] off from all else; it goes on inside. */
+    /** Partitions [zone] from the other zones and the state service for [ms]; connections inside the zone still work. */
     fun cutOff(zone: Zone, ms: Long) {
-        cutZone = zone
-        cutZoneUntil = time.now + ms
-        world.hosts.filter { it.zone == zone }.forEach { it.faults.storeCutUntil = maxOf(it.faults.storeCutUntil, cutZoneUntil) }
+        partitionedZone = zone
+        partitionedUntil = time.now + ms
+        world.hosts.filter { it.zone == zone }.forEach { it.faults.storeCutUntil = maxOf(it.faults.storeCutUntil, partitionedUntil) }
     }
 
-    private fun areApart(one: Zone, other: Zone) = time.now < cutZoneUntil && (one == cutZone) != (other == cutZone)
+    private fun isPartitioned(one: Zone, other: Zone) = time.now < partitionedUntil && (one == partitionedZone) != (other == partitionedZone)
 
     private fun isUnreachable(worker: StandInWorker, faults: ProcessFaults) = worker.cut ||
         faults.isCutFromWorkers() ||
-        world.hosts.any { it.faults === faults && areApart(it.zone, worker.zone) }
+        world.hosts.any { it.faults === faults && isPartitioned(it.zone, worker.zone) }
 
-    /** The workers as the process that [faults] ails reaches them. */
+    /** Returns a client by which the process with [faults] reaches the workers. */
     fun workersOf(faults: ProcessFaults) = WorkerClient { address, message -> deliver(faults, address, message) }
 
     private fun deliver(faults: ProcessFaults, address: String, message: CommandRequest): CommandOutcome {
         time.record { "command ${faults.number} $address ${WireJson.encodeToString(message)}" }
         return send(faults, address, message).also { outcome ->
-            time.record { "command ${faults.number} $address answered ${text(outcome)}" }
+            time.record { "command ${faults.number} $address answered ${traceText(outcome)}" }
         }
     }
 
-    private fun text(outcome: CommandOutcome) = when (outcome) {
+    private fun traceText(outcome: CommandOutcome) = when (outcome) {
         is CommandOutcome.Executed -> "executed ${WireJson.encodeToString(outcome.heartbeat)}"
         is CommandOutcome.Rejected -> "rejected ${WireJson.encodeToString(outcome.heartbeat)}"
         CommandOutcome.NotSent -> "not sent"
@@ -74,7 +78,7 @@
     }
 
     private fun send(faults: ProcessFaults, address: String, message: CommandRequest): CommandOutcome {
-        noteStarts(message.commands)
+        recordStartCommands(message.commands)
         faults.interruptIfDue(random)
         commandsSent++
         val worker = world.cloud.workers.firstOrNull { it.address == address && it.alive } ?: return CommandOutcome.Unknown
@@ -89,7 +93,7 @@
             worker.hanging ||
             faults.sendsNothing() ||
             random.nextDouble() < faults.lossRate
-        if (isLost) return lose(worker, message)
+        if (isLost) return loseCommand(worker, message)
         faults.repeatLaterIfDue(random) { if (worker.alive) execute(worker, message) }
         return execute(worker, message).also { faults.interruptIfDue(random) }
     }
@@ -103,23 +107,24 @@
         }
     }
 
-    private fun lose(worker: StandInWorker, message: CommandRequest): CommandOutcome {
+    private fun loseCommand(worker: StandInWorker, message: CommandRequest): CommandOutcome {
         commandsLost++
         if (random.nextInt(4) == 0) return CommandOutcome.NotSent
         if (random.nextBoolean()) time.later(random.nextLong(100, 60_000)) { if (worker.alive) execute(worker, message) }
         return CommandOutcome.Unknown
     }
 
-    private fun noteStarts(commands: List<WorkerCommand>) {
+    /** Reports the start commands among [commands] to the checker of the rules. */
+    private fun recordStartCommands(commands: List<WorkerCommand>) {
         for (command in commands) {
             if (command.type == CommandType.START) TaskId.parse(command.task)?.let { world.rules.startCommanded(it.job, time.now) }
         }
     }
 
-    /** The other controllers as the process that [faults] ails reaches them. */
+    /** Returns a client by which the process of [host] with [faults] reaches the other controllers. */
     fun peersOf(host: ControllerHost, faults: ProcessFaults) = object : PeerClient {
-        private fun reach(to: Member) = world.hosts.first { it.name == to.node }.takeIf {
-            !areApart(it.zone, host.zone) &&
+        private fun reachablePeer(to: Member) = world.hosts.first { it.name == to.node }.takeIf {
+            !isPartitioned(it.zone, host.zone) &&
                 !faults.isStalled() &&
                 !it.faults.isStalled() &&
                 !faults.isCutFromPeers() &&
@@ -127,20 +132,21 @@
         }
 
         override fun exchangeHeartbeats(to: Member, heartbeat: PeerHeartbeat): PeerHeartbeat? {
-            val peer = reach(to) ?: return null
+            val peer = reachablePeer(to) ?: return null
             time.record { "greeting ${host.number} ${peer.number} ${ProtoBuf.encodeToHexString(heartbeat)}" }
-            val answer = peer.controller?.onPeerHeartbeat(asTold(heartbeat, host, peer)) ?: return null
+            val answer = peer.controller?.onPeerHeartbeat(asReceived(heartbeat, host, peer)) ?: return null
             time.record { "greeting ${host.number} ${peer.number} answered ${ProtoBuf.encodeToHexString(answer)}" }
-            return asTold(answer, peer, host)
+            return asReceived(answer, peer, host)
         }
 
-        private fun asTold(heartbeat: PeerHeartbeat, from: ControllerHost, to: ControllerHost): PeerHeartbeat {
-            val told = to.version.peerHeartbeat(from.version.peerHeartbeat(heartbeat))
-            return if (world.agreesOnForms) told else told.copy(formatVersion = 0)
+        /** Returns [heartbeat] as the version of [to] reads it, without the format version if the cluster does not negotiate formats. */
+        private fun asReceived(heartbeat: PeerHeartbeat, from: ControllerHost, to: ControllerHost): PeerHeartbeat {
+            val received = to.version.peerHeartbeat(from.version.peerHeartbeat(heartbeat))
+            return if (world.agreesOnForms) received else received.copy(formatVersion = 0)
         }
 
         override fun forward(to: Member, request: ForwardedRequest): ForwardedResponse? {
-            val peer = reach(to) ?: return null
+            val peer = reachablePeer(to) ?: return null
             val users = peer.controller?.users ?: return null
             val read = peer.version.forwardedRequest(host.version.forwardedRequest(request))
             time.record { "relay ${host.number} ${peer.number} ${read.method} ${read.path} ${read.body}" }
@@ -156,19 +162,19 @@
         }
     }
 
-    /** Has [worker] report, if that is due. */
+    /** Sends a heartbeat of [worker], if one is due. */
     fun onHeartbeat(worker: StandInWorker) {
         if (!worker.alive || worker.hanging || time.now < worker.nextHeartbeatAt) return
         worker.nextHeartbeatAt = time.now + World.HEARTBEAT_MS * random.nextLong(75, 125) / 100
         val heartbeat = worker.heartbeat()
-        if (!world.quietNetwork && random.nextInt(15) == 0) copyLate(heartbeat)
+        if (!world.quietNetwork && random.nextInt(15) == 0) deliverCopyLate(heartbeat)
         val host = world.hosts[worker.target]
-        val controller = host.controller?.takeUnless { isHeartbeatLost(worker, host.faults) } ?: return tryNext(worker, heartbeat)
+        val controller = host.controller?.takeUnless { isHeartbeatLost(worker, host.faults) } ?: return tryNextHost(worker, heartbeat)
         val sentAt = time.now
         if (heartbeatsWaitMs == 0L) {
-            host.guarded { answered(worker, host, heartbeat, sentAt, deliver(host, controller, heartbeat)) }
+            host.guarded { processOutcome(worker, host, heartbeat, sentAt, deliver(host, controller, heartbeat)) }
         } else {
-            answerLater(worker, host, heartbeat, sentAt)
+            processLater(worker, host, heartbeat, sentAt)
         }
     }
 
@@ -177,17 +183,17 @@
         isUnreachable(worker, faults) ||
         random.nextDouble() < faults.lossRate
 
-    /** The heartbeat waits for a thread of its node; the worker sends no other meanwhile. */
-    private fun answerLater(worker: StandInWorker, host: ControllerHost, heartbeat: Heartbeat, sentAt: Long) {
+    /** Processes [heartbeat] after [heartbeatsWaitMs], as if it waited for a thread of its node; the worker sends no other meanwhile. */
+    private fun processLater(worker: StandInWorker, host: ControllerHost, heartbeat: Heartbeat, sentAt: Long) {
         val process = host.faults
         worker.nextHeartbeatAt += heartbeatsWaitMs
         time.later(heartbeatsWaitMs) {
             val controller = host.controller?.takeIf { host.faults === process }
-            if (controller != null) host.guarded { answered(worker, host, heartbeat, sentAt, deliver(host, controller, heartbeat)) }
+            if (controller != null) host.guarded { processOutcome(worker, host, heartbeat, sentAt, deliver(host, controller, heartbeat)) }
         }
     }
 
-    /** Has [controller], which runs at [host], take [heartbeat]. */
+    /** Passes [heartbeat] to [controller], which runs at [host], and returns its answer. */
     private fun deliver(host: ControllerHost, controller: Controller, heartbeat: Heartbeat): HeartbeatOutcome {
         time.record { "heartbeat ${host.number} ${WireJson.encodeToString(heartbeat)}" }
         return controller.onHeartbeat(heartbeat).also { outcome ->
@@ -201,14 +207,14 @@
         }
     }
 
-    /** A copy comes late, from seconds to well over a lease, at any node, whatever became of the machine. */
-    private fun copyLate(heartbeat: Heartbeat) {
+    /** Delivers a copy of [heartbeat] to a random node after 1 to 40 seconds, also if its machine no longer exists by then. */
+    private fun deliverCopyLate(heartbeat: Heartbeat) {
         val host = world.hosts.random(random)
         time.later(random.nextLong(1000, 40_000)) { host.controller?.let { late -> host.guarded { deliver(host, late, heartbeat) } } }
     }
 
-    private fun tryNext(worker: StandInWorker, heartbeat: Heartbeat) {
-        // A cut may hold a report and deliver it long after its worker has given up on it.
+    private fun tryNextHost(worker: StandInWorker, heartbeat: Heartbeat) {
+        // A network fault may hold up a heartbeat and deliver it long after the worker has stopped waiting for the answer.
         if (random.nextInt(3) == 0 && delaysHeartbeats) {
             time.later(random.nextLong(500, 40_000)) {
                 val host = world.hosts[worker.target]
@@ -218,11 +224,11 @@
         worker.target = (worker.target + 1) % world.hosts.size
     }
 
-    private fun answered(worker: StandInWorker, host: ControllerHost, heartbeat: Heartbeat, sentAt: Long, outcome: HeartbeatOutcome) {
+    private fun processOutcome(worker: StandInWorker, host: ControllerHost, heartbeat: Heartbeat, sentAt: Long, outcome: HeartbeatOutcome) {
         val isAnswerLost = worker.deaf || host.faults.sendsNothing()
         when (outcome) {
             is HeartbeatOutcome.Accepted -> {
-                noteStarts(outcome.answer.commands)
+                recordStartCommands(outcome.answer.commands)
                 val delay = if (world.quietNetwork) 0L else random.nextLong(0, 60)
                 if (isAnswerLost) {
                     worker.target = (worker.target + 1) % world.hosts.size
--- a/src/test/kotlin/mountmast/standin/NodeVersion.kt
+++ b/src/test/kotlin/mountmast/standin/NodeVersion.kt
@@ -14,9 +14,9 @@
 import mountmast.storage.StateStore
 
 @OptIn(ExperimentalSerializationApi::class)
-/** The version of the program that a node runs: the current code, or a model of the one in production. */
+/** The version of the controller that a node runs: the current code, or a model of the release in production. */
 enum class NodeVersion {
-    /** Reads and writes by the forms of production, whose frozen classes are in `standin.production`. */
+    /** Reads and writes data in the formats of the production release, whose frozen classes are in `standin.production`. */
     PRODUCTION {
         override fun store(store: StateStore) = ProductionStore(store)
 
@@ -26,13 +26,13 @@
             ProtoBuf.decodeFromByteArray(ProductionForms.passHello(ProtoBuf.encodeToByteArray(peerHeartbeat)))
 
         override fun forwardedRequest(request: ForwardedRequest): ForwardedRequest =
-            whole(request, ProtoBuf.decodeFromByteArray(ProductionForms.passRelayRequest(ProtoBuf.encodeToByteArray(request))))
+            requireUnchanged(request, ProtoBuf.decodeFromByteArray(ProductionForms.passRelayRequest(ProtoBuf.encodeToByteArray(request))))
 
         override fun forwardedResponse(answer: ForwardedResponse): ForwardedResponse =
-            whole(answer, ProtoBuf.decodeFromByteArray(ProductionForms.passRelayAnswer(ProtoBuf.encodeToByteArray(answer))))
+            requireUnchanged(answer, ProtoBuf.decodeFromByteArray(ProductionForms.passRelayAnswer(ProtoBuf.encodeToByteArray(answer))))
 
-        private fun <T> whole(sent: T, read: T): T {
-            if (sent != read) throw BrokenContract("production reads $read of $sent")
+        private fun <T> requireUnchanged(sent: T, read: T): T {
+            if (sent != read) throw BrokenContract("the production release reads $sent as $read")
             return read
         }
     },
@@ -40,18 +40,18 @@
     CURRENT,
     ;
 
-    /** [store] as a process of this version reads and writes it. */
+    /** Returns [store] as a process of this version reads and writes it. */
     open fun store(store: StateStore): StateStore = store
 
-    /** What a process of this version keeps to. */
+    /** Returns the limits of the state service that a process of this version keeps to. */
     open fun limits(limits: FallingLimits): StateLimits = limits.known
 
-    /** [peerHeartbeat] as a process of this version sends or reads it. */
+    /** Returns [peerHeartbeat] as a process of this version sends or reads it; fields that the version lacks are dropped. */
     open fun peerHeartbeat(peerHeartbeat: PeerHeartbeat): PeerHeartbeat = peerHeartbeat
 
-    /** [request] as a process of this version sends or reads it; it loses nothing of it. */
+    /** Returns [request] as a process of this version sends or reads it. Throws [BrokenContract] if that changes it. */
     open fun forwardedRequest(request: ForwardedRequest): ForwardedRequest = request
 
-    /** [answer] as a process of this version sends or reads it; it loses nothing of it. */
+    /** Returns [answer] as a process of this version sends or reads it. Throws [BrokenContract] if that changes it. */
     open fun forwardedResponse(answer: ForwardedResponse): ForwardedResponse = answer
 }
--- a/src/test/kotlin/mountmast/standin/ProcessFaults.kt
+++ b/src/test/kotlin/mountmast/standin/ProcessFaults.kt
@@ -2,8 +2,9 @@
 
 import kotlin.random.Random
 
-/** The faults that the process of node [number] has at present. Times are those of the virtual time, in milliseconds. */
+/** The faults injected at present into the controller process of node [number]. All times are virtual times in milliseconds. */
 class ProcessFaults(private val time: VirtualTime, val number: Int = -1) {
+    /** Probability with which a message of the process is lost. */
     var lossRate = 0.0
     var storeCutUntil = 0L
     var storeRefusedUntil = 0L
@@ -11,25 +12,27 @@
     var stalledUntil = 0L
     var peersCutUntil = 0L
 
-    /** Its watches of the state service get no answer, while all other requests do. */
+    /** Virtual time until which watches of the state service time out, while all other requests of the process work. */
     var watchesNothingUntil = 0L
 
-    /** Heartbeats arrive, but nothing that this node sends reaches any worker. */
+    /** Virtual time until which the process receives heartbeats, but none of its answers and commands reaches a worker. */
     var sendsNothingUntil = 0L
+
+    /** Kills the process in one of its next requests. */
     var dieAtNextCall = false
 
-    /** How long the process pauses in the middle of a step, from one of its next calls on. */
+    /** How long, in milliseconds, the process will pause in one of its next requests; 0 for no pause. */
     var pauseAtNextCallMs = 0L
 
-    /** Lets time pass for all other processes. */
+    /** Pauses this process for the given milliseconds, while virtual time passes for everything else. */
     var standStill: (Long) -> Unit = {}
 
-    /** A share of its transactions gets no answer and is executed seconds later, after newer ones. */
+    /** Virtual time until which one in [LATE_ONE_IN] transactions times out and is executed seconds later, after newer ones. */
     var lateWritesUntil = 0L
 
     fun writesLate(random: Random) = time.now < lateWritesUntil && random.nextInt(LATE_ONE_IN) == 0
 
-    /** Whether requests that were executed may be executed once more, long afterwards. */
+    /** Whether executed requests may be executed a second time, up to a minute later. */
     var repeats = false
 
     fun isCutFromPeers() = time.now < peersCutUntil
@@ -40,7 +43,10 @@
     fun isCutFromWorkers() = time.now < workersCutUntil
     fun isStalled() = time.now < stalledUntil
 
-    /** Pauses or ends the process, if that is due. Called before a request of it is executed, and before it gets the answer. */
+    /**
+     * Injects a pending pause or kill, each with a probability of one third. Called before a request of the process is executed,
+     * and before the process gets the answer. Throws [NodeDied] if it kills the process.
+     */
     fun interruptIfDue(random: Random) {
         if (pauseAtNextCallMs > 0 && random.nextInt(3) == 0) {
             val ms = pauseAtNextCallMs
@@ -53,13 +59,13 @@
         }
     }
 
-    /** Now and then has the request that was just executed [act] again, from a moment to minutes later. */
+    /** If [repeats], schedules [act], a request just executed, a second time for one in [REPEAT_ONE_IN] requests, up to a minute later. */
     fun repeatLaterIfDue(random: Random, act: () -> Unit) {
-        if (repeats && random.nextInt(REPEATED_ONE_IN) == 0) time.later(random.nextLong(50, 60_000)) { runCatching(act) }
+        if (repeats && random.nextInt(REPEAT_ONE_IN) == 0) time.later(random.nextLong(50, 60_000)) { runCatching(act) }
     }
 
     private companion object {
-        const val REPEATED_ONE_IN = 12
+        const val REPEAT_ONE_IN = 12
         const val LATE_ONE_IN = 4
     }
 }
--- a/src/test/kotlin/mountmast/standin/Rules.kt
+++ b/src/test/kotlin/mountmast/standin/Rules.kt
@@ -11,51 +11,60 @@
 import mountmast.protocol.TypeId
 import mountmast.protocol.Zone
 
-/** A broken rule. */
+/** Thrown when a rule of PROTOCOL is violated. */
 class RuleBroken(message: String) : AssertionError(message)
 
-/** Where a task runs, as the rules see it. */
+/** The machine that a task runs on, with the properties that placement rules refer to. */
 data class Place(val machine: MachineId, val type: TypeId, val zone: Zone, val spot: Boolean)
 
-/** Which tasks are on machines, by job, and what each team's take: looked at for every start of tens of thousands. */
+/**
+ * The running tasks of each job, and the resources that each team uses. The sums are maintained incrementally, as simulations
+ * check them at each of tens of thousands of task starts.
+ */
 private class RunningTasks {
-    private val byJob = HashMap<JobId, HashMap<TaskId, Place>>()
-    private val uses = HashMap<TeamId, Resources>()
+    private val placesByJob = HashMap<JobId, HashMap<TaskId, Place>>()
+    private val usedByTeam = HashMap<TeamId, Resources>()
 
-    fun of(job: JobId): Map<TaskId, Place> = byJob[job].orEmpty()
+    fun of(job: JobId): Map<TaskId, Place> = placesByJob[job].orEmpty()
 
-    fun placeOf(task: TaskId): Place? = byJob[task.job]?.get(task)
+    fun placeOf(task: TaskId): Place? = placesByJob[task.job]?.get(task)
 
-    fun useOf(team: TeamId): Resources = uses[team] ?: Resources.NONE
+    fun useOf(team: TeamId): Resources = usedByTeam[team] ?: Resources.NONE
 
     fun add(task: TaskId, place: Place, spec: JobSpec) {
-        val isNew = byJob.getOrPut(task.job) { HashMap() }.put(task, place) == null
-        if (isNew) uses.merge(spec.team, spec.perTask) { sum, taken -> (sum + taken).rounded() }
+        val isNew = placesByJob.getOrPut(task.job) { HashMap() }.put(task, place) == null
+        if (isNew) usedByTeam.merge(spec.team, spec.perTask) { sum, used -> (sum + used).rounded() }
     }
 
     fun remove(task: TaskId, spec: JobSpec) {
-        if (byJob[task.job]?.remove(task) != null) uses.merge(spec.team, spec.perTask) { sum, taken -> (sum - taken).rounded() }
+        if (placesByJob[task.job]?.remove(task) != null) usedByTeam.merge(spec.team, spec.perTask) { sum, used -> (sum - used).rounded() }
     }
 }
 
-/** PROTOCOL's rules, checked as things happen. */
+/**
+ * Checks the rules of PROTOCOL at each event of a simulation; throws [RuleBroken] at a violation. Times are in milliseconds.
+ *
+ * @param cancelMs how long after a confirmed cancellation tasks of the job may still run
+ */
 class Rules(private val teams: Map<TeamId, TeamQuota>, private val cancelMs: Long) {
     private val submitted = HashMap<JobId, JobSpec>()
     private val accepted = HashSet<JobId>()
-    private val cancelAsked = HashSet<JobId>()
-    private val told = HashMap<JobId, JobStatus>()
-    private val cancelToldAt = HashMap<JobId, Long>()
+    private val cancelRequested = HashSet<JobId>()
+    private val reportedFinal = HashMap<JobId, JobStatus>()
+    private val cancelConfirmedAt = HashMap<JobId, Long>()
     private val running = RunningTasks()
     private val completed = HashMap<JobId, HashSet<Int>>()
-    private val firstStart = HashMap<JobId, Long>()
+    private val firstStartAt = HashMap<JobId, Long>()
     private val submittedAt = HashMap<JobId, Long>()
 
-    /** Since when all questions about a job went without an answer. */
+    /** For each job since when no status request for it was answered. */
     private val unansweredSince = HashMap<JobId, Long>()
+
+    /** Number of task starts. */
     var started = 0
         private set
 
-    /** When the last trouble ended; null while there may be some. */
+    /** When the last injected fault ends; null if more faults may be injected. */
     var quietSince: Long? = null
 
     fun submitting(spec: JobSpec, now: Long = 0) {
@@ -63,46 +72,46 @@
         submittedAt.putIfAbsent(spec.id, now)
     }
 
-    /** How long after its submission a job's first task started, or null where none did. */
-    fun beganAfterMs(id: JobId): Long? = firstStart[id]?.let { it - submittedAt.getValue(id) }
+    /** Returns how long after the submission of [id] its first task started, in milliseconds, or null if none has started. */
+    fun beganAfterMs(id: JobId): Long? = firstStartAt[id]?.let { it - submittedAt.getValue(id) }
 
-    /** A question about [id] was asked; [answered] tells whether it got its state. */
+    /** Records a status request for [id]; [answered] tells whether the answer contained the status of the job. */
     fun asked(id: JobId, answered: Boolean, now: Long) {
         if (answered) unansweredSince -= id else unansweredSince.putIfAbsent(id, now)
         val quiet = quietSince ?: return
         val since = unansweredSince[id] ?: return
-        // However others fare: each job counts for itself.
-        if (id in accepted && now - maxOf(since, quiet) > FORGOTTEN_MS) broken("forgotten", "$id got no answer since $since")
+        // Checked per job: answers about other jobs do not count.
+        if (id in accepted && now - maxOf(since, quiet) > MAX_UNANSWERED_MS) violated("forgotten", "$id: no status answer since $since ms")
     }
 
     fun cancelling(id: JobId) {
-        cancelAsked += id
+        cancelRequested += id
     }
 
-    /** An answer to a submission. */
+    /** Checks the HTTP [status] of the answer to a submission of [id]. */
     fun submissionAnswered(id: JobId, status: Int) {
         if (status == 200 || status == 201) accepted += id
-        if (id in accepted && (status == 400 || status == 422)) broken("forgotten", "$id got $status")
+        if (id in accepted && (status == 400 || status == 422)) violated("forgotten", "accepted job $id: submission got status $status")
     }
 
-    /** An answer to a poll, or to a cancellation where it names a state. */
+    /** Checks an answer to a request for the status of [id], or to a submission or cancellation that contains its [state]. */
     fun statusAnswered(id: JobId, status: Int, state: JobStatus?, now: Long, askedAt: Long = now) {
-        if (status == 404 && id in accepted) broken("forgotten", "$id got 404")
+        if (status == 404 && id in accepted) violated("forgotten", "accepted job $id got HTTP status 404")
         if (status != 200 || state == null) return
-        if (id !in submitted) broken("invented", "$id")
+        if (id !in submitted) violated("invented", "$id was never submitted")
         accepted += id
         if (state == JobStatus.DONE && completed[id].orEmpty().size < submitted.getValue(id).tasks) {
-            broken("not_done", "$id has ${completed[id].orEmpty().size} tasks done")
+            violated("not_done", "$id is reported done, but only ${completed[id].orEmpty().size} of its tasks are")
         }
-        if (state == JobStatus.CANCELLED && !cancelAskedFor(id)) broken("went_back", "$id was never cancelled")
-        if (!state.isFinal) checkOrphaned(id, state, askedAt)
-        val before = told[id]
-        if (before != null && before != state) broken("went_back", "$id was $before, now $state")
-        if (state.isFinal) told[id] = state
-        if (state == JobStatus.CANCELLED) cancelToldAt.putIfAbsent(id, now)
+        if (state == JobStatus.CANCELLED && !isCancelRequested(id)) violated("went_back", "$id is cancelled without a user's request")
+        if (!state.isFinal) checkPrerequisiteCancelled(id, state, askedAt)
+        val before = reportedFinal[id]
+        if (before != null && before != state) violated("went_back", "$id was reported as $before, now as $state")
+        if (state.isFinal) reportedFinal[id] = state
+        if (state == JobStatus.CANCELLED) cancelConfirmedAt.putIfAbsent(id, now)
     }
 
-    /** All jobs that have to be done before [id] starts, directly or through others. */
+    /** Returns all direct and transitive prerequisites of [id]. */
     fun ancestors(id: JobId): Set<JobId> {
         val found = LinkedHashSet<JobId>()
         val pending = ArrayDeque(submitted[id]?.prerequisites.orEmpty())
@@ -113,109 +122,121 @@
         return found
     }
 
-    private fun cancelAskedFor(id: JobId) = id in cancelAsked || ancestors(id).any { it in cancelAsked }
+    private fun isCancelRequested(id: JobId) = id in cancelRequested || ancestors(id).any { it in cancelRequested }
 
-    /** Whether a user was told that [id] or a job before it is cancelled. */
-    fun isCancelled(id: JobId) = id in cancelToldAt || ancestors(id).any { it in cancelToldAt }
+    /** Whether an answer to a user said that [id] or one of its direct or transitive prerequisites is cancelled. */
+    fun isCancelled(id: JobId) = id in cancelConfirmedAt || ancestors(id).any { it in cancelConfirmedAt }
 
-    /** A job that needs a cancelled one is to be called cancelled in time. */
-    private fun checkOrphaned(id: JobId, state: JobStatus, askedAt: Long) {
-        val cancelled = ancestors(id).filter { it in cancelToldAt }.minByOrNull { cancelToldAt.getValue(it) } ?: return
-        val sinceMs = askedAt - cancelToldAt.getValue(cancelled)
-        if (sinceMs > cancelMs) broken("orphaned", "$id is called $state $sinceMs ms after $cancelled was cancelled")
+    /** Checks that [id] is not reported as [state] more than [cancelMs] after one of its prerequisites was reported as cancelled. */
+    private fun checkPrerequisiteCancelled(id: JobId, state: JobStatus, askedAt: Long) {
+        val cancelled = ancestors(id).filter { it in cancelConfirmedAt }.minByOrNull { cancelConfirmedAt.getValue(it) } ?: return
+        val sinceMs = askedAt - cancelConfirmedAt.getValue(cancelled)
+        if (sinceMs > cancelMs) violated("orphaned", "$id is $state $sinceMs ms after cancellation of prerequisite $cancelled")
     }
 
-    /** Whether every job that [id] needs has completed all its tasks. */
+    /** Whether every prerequisite of [id] has completed all its tasks. */
     fun prerequisitesDone(id: JobId) =
         submitted.getValue(id).prerequisites.all { completed[it].orEmpty().size == submitted.getValue(it).tasks }
 
+    /** Records that [task] starts on [place], and checks the rules for placement, quota, order and cancellation. */
     fun taskStarts(task: TaskId, place: Place, now: Long) {
         started++
-        firstStart.putIfAbsent(task.job, now)
-        lastStart[task.job] = now
-        starts.merge(task.job, 1, Int::plus)
+        firstStartAt.putIfAbsent(task.job, now)
+        lastStartAt[task.job] = now
+        startCounts.merge(task.job, 1, Int::plus)
         val spec = submitted.getValue(task.job)
-        if (!prerequisitesDone(task.job)) broken("too_early", "$task before ${spec.prerequisites}")
-        running.placeOf(task)?.let { if (it.machine != place.machine) broken("ran_twice", "$task on ${it.machine} and ${place.machine}") }
-        if (spec.types != null && place.type !in spec.types!!) broken("wrong_place", "$task on ${place.type}")
-        if (spec.zone != null && spec.zone != place.zone) broken("wrong_place", "$task in ${place.zone}")
-        if (place.spot && !spec.spotAllowed) broken("wrong_place", "$task on spot")
+        if (!prerequisitesDone(task.job)) violated("too_early", "$task started before its prerequisites ${spec.prerequisites} were done")
+        running.placeOf(task)?.let { if (it.machine != place.machine) violated("ran_twice", "$task on ${it.machine} and ${place.machine}") }
+        if (spec.types != null && place.type !in spec.types!!) violated("wrong_place", "$task runs on machine type ${place.type}")
+        if (spec.zone != null && spec.zone != place.zone) violated("wrong_place", "$task runs in zone ${place.zone}")
+        if (place.spot && !spec.spotAllowed) violated("wrong_place", "$task runs on a spot machine")
         val others = running.of(task.job).filterKeys { it != task }.values
-        if (spec.singleZone && others.any { it.zone != place.zone }) broken("wrong_place", "$task apart from its job")
+        if (spec.singleZone && others.any { it.zone != place.zone }) violated("wrong_place", "$task runs in another zone than its job")
         if (spec.spreadAcrossZones &&
             others.count { it.zone == place.zone } + 1 > spec.maxTasksPerZone
         ) {
-            broken("wrong_place", "$task: too many in ${place.zone}")
+            violated("wrong_place", "$task: too many tasks of its job in zone ${place.zone}")
         }
         running.add(task, place, spec)
         val use = running.useOf(spec.team)
-        if (!teams.getValue(spec.team).limitAllows(use)) broken("quota", "${spec.team} uses $use")
+        if (!teams.getValue(spec.team).limitAllows(use)) violated("quota", "team ${spec.team} uses $use")
         checkCancelled(task, now)
     }
 
-    /** The controllers command a start of [id]; what they cannot know of a cancellation is a moment old at most. */
+    /**
+     * Checks that a start of a task of [id] is not commanded long after the job's cancellation was confirmed; all controllers
+     * learn of a cancellation within [MAX_START_AFTER_CANCEL_MS].
+     */
     fun startCommanded(id: JobId, now: Long) {
-        val at = cancelToldAt[id] ?: return
-        if (now - at > START_AFTER_CANCEL_MS) broken("started_cancelled", "$id, ${now - at} ms after its cancellation")
+        val at = cancelConfirmedAt[id] ?: return
+        if (now - at > MAX_START_AFTER_CANCEL_MS) violated("started_cancelled", "start of $id ${now - at} ms after its confirmed cancellation")
     }
 
-    /** A submission that can't run or lacks a field got [status]. */
+    /** Checks that a submission of an invalid job, described by [what], was not accepted; [status] is the HTTP status of its answer. */
     fun oddAnswered(what: String, status: Int) {
-        if (status in 200..299) broken("accepted_odd", "$what got $status")
+        if (status in 200..299) violated("accepted_odd", "invalid submission $what got HTTP status $status")
     }
 
-    /** Whether [id] has tasks that neither run nor are done, and how many run in each zone. */
+    /** Whether all prerequisites of [id] are done and some of its tasks neither run nor are done. */
     fun waits(id: JobId): Boolean = prerequisitesDone(id) && runningOf(id) + completed[id].orEmpty().size < submitted.getValue(id).tasks
 
+    /** Returns how many tasks of [id] run in each zone. */
     fun zonesOf(id: JobId): Map<Zone, Int> = running.of(id).values.groupingBy { it.zone }.eachCount()
 
+    /** Returns the resources that the running tasks of [team] use. */
     fun useOf(team: TeamId): Resources = running.useOf(team)
 
-    private val roomSince = HashMap<JobId, Long>()
+    private val starvedSince = HashMap<JobId, Long>()
 
-    /** Notes whether [id] waits although a machine that fits has room and its team is under its limit. */
-    fun waitsBesideRoom(id: JobId, besideRoom: Boolean, now: Long) {
+    /**
+     * Records whether tasks of [id] wait although a suitable machine has free capacity and the quota of the team allows them
+     * ([isStarved]); throws [RuleBroken] if that lasts for too long once all faults have ended.
+     */
+    fun waitsBesideRoom(id: JobId, isStarved: Boolean, now: Long) {
         val quiet = quietSince
-        if (!besideRoom || quiet == null || now < quiet) {
-            roomSince -= id
+        if (!isStarved || quiet == null || now < quiet) {
+            starvedSince -= id
             return
         }
-        val since = maxOf(roomSince.getOrPut(id) { now }, lastStart[id] ?: 0)
-        if (now - since > LEFT_WAITING_MS) broken("left_waiting", "$id for ${now - since} ms")
+        val since = maxOf(starvedSince.getOrPut(id) { now }, lastStartAt[id] ?: 0)
+        if (now - since > MAX_STARVED_MS) violated("left_waiting", "$id waits for ${now - since} ms despite free capacity")
     }
 
-    private val lastStart = HashMap<JobId, Long>()
+    private val lastStartAt = HashMap<JobId, Long>()
 
+    /** Records that [task] no longer runs on the machine [place]; [done] tells whether it completed. */
     fun taskGone(task: TaskId, place: MachineId, done: Boolean) {
         if (running.placeOf(task)?.machine == place) running.remove(task, submitted.getValue(task.job))
         if (done) completed.getOrPut(task.job) { HashSet() } += task.index
     }
 
-    /** Called after each step. */
+    /** Checks that no task of a cancelled job runs any longer than allowed. Called after each simulation step. */
     fun check(now: Long) {
-        for (job in cancelToldAt.keys) for (task in running.of(job).keys) checkCancelled(task, now)
+        for (job in cancelConfirmedAt.keys) for (task in running.of(job).keys) checkCancelled(task, now)
     }
 
-    /** How many starts of tasks of [id] there were. */
-    fun startsOf(id: JobId) = starts[id] ?: 0
+    /** Returns how many task starts of [id] there were, restarts included. */
+    fun startsOf(id: JobId) = startCounts[id] ?: 0
 
-    private val starts = HashMap<JobId, Int>()
+    private val startCounts = HashMap<JobId, Int>()
 
-    /** How many tasks of [id] are on machines. */
+    /** Returns how many tasks of [id] run. */
     fun runningOf(id: JobId) = running.of(id).size
 
-    fun tellable(id: JobId) = told[id]
+    /** Returns the final status that users were told of [id], or null if there was none so far. */
+    fun tellable(id: JobId) = reportedFinal[id]
 
     private fun checkCancelled(task: TaskId, now: Long) {
-        val at = cancelToldAt[task.job] ?: return
-        if (now - at > cancelMs) broken("ran_cancelled", "$task, ${now - at} ms after its cancellation")
+        val at = cancelConfirmedAt[task.job] ?: return
+        if (now - at > cancelMs) violated("ran_cancelled", "$task runs ${now - at} ms after its cancellation was confirmed")
     }
 
-    private fun broken(rule: String, what: String): Nothing = throw RuleBroken("$rule: $what")
+    private fun violated(rule: String, what: String): Nothing = throw RuleBroken("$rule: $what")
 
     private companion object {
-        const val FORGOTTEN_MS = 75_000L
-        const val LEFT_WAITING_MS = 90_000L
-        const val START_AFTER_CANCEL_MS = 3000L
+        /** How long an accepted job may go without an answer to a status request, in the absence of faults. */
+        const val MAX_UNANSWERED_MS = 75_000L
+        const val MAX_STARVED_MS = 90_000L
+        const val MAX_START_AFTER_CANCEL_MS = 3000L
     }
 }
--- a/src/test/kotlin/mountmast/standin/RulesTest.kt
+++ b/src/test/kotlin/mountmast/standin/RulesTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Each checker of a rule can fail. */
+/** Checks that each rule of [Rules] is reported as broken by events that violate it. */
 class RulesTest {
     private val world = World(1)
     private val spec = world.job(1) {
@@ -22,39 +22,39 @@
         )
     }
     private val rules = Rules(world.teams, 1000).apply { submitting(spec) }
-    private val good = Place(MachineId("vm-1"), TypeId("l"), Zone("a"), spot = false)
+    private val validPlace = Place(MachineId("vm-1"), TypeId("l"), Zone("a"), spot = false)
 
-    private fun breaks(rule: String, act: () -> Unit) {
+    private fun assertBroken(rule: String, act: () -> Unit) {
         val broken = assertThrows(RuleBroken::class.java, act)
         assertTrue(broken.message!!.startsWith(rule), broken.message)
     }
 
     @Test
     fun `a task on two machines`() {
-        rules.taskStarts(TaskId(spec.id, 0), good, 0)
-        breaks("ran_twice") { rules.taskStarts(TaskId(spec.id, 0), good.copy(machine = MachineId("vm-2")), 0) }
+        rules.taskStarts(TaskId(spec.id, 0), validPlace, 0)
+        assertBroken("ran_twice") { rules.taskStarts(TaskId(spec.id, 0), validPlace.copy(machine = MachineId("vm-2")), 0) }
     }
 
     @Test
     fun `more than the limit`() {
-        repeat(2) { rules.taskStarts(TaskId(spec.id, it), good, 0) }
-        breaks("quota") { rules.taskStarts(TaskId(spec.id, 2), good, 0) }
+        repeat(2) { rules.taskStarts(TaskId(spec.id, it), validPlace, 0) }
+        assertBroken("quota") { rules.taskStarts(TaskId(spec.id, 2), validPlace, 0) }
     }
 
     @Test
     fun `the wrong type, kind or zone`() {
-        breaks("wrong_place") { rules.taskStarts(TaskId(spec.id, 0), good.copy(type = TypeId("s")), 0) }
-        breaks("wrong_place") { rules.taskStarts(TaskId(spec.id, 0), good.copy(spot = true), 0) }
+        assertBroken("wrong_place") { rules.taskStarts(TaskId(spec.id, 0), validPlace.copy(type = TypeId("s")), 0) }
+        assertBroken("wrong_place") { rules.taskStarts(TaskId(spec.id, 0), validPlace.copy(spot = true), 0) }
         val together = spec.copy(singleZone = true, cpus = 1.0).also(rules::submitting)
-        rules.taskStarts(TaskId(together.id, 0), good, 0)
-        breaks("wrong_place") { rules.taskStarts(TaskId(together.id, 1), good.copy(zone = Zone("b")), 0) }
+        rules.taskStarts(TaskId(together.id, 0), validPlace, 0)
+        assertBroken("wrong_place") { rules.taskStarts(TaskId(together.id, 1), validPlace.copy(zone = Zone("b")), 0) }
     }
 
     @Test
     fun `too many in one zone`() {
         val spreadAcrossZones = spec.copy(spreadAcrossZones = true, cpus = 1.0).also(rules::submitting)
-        repeat(3) { rules.taskStarts(TaskId(spreadAcrossZones.id, it), good, 0) }
-        breaks("wrong_place") { rules.taskStarts(TaskId(spreadAcrossZones.id, 3), good, 0) }
+        repeat(3) { rules.taskStarts(TaskId(spreadAcrossZones.id, it), validPlace, 0) }
+        assertBroken("wrong_place") { rules.taskStarts(TaskId(spreadAcrossZones.id, 3), validPlace, 0) }
     }
 
     @Test
@@ -62,13 +62,13 @@
         rules.cancelling(spec.id)
         rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0)
         rules.startCommanded(spec.id, 2000)
-        breaks("started_cancelled") { rules.startCommanded(spec.id, 4000) }
+        assertBroken("started_cancelled") { rules.startCommanded(spec.id, 4000) }
     }
 
     @Test
     fun `a job accepted although it lacks a field`() {
         rules.oddAnswered("no owner", 400)
-        breaks("accepted_odd") { rules.oddAnswered("no owner", 201) }
+        assertBroken("accepted_odd") { rules.oddAnswered("no owner", 201) }
     }
 
     @Test
@@ -81,28 +81,28 @@
         rules.waitsBesideRoom(spec.id, false, 286_000)
         rules.waitsBesideRoom(spec.id, true, 287_000)
         rules.waitsBesideRoom(spec.id, true, 375_000)
-        breaks("left_waiting") { rules.waitsBesideRoom(spec.id, true, 378_000) }
+        assertBroken("left_waiting") { rules.waitsBesideRoom(spec.id, true, 378_000) }
     }
 
     @Test
     fun `a task of a cancelled job`() {
-        rules.taskStarts(TaskId(spec.id, 0), good, 0)
+        rules.taskStarts(TaskId(spec.id, 0), validPlace, 0)
         rules.cancelling(spec.id)
         rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0)
         rules.check(1000)
-        breaks("ran_cancelled") { rules.check(1001) }
+        assertBroken("ran_cancelled") { rules.check(1001) }
     }
 
     @Test
     fun `what users are told`() {
-        breaks("invented") { rules.statusAnswered(world.job(2).id, 200, JobStatus.PENDING, 0) }
-        breaks("not_done") { rules.statusAnswered(spec.id, 200, JobStatus.DONE, 0) }
-        breaks("went_back") { rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0) }
+        assertBroken("invented") { rules.statusAnswered(world.job(2).id, 200, JobStatus.PENDING, 0) }
+        assertBroken("not_done") { rules.statusAnswered(spec.id, 200, JobStatus.DONE, 0) }
+        assertBroken("went_back") { rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0) }
         rules.cancelling(spec.id)
         rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0)
-        breaks("went_back") { rules.statusAnswered(spec.id, 200, JobStatus.RUNNING, 0) }
-        breaks("forgotten") { rules.statusAnswered(spec.id, 404, null, 0) }
-        breaks("forgotten") { rules.submissionAnswered(spec.id, 422) }
+        assertBroken("went_back") { rules.statusAnswered(spec.id, 200, JobStatus.RUNNING, 0) }
+        assertBroken("forgotten") { rules.statusAnswered(spec.id, 404, null, 0) }
+        assertBroken("forgotten") { rules.submissionAnswered(spec.id, 422) }
     }
 
     @Test
@@ -112,7 +112,7 @@
         rules.asked(spec.id, answered = false, now = 100_000)
         rules.quietSince = 50_000
         rules.asked(spec.id, answered = false, now = 125_000)
-        breaks("forgotten") { rules.asked(spec.id, answered = false, now = 125_001) }
+        assertBroken("forgotten") { rules.asked(spec.id, answered = false, now = 125_001) }
         rules.asked(spec.id, answered = true, now = 126_000)
         rules.asked(spec.id, answered = false, now = 300_000)
     }
@@ -120,10 +120,10 @@
     @Test
     fun `a task that starts before a job that its job needs is done`() {
         val dependent = spec.copy(id = JobId("j-2"), cpus = 1.0, prerequisites = listOf(spec.id)).also(rules::submitting)
-        repeat(spec.tasks - 1) { rules.taskGone(TaskId(spec.id, it), good.machine, done = true) }
-        breaks("too_early") { rules.taskStarts(TaskId(dependent.id, 0), good, 0) }
-        rules.taskGone(TaskId(spec.id, spec.tasks - 1), good.machine, done = true)
-        rules.taskStarts(TaskId(dependent.id, 0), good, 0)
+        repeat(spec.tasks - 1) { rules.taskGone(TaskId(spec.id, it), validPlace.machine, done = true) }
+        assertBroken("too_early") { rules.taskStarts(TaskId(dependent.id, 0), validPlace, 0) }
+        rules.taskGone(TaskId(spec.id, spec.tasks - 1), validPlace.machine, done = true)
+        rules.taskStarts(TaskId(dependent.id, 0), validPlace, 0)
     }
 
     @Test
@@ -133,7 +133,7 @@
         rules.cancelling(spec.id)
         rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0)
         rules.statusAnswered(third.id, 200, JobStatus.PENDING, 1000)
-        breaks("orphaned") { rules.statusAnswered(third.id, 200, JobStatus.PENDING, 1001) }
+        assertBroken("orphaned") { rules.statusAnswered(third.id, 200, JobStatus.PENDING, 1001) }
         rules.statusAnswered(third.id, 200, JobStatus.CANCELLED, 1001)
     }
 
@@ -141,6 +141,6 @@
     fun `a job called cancelled though neither it nor a job before it was`() {
         val second = spec.copy(id = JobId("j-2"), prerequisites = listOf(spec.id)).also(rules::submitting)
         rules.cancelling(second.id)
-        breaks("went_back") { rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0) }
+        assertBroken("went_back") { rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0) }
     }
 }
--- a/src/test/kotlin/mountmast/standin/StandInCloud.kt
+++ b/src/test/kotlin/mountmast/standin/StandInCloud.kt
@@ -14,7 +14,12 @@
 import mountmast.transport.RentalOutcome
 import kotlin.random.Random
 
-/** The cloud in virtual time. */
+/**
+ * The simulated cloud: rents, boots, lists and terminates machines in virtual time.
+ *
+ * @param perOffer how many machines the cloud has of each machine type in each zone, for spot and on-demand machines each
+ * @param newWorker creates the worker of a machine that has booted
+ */
 class StandInCloud(
     private val time: VirtualTime,
     private val random: Random,
@@ -22,49 +27,52 @@
     private val perOffer: Int,
     private val newWorker: (MachineId, RentalRequest) -> StandInWorker,
 ) {
-    private class Rented(val request: RentalRequest, val at: Long, val upAt: Long) {
+    private class Rented(val request: RentalRequest, val at: Long, val bootedAt: Long) {
         var worker: StandInWorker? = null
     }
 
     private val machines = LinkedHashMap<MachineId, Rented>()
-    private val answers = HashMap<RentalRequestId, List<MachineId>>()
-    private var lists = ArrayDeque<Pair<Long, List<ListedMachine>>>()
+    private val rentedByRequest = HashMap<RentalRequestId, List<MachineId>>()
+    private var recordedLists = ArrayDeque<Pair<Long, List<ListedMachine>>>()
     private var outageUntil = 0L
-    private var number = 0
+    private var machinesRented = 0
 
-    /** Which machines, once rented, never come up. */
+    /** Injected fault: whether the machines of a rental request never finish booting. */
     var neverBoots: (RentalRequest) -> Boolean = { false }
 
-    /** How many machines were rented so far. */
-    val rented get() = number
+    /** Number of machines rented since the start. */
+    val rented get() = machinesRented
+
+    /** The workers of all machines that have booted and were not terminated. */
     val workers: List<StandInWorker> get() = machines.values.mapNotNull { it.worker }
 
+    /** Lets all requests to the cloud fail for [forMs]. */
     fun outage(forMs: Long) {
         outageUntil = time.now + forMs
     }
 
-    /** Boots machines and keeps the lists that will be served later. */
+    /** Boots the machines that are due, and records the list of machines, which requests get with a delay of seconds. */
     fun step() {
         for ((id, machine) in machines) {
-            if (machine.worker == null && time.now >= machine.upAt) machine.worker = newWorker(id, machine.request)
+            if (machine.worker == null && time.now >= machine.bootedAt) machine.worker = newWorker(id, machine.request)
         }
-        // The lists of a large fleet are kept a second apart.
-        if (machines.size > LARGE_FLEET && time.now - (lists.lastOrNull()?.first ?: 0) < LISTED_EVERY_MS) return
-        lists += time.now to machines.map { (id, it) ->
+        // For a large fleet only one list a second is recorded.
+        if (machines.size > LARGE_FLEET_MACHINES && time.now - (recordedLists.lastOrNull()?.first ?: 0) < LIST_INTERVAL_MS) return
+        recordedLists += time.now to machines.map { (id, it) ->
             val state = if (it.worker == null) ListedState.BOOTING else ListedState.RUNNING
             ListedMachine(id, "$id:9000", it.request.type, it.request.zone, it.request.spot, state, (time.now - it.at) / 1000.0)
         }
-        while (lists.size > 200) lists.removeFirst()
+        while (recordedLists.size > 200) recordedLists.removeFirst()
     }
 
-    /** The cloud takes a machine back. */
+    /** Terminates a machine, on request or because the cloud reclaims it. */
     fun take(id: MachineId) {
         time.record { "cloud takes ${id.text}" }
         machines.remove(id)?.worker?.die()
     }
 
-    private fun rentNow(request: RentalRequest): RentalOutcome {
-        answers[request.id]?.let { return RentalOutcome.Rented(it) }
+    private fun allocate(request: RentalRequest): RentalOutcome {
+        rentedByRequest[request.id]?.let { return RentalOutcome.Rented(it) }
         val used = machines.values.count {
             it.request.type == request.type &&
                 it.request.zone == request.zone &&
@@ -72,54 +80,54 @@
         }
         val count = minOf(request.count, perOffer - used)
         if (count <= 0) return RentalOutcome.NoCapacity
-        val ids = List(count) { MachineId("vm-" + (number++).toString().padStart(6, '0')) }
+        val ids = List(count) { MachineId("vm-" + (machinesRented++).toString().padStart(6, '0')) }
         for (id in ids) {
-            val boot = if (random.nextInt(20) == 0 || neverBoots(request)) Long.MAX_VALUE / 2 else random.nextLong(500, 12_000)
-            machines[id] = Rented(request, time.now, time.now + boot)
+            val bootMs = if (random.nextInt(20) == 0 || neverBoots(request)) Long.MAX_VALUE / 2 else random.nextLong(500, 12_000)
+            machines[id] = Rented(request, time.now, time.now + bootMs)
         }
-        answers[request.id] = ids
+        rentedByRequest[request.id] = ids
         return RentalOutcome.Rented(ids)
     }
 
     private companion object {
-        const val LARGE_FLEET = 1000
-        const val LISTED_EVERY_MS = 1000L
+        const val LARGE_FLEET_MACHINES = 1000
+        const val LIST_INTERVAL_MS = 1000L
     }
 
-    /** The cloud as one node reaches it. */
+    /** The connection of one controller process to the cloud, with the injected [faults] of that process. */
     inner class View(private val faults: ProcessFaults) : Cloud {
-        private fun <T> ask(what: () -> String, told: (T) -> String, act: () -> T): T {
-            time.record { "cloud ${faults.number} ${what()}" }
+        private fun <T> call(requestText: () -> String, responseText: (T) -> String, request: () -> T): T {
+            time.record { "cloud ${faults.number} ${requestText()}" }
             try {
-                return reach(act).also { answer -> time.record { "cloud ${faults.number} answers ${told(answer)}" } }
+                return callWithFaults(request).also { answer -> time.record { "cloud ${faults.number} answers ${responseText(answer)}" } }
             } catch (e: CloudException) {
                 time.record { "cloud ${faults.number} fails ${e.mayBeCarriedOut}" }
                 throw e
             }
         }
 
-        private fun <T> reach(act: () -> T): T {
+        private fun <T> callWithFaults(request: () -> T): T {
             faults.interruptIfDue(random)
             if (time.now < outageUntil) throw CloudException("outage", mayBeCarriedOut = false)
             if (random.nextDouble() < faults.lossRate) {
-                if (random.nextBoolean()) act() else time.later(random.nextLong(100, 15_000)) { act() }
-                throw CloudException("lost", mayBeCarriedOut = true)
+                if (random.nextBoolean()) request() else time.later(random.nextLong(100, 15_000)) { request() }
+                throw CloudException("answer lost", mayBeCarriedOut = true)
             }
-            faults.repeatLaterIfDue(random) { act() }
-            return act().also { faults.interruptIfDue(random) }
+            faults.repeatLaterIfDue(random) { request() }
+            return request().also { faults.interruptIfDue(random) }
         }
 
-        override fun machineTypes() = ask({ "types" }, { WireJson.encodeToString(it) }) { types }
-        override fun rent(request: RentalRequest) = ask({ "rent ${WireJson.encodeToString(request)}" }, ::text) { rentNow(request) }
+        override fun machineTypes() = call({ "types" }, { WireJson.encodeToString(it) }) { types }
+        override fun rent(request: RentalRequest) = call({ "rent ${WireJson.encodeToString(request)}" }, ::traceText) { allocate(request) }
         override fun delete(machines: List<MachineId>) =
-            ask({ "delete ${machines.joinToString { it.text }}" }, { "" }) { machines.forEach(::take) }
-        override fun list(after: MachineId?): MachinePage = ask({ "list ${after?.text}" }, { WireJson.encodeToString(it) }) {
-            val old = lists.lastOrNull { it.first <= time.now - random.nextLong(1000, 6000) }?.second.orEmpty()
+            call({ "delete ${machines.joinToString { it.text }}" }, { "" }) { machines.forEach(::take) }
+        override fun list(after: MachineId?): MachinePage = call({ "list ${after?.text}" }, { WireJson.encodeToString(it) }) {
+            val old = recordedLists.lastOrNull { it.first <= time.now - random.nextLong(1000, 6000) }?.second.orEmpty()
             val rest = old.filter { after == null || it.id > after }
             MachinePage(rest.take(5), rest.size > 5)
         }
 
-        private fun text(outcome: RentalOutcome) = when (outcome) {
+        private fun traceText(outcome: RentalOutcome) = when (outcome) {
             is RentalOutcome.Rented -> outcome.machines.joinToString { it.text }
             RentalOutcome.NoCapacity -> "none"
         }
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/StandInStore.kt
@@ -24,50 +24,64 @@
 import java.util.TreeMap
 import kotlin.random.Random
 
-/** The state service in virtual time. */
+/**
+ * The simulated state service: a transactional key-value store with leases and watches, in virtual time.
+ *
+ * @param keptChanges how many changes watches can still read; a watch from before them is answered as compacted
+ */
 class StandInStore(
-    private val world: VirtualTime,
+    private val time: VirtualTime,
     private val keptChanges: Int = 400,
     private val limits: FallingLimits = FallingLimits(),
-    /** Entries in a page of a list: few, so that listing in several parts is exercised. */
+    /** Entries in a page of a list; few, so that lists need several pages. */
     private val pageSize: Int = 7,
 ) {
-    private class Value(val data: JsonElement, val modRevision: Long, val storeLease: Long?)
+    private class StoredValue(val data: JsonElement, val modRevision: Long, val storeLease: Long?)
 
-    private val values = TreeMap<String, Value>()
-    private val holds = HashMap<Long, LongArray>() // ttl, ends
+    private val values = TreeMap<String, StoredValue>()
+
+    /** For each lease its time to live and its expiry time, in milliseconds. */
+    private val leases = HashMap<Long, LongArray>()
     private val changes = ArrayDeque<WatchEvent>()
     private var revision = 0L
-    private var nextLease = 1L
+    private var nextLeaseId = 1L
     private var outageUntil = 0L
+
+    /** Length of the largest value written so far, in characters. */
     var largestValue = 0
         private set
 
-    /** Requests so far, those that were refused included; puts and deletes; the most of them in one transaction. */
+    /** Number of requests, refused ones included. */
     var requests = 0
         private set
+
+    /** Number of puts and deletes requested. */
     var writes = 0
         private set
+
+    /** The largest number of puts and deletes in one transaction. */
     var mostOps = 0
         private set
 
-    /** Changes that were carried out, by what they are for. */
+    /** Number of puts and deletes carried out, by kind. */
     val writesByKind = TreeMap<WriteKind, Int>()
 
-    /** Transactions refused as too large, and requests refused as over a rate. */
+    /** Number of transactions rejected as too large. */
     var tooLarge = 0
         private set
+
+    /** Number of requests refused because they exceeded a rate. */
     var overRate = 0
         private set
-    private val requestRate = ServiceRate(world)
-    private val writeRate = ServiceRate(world)
+    private val requestRate = ServiceRate(time)
+    private val writeRate = ServiceRate(time)
 
     private fun checkRequestRate() {
-        if (limits.enforcesRates && !requestRate.allows(1, limits.now(world).requestsPerSecond)) refuseOverRate()
+        if (limits.enforcesRates && !requestRate.allows(1, limits.now(time).requestsPerSecond)) refuseOverRate()
     }
 
     private fun checkWriteRate(count: Int) {
-        if (limits.enforcesRates && !writeRate.allows(count, limits.now(world).writesPerSecond)) refuseOverRate()
+        if (limits.enforcesRates && !writeRate.allows(count, limits.now(time).writesPerSecond)) refuseOverRate()
     }
 
     private fun refuseOverRate(): Nothing {
@@ -76,7 +90,7 @@
     }
 
     private fun checkSizes(transaction: Transaction) {
-        val now = limits.now(world)
+        val now = limits.now(time)
         val sizes = transaction.writes.map { if (it is Write.Put) it.value.toString().encodeToByteArray().size else 0 }
         val fits = transaction.writes.size <= now.transactionOps &&
             transaction.compares.size <= now.transactionCompares &&
@@ -87,44 +101,46 @@
         throw StoreRequestRejectedException.of(transaction, "too large")
     }
 
+    /** Refuses all requests for [forMs]. */
     fun outage(forMs: Long) {
-        outageUntil = maxOf(outageUntil, world.now + forMs)
-        // An outage gives all leases their full time again.
-        for (storeLease in holds.values) storeLease[1] = maxOf(storeLease[1], outageUntil + storeLease[0])
+        outageUntil = maxOf(outageUntil, time.now + forMs)
+        // After an outage all leases run for their full time to live again.
+        for (storeLease in leases.values) storeLease[1] = maxOf(storeLease[1], outageUntil + storeLease[0])
     }
 
-    val out: Boolean get() = world.now < outageUntil
+    /** Whether an outage goes on. */
+    val out: Boolean get() = time.now < outageUntil
 
-    private fun expire() {
+    private fun expireLeases() {
         if (out) return
-        val ended = holds.filterValues { it[1] < world.now }.keys
-        if (ended.isEmpty()) return
-        holds.keys.removeAll(ended)
-        val gone = values.filterValues { it.storeLease in ended }.keys.toList()
-        if (gone.isNotEmpty()) revision++
-        for (key in gone) delete(key)
+        val expiredLeases = leases.filterValues { it[1] < time.now }.keys
+        if (expiredLeases.isEmpty()) return
+        leases.keys.removeAll(expiredLeases)
+        val expiredKeys = values.filterValues { it.storeLease in expiredLeases }.keys.toList()
+        if (expiredKeys.isNotEmpty()) revision++
+        for (key in expiredKeys) delete(key)
     }
 
     private fun delete(key: String) {
-        if (values.remove(key) != null) note(WatchEvent(key, null, ModRevision(revision.toULong())))
+        if (values.remove(key) != null) recordChange(WatchEvent(key, null, ModRevision(revision.toULong())))
     }
 
-    private fun note(change: WatchEvent) {
+    private fun recordChange(change: WatchEvent) {
         changes += change
         while (changes.size > keptChanges) changes.removeFirst()
     }
 
     private fun commit(transaction: Transaction): TransactionResult {
-        world.record { "store commits ${text(transaction)}" }
+        time.record { "store commits ${traceText(transaction)}" }
         try {
-            return carryOut(transaction).also { world.record { "store answers ${text(it)}" } }
+            return execute(transaction).also { time.record { "store answers ${traceText(it)}" } }
         } catch (e: StoreException) {
-            world.record { "store answers ${reason(e)}" }
+            time.record { "store answers ${traceReason(e)}" }
             throw e
         }
     }
 
-    private fun text(transaction: Transaction): String {
+    private fun traceText(transaction: Transaction): String {
         val compares = transaction.compares.map { "${it.key}@${it.modRevision.number}" }
         val writes = transaction.writes.map {
             when (it) {
@@ -135,12 +151,12 @@
         return "$compares $writes"
     }
 
-    private fun text(outcome: TransactionResult) = when (outcome) {
+    private fun traceText(outcome: TransactionResult) = when (outcome) {
         is TransactionResult.Committed -> "committed ${outcome.revision.number}"
         is TransactionResult.CompareFailed -> "conflict ${outcome.failed}"
     }
 
-    private fun reason(failure: StoreException) = when (failure) {
+    private fun traceReason(failure: StoreException) = when (failure) {
         is StoreUnavailableException -> "refused"
         is StoreRequestRejectedException -> "rejected"
         is StoreTimeoutException -> "silent"
@@ -148,8 +164,8 @@
         else -> "failed"
     }
 
-    private fun carryOut(transaction: Transaction): TransactionResult {
-        expire()
+    private fun execute(transaction: Transaction): TransactionResult {
+        expireLeases()
         checkSizes(transaction)
         checkWriteRate(transaction.writes.size)
         writes += transaction.writes.size
@@ -157,7 +173,7 @@
         for (write in transaction.writes) {
             if (write is Write.Put &&
                 write.storeLease != null &&
-                write.storeLease!!.number.toLong() !in holds
+                write.storeLease!!.number.toLong() !in leases
             ) {
                 throw StoreLeaseExpiredException(write.storeLease!!)
             }
@@ -169,9 +185,9 @@
             writesByKind.merge(WriteKind.of(write), 1, Int::plus)
             when (write) {
                 is Write.Put -> {
-                    values[write.key] = Value(write.value, revision, write.storeLease?.number?.toLong())
+                    values[write.key] = StoredValue(write.value, revision, write.storeLease?.number?.toLong())
                     largestValue = maxOf(largestValue, write.value.toString().length)
-                    note(WatchEvent(write.key, write.value, ModRevision(revision.toULong())))
+                    recordChange(WatchEvent(write.key, write.value, ModRevision(revision.toULong())))
                 }
                 is Write.Delete -> delete(write.key)
             }
@@ -180,40 +196,46 @@
     }
 
     /**
-     * The store as one node reaches it. Transactions on the agreement on forms draw from [formatRandom], so that they leave
-     * the days that seeds stand for as they were.
+     * The connection of one controller process to the state service, with the injected [faults] of that process. Transactions of
+     * the format negotiation draw from [formatRandom], so that they do not change the random draws of a given seed.
      */
     inner class View(private val random: Random, private val faults: ProcessFaults, private val formatRandom: Random = random) :
         StateStore {
         override var isReachable = true
             private set
 
-        private val bucket = TokenBucket(StoreRateQuota.writes(limits.known, NODES, isLeader = false)) { world.now * NANOS_PER_MS }
+        private val bucket = TokenBucket(StoreRateQuota.writes(limits.known, NODES, isLeader = false)) { time.now * NANOS_PER_MS }
 
         override fun setRole(leader: Boolean) = bucket.setRate(StoreRateQuota.writes(limits.known, NODES, leader))
 
         override fun writeBudget(): WriteBudget = if (limits.enforcesRates) bucket.budget() else WriteBudget.AMPLE
 
-        /** Asks for what [what] describes; [told] describes the answer. */
-        private fun <T> ask(
-            what: () -> String,
-            told: (T) -> String,
-            silentAllowed: Boolean = true,
+        /**
+         * Executes [request] with injected faults, and records request and answer for the digest.
+         *
+         * @param requestText returns the recorded text of the request
+         * @param responseText returns the recorded text of the answer
+         * @param mayLoseMessage whether the message may be lost, so that the call times out
+         */
+        private fun <T> call(
+            requestText: () -> String,
+            responseText: (T) -> String,
+            mayLoseMessage: Boolean = true,
             random: Random = this.random,
-            act: () -> T,
+            request: () -> T,
         ): T {
-            world.record { "store ${faults.number} ${what()}" }
+            time.record { "store ${faults.number} ${requestText()}" }
             try {
-                return reach(silentAllowed, random, act).also { answer ->
-                    world.record { "store ${faults.number} answered ${told(answer)}" }
+                return callWithFaults(mayLoseMessage, random, request).also { answer ->
+                    time.record { "store ${faults.number} answered ${responseText(answer)}" }
                 }
             } catch (e: StoreException) {
-                world.record { "store ${faults.number} ${reason(e)}" }
+                time.record { "store ${faults.number} ${traceReason(e)}" }
                 throw e
             }
         }
 
-        private fun <T> reach(silentAllowed: Boolean, random: Random, act: () -> T): T {
+        private fun <T> callWithFaults(mayLoseMessage: Boolean, random: Random, request: () -> T): T {
             faults.interruptIfDue(random)
             requests++
             checkRequestRate()
@@ -223,95 +245,95 @@
             }
             if (faults.isCutFromStore()) {
                 isReachable = false
-                if (silentAllowed && random.nextBoolean()) world.later(random.nextLong(100, 60_000)) { runCatching(act) }
-                throw StoreTimeoutException("cut off")
+                if (mayLoseMessage && random.nextBoolean()) time.later(random.nextLong(100, 60_000)) { runCatching(request) }
+                throw StoreTimeoutException("no connection to the state service")
             }
-            if (silentAllowed && random.nextDouble() < faults.lossRate) {
+            if (mayLoseMessage && random.nextDouble() < faults.lossRate) {
                 when (random.nextInt(3)) {
-                    0 -> act()
-                    1 -> world.later(random.nextLong(100, 20_000)) { if (!out) runCatching(act) }
+                    0 -> request()
+                    1 -> time.later(random.nextLong(100, 20_000)) { if (!out) runCatching(request) }
                     else -> {}
                 }
-                throw StoreTimeoutException("lost")
+                throw StoreTimeoutException("message lost")
             }
             isReachable = true
-            if (silentAllowed) faults.repeatLaterIfDue(random) { if (!out) act() }
-            return act().also { faults.interruptIfDue(random) }
+            if (mayLoseMessage) faults.repeatLaterIfDue(random) { if (!out) request() }
+            return request().also { faults.interruptIfDue(random) }
         }
 
-        override fun get(key: String): Entry? = ask({ "get $key" }, { "${it?.modRevision?.number}" }, false) {
-            expire()
+        override fun get(key: String): Entry? = call({ "get $key" }, { "${it?.modRevision?.number}" }, false) {
+            expireLeases()
             values[key]?.let { Entry(key, it.data, ModRevision(it.modRevision.toULong())) }
         }
 
-        override fun list(prefix: String, after: String?, limit: Int): EntryPage = ask({ "list $prefix $after $limit" }, ::text, false) {
-            expire()
-            val all = values.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.filter { after == null || it.key > after }
-            val page = all.take(minOf(limit, pageSize))
+        override fun list(prefix: String, after: String?, limit: Int): EntryPage = call({ "list $prefix $after $limit" }, ::traceText, false) {
+            expireLeases()
+            val matching = values.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.filter { after == null || it.key > after }
+            val page = matching.take(minOf(limit, pageSize))
             EntryPage(
                 page.map {
                     Entry(it.key, it.value.data, ModRevision(it.value.modRevision.toULong()))
                 },
-                all.size > page.size,
+                matching.size > page.size,
                 Revision(revision.toULong()),
             )
         }
 
         override fun commit(transaction: Transaction): TransactionResult {
-            if (limits.enforcesRates && bucket.take(transaction.writes.size, 0) == null) throw StoreUnavailableException("over the bucket")
+            if (limits.enforcesRates && bucket.take(transaction.writes.size, 0) == null) throw StoreUnavailableException("over the write rate")
             val random = if (transaction.writes.any { it.key == Keys.FORMAT }) formatRandom else random
-            return ask({ "commit ${text(transaction)}" }, ::text, random = random) {
+            return call({ "commit ${traceText(transaction)}" }, ::traceText, random = random) {
                 if (faults.writesLate(random)) {
-                    world.later(random.nextLong(2000, 12_000)) { if (!out) runCatching { this@StandInStore.commit(transaction) } }
+                    time.later(random.nextLong(2000, 12_000)) { if (!out) runCatching { this@StandInStore.commit(transaction) } }
                     throw StoreTimeoutException("carried out later")
                 }
                 this@StandInStore.commit(transaction)
             }
         }
 
-        override fun grantLease(ttlMs: Long): StoreLeaseId = ask({ "grant $ttlMs" }, { "${it.number}" }) {
-            val id = nextLease++
-            holds[id] = longArrayOf(ttlMs, world.now + ttlMs)
+        override fun grantLease(ttlMs: Long): StoreLeaseId = call({ "grant $ttlMs" }, { "${it.number}" }) {
+            val id = nextLeaseId++
+            leases[id] = longArrayOf(ttlMs, time.now + ttlMs)
             StoreLeaseId(id.toULong())
         }
 
-        override fun keepAlive(storeLease: StoreLeaseId): Boolean = ask({ "renew ${storeLease.number}" }, { "$it" }) {
-            expire()
-            val known = holds[storeLease.number.toLong()] ?: return@ask false
-            known[1] = world.now + known[0]
+        override fun keepAlive(storeLease: StoreLeaseId): Boolean = call({ "renew ${storeLease.number}" }, { "$it" }) {
+            expireLeases()
+            val lease = leases[storeLease.number.toLong()] ?: return@call false
+            lease[1] = time.now + lease[0]
             true
         }
 
-        override fun revokeLease(storeLease: StoreLeaseId) = ask({ "drop ${storeLease.number}" }, { "" }) {
-            holds[storeLease.number.toLong()]?.let { it[1] = world.now - 1 }
-            expire()
+        override fun revokeLease(storeLease: StoreLeaseId) = call({ "drop ${storeLease.number}" }, { "" }) {
+            leases[storeLease.number.toLong()]?.let { it[1] = time.now - 1 }
+            expireLeases()
         }
 
-        override fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult = ask({
+        override fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult = call({
             "follow $prefix ${from.number} $waitMs"
-        }, ::text, false) {
-            if (faults.watchesNothing()) throw StoreTimeoutException("a watch that stays open")
-            expire()
+        }, ::traceText, false) {
+            if (faults.watchesNothing()) throw StoreTimeoutException("watch got no answer")
+            expireLeases()
             val oldest = changes.firstOrNull()?.modRevision?.number ?: 0u
-            if (changes.size >= keptChanges && from.number < oldest) return@ask WatchResult.Compacted
+            if (changes.size >= keptChanges && from.number < oldest) return@call WatchResult.Compacted
             WatchResult.Changes(
                 changes.filter { it.modRevision.number > from.number && it.key.startsWith(prefix) },
                 Revision(revision.toULong()),
             )
         }
 
-        private fun text(page: EntryPage) = "${page.entries.map {
+        private fun traceText(page: EntryPage) = "${page.entries.map {
             "${it.key}@${it.modRevision.number}"
         }} ${page.more} ${page.revision.number}"
 
-        private fun text(outcome: WatchResult) = when (outcome) {
+        private fun traceText(outcome: WatchResult) = when (outcome) {
             is WatchResult.Changes -> "${outcome.changes.map { "${it.key}@${it.modRevision.number}" }} ${outcome.upTo.number}"
             WatchResult.Compacted -> "too old"
         }
 
-        private fun text(outcome: TransactionResult) = this@StandInStore.text(outcome)
+        private fun traceText(outcome: TransactionResult) = this@StandInStore.traceText(outcome)
 
-        private fun text(transaction: Transaction) = this@StandInStore.text(transaction)
+        private fun traceText(transaction: Transaction) = this@StandInStore.traceText(transaction)
     }
 
     private companion object {
--- a/src/test/kotlin/mountmast/standin/StandInWorker.kt
+++ b/src/test/kotlin/mountmast/standin/StandInWorker.kt
@@ -19,7 +19,7 @@
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 
-/** A worker as PROTOCOL describes it, in virtual time. */
+/** A simulated worker that follows PROTOCOL in virtual time, and reports the starts and ends of its tasks to [rules]. */
 class StandInWorker(
     val id: MachineId,
     val type: MachineType,
@@ -28,149 +28,169 @@
     private val time: VirtualTime,
     private val rules: Rules,
     private val leaseMs: Long,
+    /** Returns the specification of a job, or null for an unknown job. */
     private val jobOf: (JobId) -> JobSpec?,
+    /** Whether the tasks of a job fail on every machine. */
     private val poisoned: (JobId) -> Boolean,
-    /** Called when a task completes here. */
+    /** Called with its job when a task completes on this worker. */
     private val onDone: (JobId) -> Unit,
 ) {
-    private class Running(val attempt: Attempt, val spec: JobSpec, var state: TaskState, var leftMs: Long) {
+    private class TaskExecution(val attempt: Attempt, val spec: JobSpec, var state: TaskState, var remainingMs: Long) {
         var cause: ExitCause? = null
-        var stored = false
-        val onMachine get() = state == TaskState.RUNNING || state == TaskState.SAVING
+        var isCheckpointStored = false
+        val isRunning get() = state == TaskState.RUNNING || state == TaskState.SAVING
     }
 
-    private val tasks = LinkedHashMap<TaskId, Running>()
+    private val tasks = LinkedHashMap<TaskId, TaskExecution>()
     private val images = HashSet<ImageId>()
 
-    /** Tasks that completed here: started again, they exit as soon as they have their image. */
-    private val results = HashSet<TaskId>()
+    /** Tasks that completed on this worker; if started again, they exit as soon as their image has been fetched. */
+    private val completedTasks = HashSet<TaskId>()
     private var incarnation = 1uL
     private var sequence = 0uL
-    private var helm = FencingToken(0u)
-    private var answeredSentAt = time.now
-    private var steppedAt = time.now
+    private var highestToken = FencingToken(0u)
+    private var leaseRenewedAt = time.now
+    private var lastStepAt = time.now
     private val place = Place(id, type.id, zone, spot)
     var address = "$id:9000"
         private set
+
+    /** Injected fault: every task on this worker fails as soon as it starts. */
     var sick = false
 
-    /** How many times as long tasks take here. */
+    /** The factor by which tasks take longer on this worker. */
     var slowTimes = 1L
+
+    /** Virtual time until which this worker and the controllers cannot reach each other. */
     var cutUntil = 0L
+
+    /** Virtual time until which this worker does nothing, as if its machine hung. */
     var hangUntil = 0L
 
-    /** Direct commands to it are held up for so long and then carried out, without an answer; and until when. */
+    /** How long, in milliseconds, direct commands are held up before they are carried out, without an answer. */
     var commandsHeldMs = 0L
+
+    /** Virtual time until which direct commands are held up for [commandsHeldMs]. */
     var commandsHeldUntil = 0L
 
-    /** Direct commands do not reach it, while its reports and their answers go on. */
+    /** Virtual time until which direct commands do not reach this worker, while its heartbeats and their answers get through. */
     var calledByNobodyUntil = 0L
 
-    /** It reaches no controller, while direct commands reach it. */
+    /** Virtual time until which heartbeats of this worker reach no controller, while direct commands reach the worker. */
     var muteUntil = 0L
 
-    /** Its reports arrive, but answers and commands do not reach it. */
+    /** Virtual time until which heartbeats of this worker arrive, but no answers or commands reach the worker. */
     var deafUntil = 0L
+
+    /** Virtual time at which the notice period of the cloud ends and the machine is reclaimed; null without a notice. */
     var noticeEndsAt: Long? = null
     var alive = true
     var nextHeartbeatAt = time.now
+
+    /** Index of the node that gets the next heartbeat. */
     var target = 0
 
-    val busy get() = alive && tasks.values.any { it.onMachine }
+    val busy get() = alive && tasks.values.any { it.isRunning }
     val hanging get() = time.now < hangUntil
     val cut get() = time.now < cutUntil
     val deaf get() = time.now < deafUntil
     val mute get() = time.now < muteUntil
+
+    /** Milliseconds since the last partition, hang or one-way connection loss of this worker ended; negative while one lasts. */
     val wellFor get() = time.now - maxOf(cutUntil, hangUntil, deafUntil, muteUntil)
 
+    /** Returns the next heartbeat message. */
     fun heartbeat(): Heartbeat {
         sequence++
         return Heartbeat(
-            id, address, type.id, zone, spot, WorkerIncarnation(incarnation), HeartbeatSequence(sequence), helm,
+            id, address, type.id, zone, spot, WorkerIncarnation(incarnation), HeartbeatSequence(sequence), highestToken,
             noticeEndsAt?.let { (it - time.now) / 1000.0 },
-            tasks.map { (task, it) -> ReportedTask(task.toString(), it.attempt, it.state, it.cause, it.stored) },
+            tasks.map { (task, execution) ->
+                ReportedTask(task.toString(), execution.attempt, execution.state, execution.cause, execution.isCheckpointStored)
+            },
         )
     }
 
-    /** Lets time pass for the tasks and the lease. */
+    /** Advances the tasks and the lease to the present virtual time. */
     fun step() {
         if (!alive) return
-        val passed = time.now - steppedAt
-        steppedAt = time.now
-        // A hanging machine resumes within its lease or not at all.
-        if (time.now - answeredSentAt > leaseMs) expire()
+        val elapsedMs = time.now - lastStepAt
+        lastStepAt = time.now
+        // A machine that hangs for longer than its lease loses its tasks.
+        if (time.now - leaseRenewedAt > leaseMs) loseLease()
         if (hanging) return
-        for ((task, it) in tasks) {
-            if (it.state == TaskState.EXITED) continue
-            it.leftMs -= passed
-            if (it.leftMs > 0) continue
-            when (it.state) {
+        for ((task, execution) in tasks) {
+            if (execution.state == TaskState.EXITED) continue
+            execution.remainingMs -= elapsedMs
+            if (execution.remainingMs > 0) continue
+            when (execution.state) {
                 TaskState.FETCHING -> {
-                    images += it.spec.image
-                    begin(task, it)
+                    images += execution.spec.image
+                    run(task, execution)
                 }
                 TaskState.SAVING -> {
-                    it.stored = true
-                    exit(task, it, ExitCause.STOPPED)
+                    execution.isCheckpointStored = true
+                    exit(task, execution, ExitCause.STOPPED)
                 }
-                else -> exit(task, it, ExitCause.DONE)
+                else -> exit(task, execution, ExitCause.DONE)
             }
         }
     }
 
-    private fun begin(task: TaskId, it: Running) {
-        if (task in results) return exit(task, it, ExitCause.DONE)
-        it.state = TaskState.RUNNING
-        it.leftMs = ((it.spec.estimateS * 1000).toLong() + 500) * slowTimes
+    private fun run(task: TaskId, execution: TaskExecution) {
+        if (task in completedTasks) return exit(task, execution, ExitCause.DONE)
+        execution.state = TaskState.RUNNING
+        execution.remainingMs = ((execution.spec.estimateS * 1000).toLong() + 500) * slowTimes
         rules.taskStarts(task, place, time.now)
-        if (sick || poisoned(task.job)) exit(task, it, ExitCause.FAILED)
+        if (sick || poisoned(task.job)) exit(task, execution, ExitCause.FAILED)
     }
 
-    private fun exit(task: TaskId, it: Running, cause: ExitCause) {
-        val was = it.onMachine
-        it.state = TaskState.EXITED
-        it.cause = cause
-        if (cause == ExitCause.DONE) results += task
-        if (was) rules.taskGone(task, id, cause == ExitCause.DONE)
+    private fun exit(task: TaskId, execution: TaskExecution, cause: ExitCause) {
+        val wasRunning = execution.isRunning
+        execution.state = TaskState.EXITED
+        execution.cause = cause
+        if (cause == ExitCause.DONE) completedTasks += task
+        if (wasRunning) rules.taskGone(task, id, cause == ExitCause.DONE)
         if (cause == ExitCause.DONE) onDone(task.job)
     }
 
-    private fun expire() {
-        vanish()
+    /** Ends all tasks and begins a new incarnation. */
+    private fun loseLease() {
+        endAllTasks()
         tasks.clear()
         incarnation++
-        answeredSentAt = time.now
+        leaseRenewedAt = time.now
     }
 
-    /** The machine is back at once, without its tasks, in a new session and at a new address. */
+    /** Reboots the machine, which takes no time; it loses its tasks, and has a new incarnation and a new address. */
     fun reboot() {
-        expire()
+        loseLease()
         address = "$id:${9000 + incarnation.toInt()}"
     }
 
-    private fun vanish() {
-        for ((task, it) in tasks) if (it.onMachine) rules.taskGone(task, id, done = false)
+    private fun endAllTasks() {
+        for ((task, execution) in tasks) if (execution.isRunning) rules.taskGone(task, id, done = false)
     }
 
-    /** The machine is gone. */
+    /** Ends all tasks, as the machine was terminated. */
     fun die() {
         alive = false
-        vanish()
+        endAllTasks()
         tasks.clear()
     }
 
-    /** Takes the answer to a report that was sent at [sentAt] in [ofIncarnation]. */
+    /** Processes the answer to the heartbeat that was sent at [sentAt] in incarnation [ofIncarnation]. Ignores outdated answers. */
     fun answered(token: FencingToken, commands: List<WorkerCommand>, sentAt: Long, ofIncarnation: WorkerIncarnation) {
-        if (!alive || ofIncarnation.number != incarnation || token < helm || time.now - sentAt > 4000) return
-        helm = token
-        answeredSentAt = sentAt
+        if (!alive || ofIncarnation.number != incarnation || token < highestToken || time.now - sentAt > 4000) return
+        highestToken = token
+        leaseRenewedAt = sentAt
         commands.forEach(::execute)
     }
 
-    /** Commands sent directly; null where they were rejected. */
+    /** Executes commands sent directly. Returns false if they are rejected for an old token or another incarnation. */
     fun execute(token: FencingToken, ofIncarnation: WorkerIncarnation, commands: List<WorkerCommand>): Boolean {
-        if (token < helm || ofIncarnation.number != incarnation) return false
-        helm = token
+        if (token < highestToken || ofIncarnation.number != incarnation) return false
+        highestToken = token
         commands.forEach(::execute)
         return true
     }
@@ -185,43 +205,46 @@
         }
     }
 
-    private fun start(task: TaskId, attempt: Attempt, known: Running?) {
+    private fun start(task: TaskId, attempt: Attempt, known: TaskExecution?) {
         val spec = jobOf(task.job)
-        val errorBody = when {
+        val startError = when {
             spec == null || task.index >= spec.tasks -> ExitCause.UNKNOWN
             known != null && known.state != TaskState.EXITED -> ExitCause.BUSY
             !spec.perTask.fitsWithin(room()) -> ExitCause.NO_ROOM
             else -> null
         }
         if (spec == null) return
-        if (errorBody == ExitCause.BUSY) return
+        if (startError == ExitCause.BUSY) return
         val fetchMs = if (spec.image in images) 0L else (spec.imageGb / type.fetchGbPerS * 1000).toLong()
-        val running = Running(attempt, spec, TaskState.FETCHING, fetchMs)
-        tasks[task] = running
-        if (errorBody != null) {
-            running.state = TaskState.EXITED
-            running.cause = errorBody
+        val execution = TaskExecution(attempt, spec, TaskState.FETCHING, fetchMs)
+        tasks[task] = execution
+        if (startError != null) {
+            execution.state = TaskState.EXITED
+            execution.cause = startError
         } else if (fetchMs == 0L) {
-            begin(task, running)
+            run(task, execution)
         }
     }
 
-    private fun stop(task: TaskId, it: Running, terminationGraceS: Double) {
-        if (it.state == TaskState.EXITED) return
-        val saves = it.state == TaskState.RUNNING && it.spec.checkpointEveryS > 0 && terminationGraceS >= it.spec.checkpointSaveS
+    private fun stop(task: TaskId, execution: TaskExecution, terminationGraceS: Double) {
+        if (execution.state == TaskState.EXITED) return
+        val savesCheckpoint = execution.state == TaskState.RUNNING &&
+            execution.spec.checkpointEveryS > 0 &&
+            terminationGraceS >= execution.spec.checkpointSaveS
         when {
-            saves -> {
-                it.state = TaskState.SAVING
-                it.leftMs = (it.spec.checkpointSaveS * 1000).toLong()
+            savesCheckpoint -> {
+                execution.state = TaskState.SAVING
+                execution.remainingMs = (execution.spec.checkpointSaveS * 1000).toLong()
             }
-            it.state == TaskState.SAVING && terminationGraceS > 0 -> {}
-            else -> exit(task, it, ExitCause.STOPPED)
+            execution.state == TaskState.SAVING && terminationGraceS > 0 -> {}
+            else -> exit(task, execution, ExitCause.STOPPED)
         }
     }
 
+    /** Returns the capacity that no task on this worker takes. */
     fun room(): Resources {
         var room = type.capacity
-        for (it in tasks.values) if (it.state != TaskState.EXITED) room -= it.spec.perTask
+        for (execution in tasks.values) if (execution.state != TaskState.EXITED) room -= execution.spec.perTask
         return room
     }
 }
--- a/src/test/kotlin/mountmast/standin/VirtualTime.kt
+++ b/src/test/kotlin/mountmast/standin/VirtualTime.kt
@@ -5,41 +5,43 @@
 import mountmast.protocol.WallTime
 import java.util.PriorityQueue
 
-/** Time that passes only by [advance], with the events that are scheduled in it. */
+/** A virtual clock with scheduled events. Time, in milliseconds, passes only by [advance]. */
 class VirtualTime {
     var now = 0L
         private set
 
-    /** Receives all that the stand-ins see, if a test compares days. */
+    /** Receives all recorded events, if a test compares simulation runs. */
     var digest: DayDigest? = null
-    private val pending = PriorityQueue<Pair<Long, () -> Unit>>(compareBy { it.first })
+    private val scheduled = PriorityQueue<Pair<Long, () -> Unit>>(compareBy { it.first })
 
-    fun later(inMs: Long, act: () -> Unit) {
-        pending += (now + inMs) to act
+    /** Schedules [action] for [delayMs] milliseconds from now. */
+    fun later(delayMs: Long, action: () -> Unit) {
+        scheduled += (now + delayMs) to action
     }
 
-    /** Reports an event to the [digest]; [text] is only made where there is one. */
+    /** Adds an event to the [digest]; [text] is only called if there is a digest. */
     inline fun record(text: () -> String) {
         digest?.add(now, text())
     }
 
+    /** Lets [ms] milliseconds pass, and runs the events that are due in their order. */
     fun advance(ms: Long) {
         val until = now + ms
-        while (pending.isNotEmpty() && pending.peek().first <= until) {
-            val (at, act) = pending.poll()
+        while (scheduled.isNotEmpty() && scheduled.peek().first <= until) {
+            val (at, action) = scheduled.poll()
             now = maxOf(now, at)
-            act()
+            action()
         }
-        // What happened meanwhile may itself have let time pass.
+        // An event may itself have advanced the time beyond `until`.
         now = maxOf(now, until)
     }
 
-    /** A host's clocks: the steady one drifts, the time of day is off. */
-    fun clock(drift: Double, offMs: Long) = object : Clock {
+    /** Returns the clocks of a node: the monotonic clock with a relative error of [drift], the wall clock off by [offsetMs]. */
+    fun clock(drift: Double, offsetMs: Long) = object : Clock {
         override fun now() = MonotonicTime(1_000_000 + (now * (1 + drift)).toLong())
-        override fun wall() = WallTime(1_700_000_000_000 + now + offMs)
+        override fun wall() = WallTime(1_700_000_000_000 + now + offsetMs)
     }
 }
 
-/** A process dies in the middle of what it does. */
+/** Thrown into a controller process that an injected fault kills in the middle of a step. */
 class NodeDied : RuntimeException()
--- a/src/test/kotlin/mountmast/standin/WaitingCheck.kt
+++ b/src/test/kotlin/mountmast/standin/WaitingCheck.kt
@@ -2,24 +2,23 @@
 
 import mountmast.protocol.JobSpec
 
-/** Checks that no job of a [World] is left waiting while a machine that fits it has room. */
+/** Checks that no job of a [World] keeps waiting while a suitable healthy machine has free capacity for a task of it. */
 class WaitingCheck(private val world: World) {
     private val rules get() = world.rules
     private var checkedAt = 0L
 
-    /** Checks about once a second. */
+    /** Runs the check, at most once a second of virtual time. */
     fun step() {
-        if (world.time.now - checkedAt < EVERY_MS) return
+        if (world.time.now - checkedAt < CHECK_INTERVAL_MS) return
         checkedAt = world.time.now
-        val idle = world.cloud.workers.filter { it.alive && !it.sick && it.noticeEndsAt == null && it.wellFor > 0 }
+        val healthyWorkers = world.cloud.workers.filter { it.alive && !it.sick && it.noticeEndsAt == null && it.wellFor > 0 }
         for (id in world.unfinished()) {
-            val isBesideRoom = rules.waits(id) && idle.any { hasRoomFor(world.jobs.getValue(id), it) }
-            rules.waitsBesideRoom(id, isBesideRoom, world.time.now)
+            val isStarved = rules.waits(id) && healthyWorkers.any { hasCapacityFor(world.jobs.getValue(id), it) }
+            rules.waitsBesideRoom(id, isStarved, world.time.now)
         }
     }
 
-    private fun hasRoomFor(spec: JobSpec, worker: StandInWorker): Boolean {
-        // The team's use is added up over all that runs, so it is asked for last.
+    private fun hasCapacityFor(spec: JobSpec, worker: StandInWorker): Boolean {
         if (!spec.perTask.fitsWithin(worker.room())) return false
         if (spec.types?.contains(worker.type.id) == false || (worker.spot && !spec.spotAllowed)) return false
         if (spec.zone != null && spec.zone != worker.zone) return false
@@ -30,6 +29,6 @@
     }
 
     private companion object {
-        const val EVERY_MS = 1000L
+        const val CHECK_INTERVAL_MS = 1000L
     }
 }
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/World.kt
@@ -13,15 +13,21 @@
 import mountmast.protocol.Zone
 import kotlin.random.Random
 
-/** Three controllers with everything around them, in virtual time, drawn from one seed. Rules are checked after each step. */
+/**
+ * A simulated cluster in virtual time: three controllers with simulated workers, users, network, cloud and state service. All
+ * random draws come from [seed]. The rules are checked after each step.
+ *
+ * @param quietNetwork whether the network neither loses, delays nor repeats messages
+ * @param perOffer how many machines the cloud has of each machine type in each zone, for spot and on-demand machines each
+ */
 class World(
     val seed: Long,
     val quietNetwork: Boolean = false,
     perOffer: Int = 4,
     val limits: FallingLimits = FallingLimits(),
-    /** Whether the nodes learn that all of them read the current forms. */
+    /** Whether the nodes learn that all of them read the current data formats. */
     val agreesOnForms: Boolean = true,
-    /** The version of the program that all nodes begin with. */
+    /** The version that all nodes run at first. */
     version: NodeVersion = NodeVersion.CURRENT,
 ) {
     val random = Random(seed)
@@ -54,10 +60,10 @@
     val hosts = List(NODES) { ControllerHost(this, it, version) }
     private val waitingCheck = WaitingCheck(this)
 
-    /** Whether users may name prerequisites: nothing new is asked while nodes of the version before may run. */
+    /** Whether users submit jobs with prerequisites; they do not while a node runs the production release, which lacks them. */
     val usesPipelines: Boolean get() = hosts.all { it.version == NodeVersion.CURRENT }
 
-    /** Lets [ms] pass, step by step. */
+    /** Runs the simulation for [ms] milliseconds, in steps of 20 to 90 ms; if [busy], users submit and cancel jobs. */
     fun run(ms: Long, busy: Boolean) {
         val until = time.now + ms
         while (time.now < until) {
@@ -75,7 +81,7 @@
         }
     }
 
-    /** A job that may be of any kind. */
+    /** Returns a random job with the id of [number], after [change]. */
     fun job(number: Int, change: (JobSpec) -> JobSpec = { it }): JobSpec {
         val cpus = listOf(1.0, 2.0, 4.0, 7.0).random(random)
         return change(
@@ -90,7 +96,7 @@
         )
     }
 
-    /** An array of four tasks that may run anywhere. */
+    /** Returns an array job of four tasks that may run on any machine, after [change]. */
     fun plainJob(number: Int, change: (JobSpec) -> JobSpec = { it }) = job(number) { drawn ->
         change(
             drawn.copy(
@@ -117,12 +123,12 @@
 
     fun unfinished(): List<JobId> = users.unfinished()
 
-    /** One failure, drawn from the seed. */
+    /** Injects one random fault. */
     fun fail() = faultInjector.draw()
 
     fun cutOff(zone: Zone, ms: Long) = network.cutOff(zone, ms)
 
-    /** Direct commands to [worker] are held up for [ms], and carried out then. */
+    /** For [ms], direct commands to [worker] are held up; each is carried out [ms] after it was sent. */
     fun holdCommands(worker: StandInWorker, ms: Long) {
         worker.commandsHeldMs = ms
         worker.commandsHeldUntil = time.now + ms
