--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -29,7 +29,7 @@
 import mountmast.protocol.WireJson
 import mountmast.protocol.Zone
 import mountmast.standin.ProcessFaults
-import mountmast.standin.StandInStore
+import mountmast.standin.SimulatedStateStore
 import mountmast.standin.VirtualTime
 import mountmast.storage.Compare
 import mountmast.storage.FinishedJobRecord
@@ -70,7 +70,7 @@
 class PublicAnswersTest {
     private val time = VirtualTime()
     private val faults = ProcessFaults(time)
-    private val store = StandInStore(time).View(Random(1), faults)
+    private val store = SimulatedStateStore(time).Connection(Random(1), faults)
     private val team = TeamQuota(TeamId("vision"), cpus = 8.0, cpusMax = 64.0, gpus = 0.0, gpusMax = 0.0)
     private val type = MachineType(TypeId("g8"), 96.0, 8.0, 768.0, 200.0, 1.0, 12.0, 4.5, 45.0, listOf(Zone("a")))
     private val fixture = TextFixture("answers.txt")
--- a/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
@@ -21,7 +21,7 @@
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import mountmast.standin.ProcessFaults
-import mountmast.standin.StandInStore
+import mountmast.standin.SimulatedStateStore
 import mountmast.standin.VirtualTime
 import mountmast.storage.Compare
 import mountmast.storage.Entry
@@ -287,7 +287,7 @@
 
     private val time = VirtualTime()
 
-    private fun emptyStore(): StateStore = StandInStore(time).View(Random(1), ProcessFaults(time))
+    private fun emptyStore(): StateStore = SimulatedStateStore(time).Connection(Random(1), ProcessFaults(time))
 
     private fun keyed(put: Write.Put) = "${put.key} ${put.value}"
 
--- a/src/test/kotlin/mountmast/coordination/autoscaling/LargeClusterTest.kt
+++ b/src/test/kotlin/mountmast/coordination/autoscaling/LargeClusterTest.kt
@@ -5,14 +5,14 @@
 import mountmast.protocol.Shape
 import mountmast.protocol.TeamId
 import mountmast.protocol.Urgency
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** A cluster of some 1,700 machines. Operations are counted, not timed. */
 class LargeClusterTest {
-    private val world = World(90, quietNetwork = true, perOffer = 213)
+    private val world = SimulatedCluster(90, isNetworkReliable = true, machinesPerOffering = 213)
 
     private fun submitJobs(numbers: IntRange, runS: Double): List<JobId> = numbers.map { number ->
         val spec = world.job(number) {
@@ -41,28 +41,28 @@
         world.run(5000, busy = false)
         submitJobs(1..JOBS, runS = 400.0)
         world.run(75_000, busy = false)
-        val machines = world.cloud.workers.count { it.alive }
-        val started = world.rules.started
+        val machines = world.cloud.workers.count { it.isAlive }
+        val started = world.invariants.startCount
         assertTrue(machines in 1550..1704, "$machines machines")
         assertTrue(started in 7500..8400, "$started starts")
         // A command holds all starts of a machine that one scheduling cycle decided on.
         assertTrue(world.network.commandsSent <= started, "${world.network.commandsSent} commands for $started starts")
         // Hundreds of starts share a record, and polls of unfinished jobs cost one request each.
         assertTrue(world.store.writes < 3000, "${world.store.writes} writes")
-        assertTrue(world.store.mostOps <= 8, "${world.store.mostOps} in one transaction")
-        assertTrue(world.store.largestValue < 2 * 1024)
+        assertTrue(world.store.maxTransactionOps <= 8, "${world.store.maxTransactionOps} in one transaction")
+        assertTrue(world.store.largestValueLength < 2 * 1024)
         return started
     }
 
     /** Once all tasks are placed, the number of writes and requests no longer depends on how many run. */
     private fun assertIdleTrafficIsConstant() {
         val (requests, writes, commands) = Triple(world.store.requests, world.store.writes, world.network.commandsSent)
-        val idle = world.cloud.workers.filter { !it.busy }.toSet()
+        val idle = world.cloud.workers.filter { !it.hasRunningTasks }.toSet()
         world.run(10_000, busy = false)
         assertTrue(world.store.requests - requests < 400, "${world.store.requests - requests} requests in 10 s")
         assertTrue(world.store.writes - writes < 150, "${world.store.writes - writes} writes in 10 s")
         // A machine that came up only now gets its first command; no other machine gets any.
-        val newlyUsed = world.cloud.workers.count { it.busy && it in idle }
+        val newlyUsed = world.cloud.workers.count { it.hasRunningTasks && it in idle }
         assertEquals(commands + newlyUsed, world.network.commandsSent)
     }
 
@@ -72,15 +72,20 @@
         world.run(1500, busy = false)
         world.hosts.forEach { it.crash(world.random.nextLong(50, 800)) }
         world.run(15_000, busy = false)
-        assertTrue(world.rules.started <= ALL_TASKS, "${world.rules.started - started} starts, ${ALL_TASKS - started} were left")
+        assertTrue(
+            world.invariants.startCount <= ALL_TASKS,
+            "${world.invariants.startCount - started} starts, ${ALL_TASKS - started} were left",
+        )
         assertTrue(leader().cluster.machines.values.sumOf { it.live.size } in started..ALL_TASKS)
         assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.all { it.hasShownCurrentTerm })
     }
 
     /** Half of the third is reclaimed by the cloud, the other half cut off for 9 s. */
     private fun loseAThirdOfMachines(started: Int) {
-        val lost = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 3 == 0 }
-        for ((i, worker) in lost.withIndex()) if (i % 2 == 0) world.cloud.take(worker.id) else worker.cutUntil = world.time.now + 9000
+        val lost = world.cloud.workers.filter { it.isAlive && it.hasRunningTasks }.filterIndexed { i, _ -> i % 3 == 0 }
+        for ((i, worker) in lost.withIndex()) {
+            if (i % 2 == 0) world.cloud.terminateMachine(worker.id) else worker.partitionedUntil = world.time.now + 9000
+        }
         val lostBefore = world.network.commandsLost
         world.run(40_000, busy = false)
         val commandsLost = world.network.commandsLost - lostBefore
--- a/src/test/kotlin/mountmast/coordination/controller/DayDigestTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/DayDigestTest.kt
@@ -1,7 +1,7 @@
 package mountmast.coordination.controller
 
 import mountmast.standin.DayDigest
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
 import org.junit.jupiter.api.Test
@@ -15,15 +15,15 @@
     /** Plays the day of [seed] for at least [ms] after its calm start: quiet for odd seeds, with failures for even ones. */
     private fun play(seed: Long, ms: Long, trace: Appendable? = null): Played {
         val isQuiet = seed % 2 == 1L
-        val world = World(seed, isQuiet)
+        val world = SimulatedCluster(seed, isQuiet)
         val digest = DayDigest(trace)
         world.time.digest = digest
         world.run(CALM_START_MS, busy = true)
         val until = world.time.now + ms
         while (world.time.now < until) {
-            if (!isQuiet) world.fail()
+            if (!isQuiet) world.injectRandomFault()
             world.run(world.random.nextLong(50, 3000), busy = true)
-            if (!isQuiet) world.fail()
+            if (!isQuiet) world.injectRandomFault()
             world.run(world.random.nextLong(2000, 15_000), busy = true)
         }
         world.run(CALM_END_MS, busy = false)
--- a/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
@@ -9,7 +9,7 @@
 import mountmast.protocol.TeamId
 import mountmast.protocol.Urgency
 import mountmast.standin.FallingLimits
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -20,7 +20,7 @@
  */
 class LargeClusterTest {
     private val limits = FallingLimits(StateLimits(500.0, 80.0, 8.0, 16), StateLimits(500.0, 80.0, 2.0, 8), fallsAtMs = 95_000)
-    private val world = World(91, quietNetwork = true, perOffer = 525, limits = limits)
+    private val world = SimulatedCluster(91, isNetworkReliable = true, machinesPerOffering = 525, limits = limits)
 
     private fun spec(number: Int, tasks: Int, cpus: Double, runS: Double, needs: List<JobId> = emptyList()): JobSpec = world.job(number) {
         it.copy(
@@ -43,7 +43,7 @@
     /** Every worker reconnects at once, to nodes that have all ended, and end again before they have recovered. */
     private fun reconnectAllWorkersWhileAllNodesEndTwice() {
         world.hosts.forEach { it.crash(world.random.nextLong(50, 800)) }
-        world.cloud.workers.forEach { it.target = world.random.nextInt(World.NODES) }
+        world.cloud.workers.forEach { it.targetNodeIndex = world.random.nextInt(SimulatedCluster.NODES) }
         world.run(2500, busy = false)
         world.hosts.forEach { it.crash(world.random.nextLong(50, 800)) }
         world.run(15_000, busy = false)
@@ -56,8 +56,8 @@
         world.run(6000, busy = false)
         val jobs = (1..JOBS).map { submit(spec(it, TASKS, cpus = 1.25, runS = 500.0)) }
         world.run(70_000, busy = false)
-        assertTrue(world.cloud.workers.count { it.alive } in 3900..4200, "${world.cloud.workers.count { it.alive }} machines")
-        val started = world.rules.started
+        assertTrue(world.cloud.workers.count { it.isAlive } in 3900..4200, "${world.cloud.workers.count { it.isAlive }} machines")
+        val started = world.invariants.startCount
         assertTrue(started > ALL_TASKS * 0.9, "$started starts")
         assertTrue(world.store.writes < 3000, "${world.store.writes} writes")
 
@@ -67,23 +67,26 @@
         val last = submit(spec(503, 4, cpus = 0.1, runS = 5.0, needs = listOf(second)))
 
         reconnectAllWorkersWhileAllNodesEndTwice()
-        assertTrue(world.rules.started - started < ALL_TASKS / 10, "${world.rules.started - started} starts after a failover")
+        assertTrue(
+            world.invariants.startCount - started < ALL_TASKS / 10,
+            "${world.invariants.startCount - started} starts after a failover",
+        )
         assertTrue(assigned() > ALL_TASKS * 0.9, "${assigned()} assignments taken over")
         assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.count { it.hasShownCurrentTerm } > 3500)
 
         // The limits have fallen by now; a quarter of the machines is cut off for over a lease, and another leader follows.
-        val cut = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 4 == 0 }
-        cut.forEach { it.cutUntil = world.time.now + 9000 }
+        val cut = world.cloud.workers.filter { it.isAlive && it.hasRunningTasks }.filterIndexed { i, _ -> i % 4 == 0 }
+        cut.forEach { it.partitionedUntil = world.time.now + 9000 }
         world.run(3000, busy = false)
         world.hosts.first { it.controller?.leaderTerm() != null }.crash(500)
         world.run(30_000, busy = false)
-        assertEquals(0, world.store.tooLarge, "transactions over the limits")
+        assertEquals(0, world.store.oversizedTransactions, "transactions over the limits")
         assertTrue(assigned() > ALL_TASKS * 0.85, "${assigned()} assignments in the end")
 
         // A cancellation of thousands of tasks, and the pipeline's end.
         jobs.take(5).forEach { assertEquals(200, world.cancel(it)) }
         world.run(30_000, busy = false)
-        assertEquals(0, jobs.take(5).sumOf { world.rules.runningOf(it) })
+        assertEquals(0, jobs.take(5).sumOf { world.invariants.runningTaskCountOf(it) })
         assertEquals(JobStatus.DONE, world.poll(last))
     }
 
--- a/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
@@ -4,7 +4,7 @@
 import mountmast.protocol.JobSpec
 import mountmast.protocol.JobStatus
 import mountmast.protocol.Shape
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -14,8 +14,8 @@
 class PipelinesTest {
     private val seeds = 1L..6L
 
-    private fun worlds(act: World.() -> Unit) = seeds.forEach { seed ->
-        val world = World(seed, quietNetwork = true)
+    private fun worlds(act: SimulatedCluster.() -> Unit) = seeds.forEach { seed ->
+        val world = SimulatedCluster(seed, isNetworkReliable = true)
         try {
             world.act()
         } catch (e: Throwable) {
@@ -23,12 +23,12 @@
         }
     }
 
-    private fun World.stage(number: Int, needs: List<JobId> = emptyList(), change: (JobSpec) -> JobSpec = { it }): JobId =
+    private fun SimulatedCluster.stage(number: Int, needs: List<JobId> = emptyList(), change: (JobSpec) -> JobSpec = { it }): JobId =
         accept(plainJob(number) { change(it.copy(estimateS = 2.0, tasks = 2, prerequisites = needs)) })
 
-    private fun World.leader() = hosts.first { it.controller?.leaderTerm() != null }
+    private fun SimulatedCluster.leader() = hosts.first { it.controller?.leaderTerm() != null }
 
-    private fun World.runUntil(mostMs: Long, reached: () -> Boolean) {
+    private fun SimulatedCluster.runUntil(mostMs: Long, reached: () -> Boolean) {
         val until = time.now + mostMs
         while (!reached()) {
             assertTrue(time.now < until, "not reached within $mostMs ms")
@@ -36,7 +36,8 @@
         }
     }
 
-    private fun World.finish(jobs: Collection<JobId>, mostMs: Long = 120_000) = runUntil(mostMs) { jobs.all { poll(it)?.isFinal == true } }
+    private fun SimulatedCluster.finish(jobs: Collection<JobId>, mostMs: Long = 120_000) =
+        runUntil(mostMs) { jobs.all { poll(it)?.isFinal == true } }
 
     @Test
     fun `a diamond runs stage by stage, each right after the one before`() = worlds {
@@ -46,7 +47,10 @@
         finish(listOf(first, last) + middle)
         (middle + first + last).forEach { assertEquals(JobStatus.DONE, poll(it)) }
         // Four stages of some seconds each; waiting for a timer after each would show.
-        assertTrue(checkNotNull(rules.beganAfterMs(last)) < 45_000, "the last began after ${rules.beganAfterMs(last)} ms")
+        assertTrue(
+            checkNotNull(invariants.firstStartDelayMs(last)) < 45_000,
+            "the last began after ${invariants.firstStartDelayMs(last)} ms",
+        )
     }
 
     @Test
@@ -62,7 +66,7 @@
         run(30_000, busy = false)
         for (id in listOf(second, third, late)) {
             assertEquals(JobStatus.CANCELLED, poll(id))
-            assertEquals(0, rules.startsOf(id))
+            assertEquals(0, invariants.startCountOf(id))
         }
     }
 
@@ -82,7 +86,7 @@
             stage(2 * number) to
                 stage(2 * number + 1, listOf(JobId("j-" + "${2 * number}".padStart(6, '0'))))
         }
-        cancelsAtEnd(60_000)
+        cancelOnTaskCompletion(60_000)
         run(60_000, busy = false)
         finish(stages.flatMap { listOf(it.first, it.second) })
         for ((first, second) in stages) {
@@ -94,10 +98,10 @@
     @Test
     fun `a dependent submitted on another node just as its prerequisite ends runs soon`() = worlds {
         val first = stage(1)
-        runUntil(60_000) { rules.startsOf(first) == 2 }
-        runUntil(60_000) { rules.runningOf(first) == 0 }
+        runUntil(60_000) { invariants.startCountOf(first) == 2 }
+        runUntil(60_000) { invariants.runningTaskCountOf(first) == 0 }
         val second = stage(2, listOf(first))
-        runUntil(15_000) { rules.startsOf(second) > 0 }
+        runUntil(15_000) { invariants.startCountOf(second) > 0 }
     }
 
     @Test
@@ -126,8 +130,8 @@
         leader().faults.storeRefusedUntil = time.now + 3000
         leader().faults.peersCutUntil = time.now + 60_000
         assertEquals(200, cancel(first, hosts.first { it !== leader() }))
-        store.outage(World.CANCEL_MS + 10_000)
-        run(World.CANCEL_MS + 10_000, busy = false)
+        store.startOutage(SimulatedCluster.CANCEL_MS + 10_000)
+        run(SimulatedCluster.CANCEL_MS + 10_000, busy = false)
         for (host in hosts) for (id in listOf(third, second)) poll(id, host)?.let { assertEquals(JobStatus.CANCELLED, it) }
         run(10_000, busy = false)
         for (id in listOf(second, third)) assertEquals(JobStatus.CANCELLED, poll(id))
@@ -145,14 +149,14 @@
         assertEquals(422, status(5, listOf(first, service)))
         assertEquals(200, status(1, listOf(JobId("j-777777"))))
         assertEquals(201, status(6, listOf(first, first)))
-        assertNull(rules.beganAfterMs(JobId("j-000003")))
+        assertNull(invariants.firstStartDelayMs(JobId("j-000003")))
     }
 
     @Test
     fun `a list of thousands of names is kept in parts and counts as a whole`() = worlds {
         val named = (1..150).map { number -> accept(plainJob(number) { it.copy(tasks = 1, cpus = 0.1, estimateS = 1.0) }) }
         val last = stage(900, named)
-        assertTrue(store.largestValue < 2 * 1024, "a value of ${store.largestValue} bytes")
+        assertTrue(store.largestValueLength < 2 * 1024, "a value of ${store.largestValueLength} bytes")
         assertEquals(JobStatus.PENDING, poll(last))
         leader().crash(100)
         finish(named + last, mostMs = 400_000)
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -9,7 +9,7 @@
 import mountmast.protocol.TypeId
 import mountmast.protocol.Urgency
 import mountmast.protocol.WorkerCommand
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotNull
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -17,24 +17,27 @@
 
 /** One kind of failure at a time: the rules hold, and the work gets done. The rules are checked after each step. */
 class RecoveryTest {
-    private fun World.expectDone(ids: Collection<JobId>, withinMs: Long) {
+    private fun SimulatedCluster.expectDone(ids: Collection<JobId>, withinMs: Long) {
         run(withinMs, busy = false)
         assertEquals(emptyList<JobId>(), ids.filter { poll(it) != JobStatus.DONE })
     }
 
-    private fun World.leader() = hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
+    private fun SimulatedCluster.leader() = hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
     @Test
     fun `a poisoned job is backed off and preempts nobody, while others get done`() {
-        val world = World(21, quietNetwork = true)
+        val world = SimulatedCluster(21, isNetworkReliable = true)
         val doomed = world.plainJob(1) { it.copy(tasks = 8, urgency = Urgency.PRODUCTION) }
-        world.poisoned += doomed.id
+        world.failingJobs += doomed.id
         world.accept(doomed)
         world.run(40_000, busy = false)
-        val starts = world.rules.started
+        val starts = world.invariants.startCount
         val good = (2..5).map { world.accept(world.plainJob(it)) }
         world.expectDone(good, 40_000)
-        assertTrue(world.rules.started - starts < 16 + 12, "${world.rules.started - starts} starts: the doomed job is not backed off")
+        assertTrue(
+            world.invariants.startCount - starts < 16 + 12,
+            "${world.invariants.startCount - starts} starts: the doomed job is not backed off",
+        )
         assertEquals(
             JobStatus.CANCELLED,
             world.run {
@@ -46,44 +49,44 @@
 
     @Test
     fun `a failing machine is quarantined and scaled in`() {
-        val world = World(22, quietNetwork = true)
+        val world = SimulatedCluster(22, isNetworkReliable = true)
         val first = (1..2).map { world.accept(world.plainJob(it)) }
         world.expectDone(first, 30_000)
-        val sick = world.cloud.workers.first { it.alive }.apply { sick = true }
+        val sick = world.cloud.workers.first { it.isAlive }.apply { failsAllTasks = true }
         world.expectDone((3..12).map { world.accept(world.plainJob(it)) }, 90_000)
-        assertTrue(!sick.alive, "the failing machine is still rented")
+        assertTrue(!sick.isAlive, "the failing machine is still rented")
     }
 
     @Test
     fun `a slow machine is quarantined and scaled in, and its tasks get done elsewhere`() {
-        val world = World(32, quietNetwork = true)
+        val world = SimulatedCluster(32, isNetworkReliable = true)
         world.expectDone((1..3).map { world.accept(world.plainJob(it)) }, 30_000)
-        val slow = world.cloud.workers.first { it.alive }.apply { slowTimes = 20 }
+        val slow = world.cloud.workers.first { it.isAlive }.apply { slowdownFactor = 20 }
         // Longer than the others, so that the job knows what its tasks take elsewhere.
         val jobs = (4..9).map { world.accept(world.plainJob(it) { spec -> spec.copy(tasks = 8) }) }
         world.expectDone(jobs, 90_000)
-        assertTrue(!slow.alive, "the slow machine is still rented")
+        assertTrue(!slow.isAlive, "the slow machine is still rented")
     }
 
     @Test
     fun `a wave of spot losses without notice is made good`() {
-        val world = World(23)
+        val world = SimulatedCluster(23)
         val jobs = (1..6).map { world.accept(world.plainJob(it) { spec -> spec.copy(estimateS = 8.0) }) }
         world.run(12_000, busy = false)
-        world.cloud.workers.filter { it.alive && it.spot }.forEach { world.cloud.take(it.id) }
+        world.cloud.workers.filter { it.isAlive && it.spot }.forEach { world.cloud.terminateMachine(it.id) }
         world.expectDone(jobs, 120_000)
     }
 
     @Test
     fun `a burst beyond all limits is worked off`() {
-        val world = World(24)
+        val world = SimulatedCluster(24)
         val jobs = (1..40).map { world.accept(world.plainJob(it) { spec -> spec.copy(team = world.teams.keys.random(world.random)) }) }
         world.expectDone(jobs, 200_000)
     }
 
     @Test
     fun `a rolling restart loses nothing`() {
-        val world = World(25)
+        val world = SimulatedCluster(25)
         val jobs = (1..6).map { world.accept(world.plainJob(it) { spec -> spec.copy(estimateS = 20.0) }) }
         for (host in world.hosts) {
             world.run(6000, busy = false)
@@ -94,37 +97,37 @@
 
     @Test
     fun `an outage of the state service shorter than the grace kills no task`() {
-        val world = World(26, quietNetwork = true)
+        val world = SimulatedCluster(26, isNetworkReliable = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         // One machine in twenty never boots, and is replaced only after a while.
-        repeat(60) { if (world.rules.started < 4) world.run(1000, busy = false) }
-        val started = world.rules.started
+        repeat(60) { if (world.invariants.startCount < 4) world.run(1000, busy = false) }
+        val started = world.invariants.startCount
         assertEquals(4, started)
-        world.store.outage(11_000)
+        world.store.startOutage(11_000)
         world.run(30_000, busy = false)
-        assertEquals(started, world.rules.started, "tasks were started again")
+        assertEquals(started, world.invariants.startCount, "tasks were started again")
         world.expectDone(listOf(job), 120_000)
     }
 
     @Test
     fun `a cut-off leader scales nothing in when it comes back`() {
         // Its cluster state showed every worker silent, and it once deleted all of them before it learned that it led no more.
-        val world = World(27, quietNetwork = true)
+        val world = SimulatedCluster(27, isNetworkReliable = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(20_000, busy = false)
-        val busy = world.cloud.workers.count { it.busy }
+        val busy = world.cloud.workers.count { it.hasRunningTasks }
         val leading = world.hosts.first { it.controller?.leaderTerm() != null }
         leading.faults.storeCutUntil = world.time.now + 30_000
         leading.faults.workersCutUntil = world.time.now + 30_000
         world.run(45_000, busy = false)
-        assertEquals(busy, world.cloud.workers.count { it.busy })
-        assertEquals(4, world.rules.started)
+        assertEquals(busy, world.cloud.workers.count { it.hasRunningTasks })
+        assertEquals(4, world.invariants.startCount)
         world.expectDone(listOf(job), 90_000)
     }
 
     @Test
     fun `a leader that no worker reaches resigns`() {
-        val world = World(28, quietNetwork = true)
+        val world = SimulatedCluster(28, isNetworkReliable = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 90.0, tasks = 4, cpus = 4.0, types = listOf(TypeId("s"))) })
         world.run(20_000, busy = false)
         val leading = world.hosts.first { it.controller?.leaderTerm() != null }
@@ -137,7 +140,7 @@
     @Test
     fun `a job cancelled before its placement is in the store is finished`() {
         // What was only intended of a cancelled job is not written, and once stayed for ever and held the limit.
-        val world = World(29, quietNetwork = true)
+        val world = SimulatedCluster(29, isNetworkReliable = true)
         world.expectDone(listOf(world.accept(world.plainJob(1))), 30_000)
         val id = world.accept(world.plainJob(2))
         val leading = world.hosts.first { it.controller?.leaderTerm() != null }.controller!!
@@ -152,17 +155,17 @@
 
     @Test
     fun `a job of very many tasks stays within the limits on values and transactions`() {
-        val world = World(30, quietNetwork = true)
+        val world = SimulatedCluster(30, isNetworkReliable = true)
         val job = world.plainJob(1) {
             it.copy(tasks = 3000, team = TeamId("free"), cpus = 0.1, memoryGb = 0.2, estimateS = 0.5, image = it.image, imageGb = 0.0)
         }
         world.expectDone(listOf(world.accept(job)), 150_000)
-        assertTrue(world.store.largestValue < 2048, "${world.store.largestValue} bytes")
+        assertTrue(world.store.largestValueLength < 2048, "${world.store.largestValueLength} bytes")
     }
 
     @Test
     fun `a node is unready only while another can serve what it cannot`() {
-        val world = World(31, quietNetwork = true)
+        val world = SimulatedCluster(31, isNetworkReliable = true)
         world.accept(world.plainJob(1))
         val users = world.hosts.map { it.controller!!.users }
         assertTrue(users.all { it.isReady() })
@@ -171,7 +174,7 @@
         assertEquals(listOf(false, true, true), users.map { it.isReady() })
         assertEquals(200, world.hosts[0].controller!!.users.status("j-000001", isForwarded = false).status, "forwarded to a peer")
         world.run(10_000, busy = false)
-        world.store.outage(10_000)
+        world.store.startOutage(10_000)
         world.run(7000, busy = false)
         assertTrue(users.all { it.isReady() })
         val refused = users[0].submit("""{"nameId":"j-7"}""", isForwarded = false)
@@ -181,7 +184,7 @@
     @Test
     fun `a leader that falls behind leaves users to the others while both serve`() {
         // At the grown size it answered submissions too late, while the others were idle.
-        val world = World(33, quietNetwork = true)
+        val world = SimulatedCluster(33, isNetworkReliable = true)
         world.run(15_000, busy = false)
         val leading = world.hosts.first { it.controller?.leaderTerm() != null }
         fun isReady() = world.hosts.map { it.controller?.users?.isReady() ?: false }
@@ -196,7 +199,7 @@
 
     @Test
     fun `a starved job gets a task, with urgent work all around it`() {
-        val world = World(34, quietNetwork = true)
+        val world = SimulatedCluster(34, isNetworkReliable = true)
         val free = TeamId("free")
         val big = world.plainJob(1) {
             it.copy(team = free, tasks = 3, cpus = 16.0, memoryGb = 32.0, types = listOf(TypeId("l")), estimateS = 5.0)
@@ -216,57 +219,57 @@
             flood()
             world.run(10_000, busy = false)
         }
-        val began = world.rules.beganAfterMs(big.id)
+        val began = world.invariants.firstStartDelayMs(big.id)
         assertTrue(began != null && began < 240_000, "began after $began ms")
     }
 
     @Test
     fun `an unreached machine gets no more work and is scaled in, and its tasks run elsewhere`() {
-        val world = World(35, quietNetwork = true)
+        val world = SimulatedCluster(35, isNetworkReliable = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(15_000, busy = false)
-        val deaf = world.cloud.workers.first { it.busy }.apply { deafUntil = world.time.now + 120_000 }
+        val deaf = world.cloud.workers.first { it.hasRunningTasks }.apply { inboundCutUntil = world.time.now + 120_000 }
         world.run(12_000, busy = false)
         val since = world.time.now
         val jobs = (2..9).map { world.accept(world.plainJob(it)) }
         world.run(40_000, busy = false)
-        assertTrue(!deaf.alive, "still rented ${world.time.now - since} ms later")
+        assertTrue(!deaf.isAlive, "still rented ${world.time.now - since} ms later")
         world.expectDone(jobs, 60_000)
     }
 
     @Test
     fun `a machine unreached for a moment keeps its tasks`() {
-        val world = World(36, quietNetwork = true)
+        val world = SimulatedCluster(36, isNetworkReliable = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(30_000, busy = false)
-        val started = world.rules.started
+        val started = world.invariants.startCount
         assertEquals(4, started)
-        val short = world.cloud.workers.first { it.busy }.apply { deafUntil = world.time.now + 2500 }
+        val short = world.cloud.workers.first { it.hasRunningTasks }.apply { inboundCutUntil = world.time.now + 2500 }
         world.run(20_000, busy = false)
-        assertTrue(short.alive && short.busy, "scaled in or drained after two seconds")
-        assertEquals(started, world.rules.started, "its tasks were started again")
+        assertTrue(short.isAlive && short.hasRunningTasks, "scaled in or drained after two seconds")
+        assertEquals(started, world.invariants.startCount, "its tasks were started again")
     }
 
     @Test
     fun `a node that cannot send to any worker resigns and scales nothing in`() {
-        val world = World(37, quietNetwork = true)
+        val world = SimulatedCluster(37, isNetworkReliable = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
         val leading = world.hosts.first { it.controller?.leaderTerm() != null }
-        val machines = world.cloud.workers.filter { it.alive }
+        val machines = world.cloud.workers.filter { it.isAlive }
         assertTrue(machines.size >= 3)
-        leading.faults.sendsNothingUntil = world.time.now + 40_000
+        leading.faults.sendsBlockedUntil = world.time.now + 40_000
         world.run(14_000, busy = false)
         assertEquals(null, leading.controller?.leaderTerm(), "still leads")
-        assertTrue(machines.all { it.alive }, "machines were scaled in for the node's fault")
+        assertTrue(machines.all { it.isAlive }, "machines were scaled in for the node's fault")
     }
 
     @Test
     fun `a leader cut off with its workers loses them to its successor long before its grace is over`() {
-        val world = World(38, quietNetwork = true)
+        val world = SimulatedCluster(38, isNetworkReliable = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(20_000, busy = false)
-        val started = world.rules.started
+        val started = world.invariants.startCount
         val leading = world.hosts.first { it.controller?.leaderTerm() != null }
         leading.faults.storeCutUntil = world.time.now + 40_000
         leading.faults.peersCutUntil = world.time.now + 40_000
@@ -281,13 +284,13 @@
             "workers are still with the old leader",
         )
         world.expectDone(listOf(job), 80_000)
-        assertEquals(started, world.rules.started, "tasks were started again")
+        assertEquals(started, world.invariants.startCount, "tasks were started again")
     }
 
     @Test
     fun `nodes back within a fraction of a second, twice in a row and all at once, start nothing twice`() {
         for (seed in 40L..44L) {
-            val world = World(seed, quietNetwork = true)
+            val world = SimulatedCluster(seed, isNetworkReliable = true)
             val job = world.accept(world.plainJob(1) { it.copy(estimateS = 30.0) })
             world.run(12_000, busy = false)
             repeat(4) {
@@ -295,13 +298,13 @@
                 world.run(world.random.nextLong(100, 2200), busy = false)
             }
             world.expectDone(listOf(job), 60_000)
-            assertEquals(4, world.rules.started, "seed $seed")
+            assertEquals(4, world.invariants.startCount, "seed $seed")
         }
     }
 
     @Test
     fun `a job is served by the other nodes while one is kept from the state service and all peers`() {
-        val world = World(39, quietNetwork = true)
+        val world = SimulatedCluster(39, isNetworkReliable = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(10_000, busy = false)
         val follower = world.hosts.first { it.controller?.leaderTerm() == null }
@@ -311,14 +314,14 @@
         val users = follower.controller!!.users
         val refused = users.status(job.text, isForwarded = false)
         assertEquals(503 to true, refused.status to (refused.retryAfterS > 0), "answered at once")
-        world.rules.quietSince = world.time.now - 76_000
+        world.invariants.faultFreeSince = world.time.now - 76_000
         world.run(70_000, busy = false)
     }
 
     @Test
     fun `a leader just elected does not take its own slow responses for unreached workers`() {
         // After a crash of all nodes a cold leader responded later than workers wait, and resigned: all began once more.
-        val world = World(45, quietNetwork = true)
+        val world = SimulatedCluster(45, isNetworkReliable = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
         val former = world.hosts.first { it.controller?.leaderTerm() != null }
@@ -326,7 +329,7 @@
         while (world.hosts.none { it.controller?.leaderTerm() != null }) world.run(200, busy = false)
         val leading = world.hosts.first { it.controller?.leaderTerm() != null }
         val leaderTerm = leading.controller!!.leaderTerm()
-        leading.faults.sendsNothingUntil = world.time.now + 8000
+        leading.faults.sendsBlockedUntil = world.time.now + 8000
         world.run(13_000, busy = false)
         assertTrue(leaderTerm === leading.controller!!.leaderTerm(), "resigned")
     }
@@ -334,51 +337,51 @@
     @Test
     fun `a machine that hung beyond its lease is used again and not scaled in`() = (1L..20L).forEach { seed ->
         // Scaled in at once, a hundred hanging machines were replaced, which takes a boot, a fetch and a minute's pay.
-        val world = World(seed, quietNetwork = true)
+        val world = SimulatedCluster(seed, isNetworkReliable = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 8, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
-        val hung = world.cloud.workers.first { it.busy }.apply { hangUntil = world.time.now + World.LEASE_MS + 3000 }
-        world.run(World.LEASE_MS + 2500, busy = false)
+        val hung = world.cloud.workers.first { it.hasRunningTasks }.apply { hangUntil = world.time.now + SimulatedCluster.LEASE_MS + 3000 }
+        world.run(SimulatedCluster.LEASE_MS + 2500, busy = false)
         assertEquals(MachineState.EXPIRED, world.leader().cluster.machines.getValue(hung.id).state, "seed $seed")
         // What ran there may have found capacity elsewhere, so there has to be work for every machine.
         world.accept(world.plainJob(2) { it.copy(tasks = 400, estimateS = 90.0, team = TeamId("free")) })
         world.run(6000, busy = false)
-        assertTrue(hung.alive && hung.busy, "seed $seed: scaled in, or left idle")
+        assertTrue(hung.isAlive && hung.hasRunningTasks, "seed $seed: scaled in, or left idle")
         hung.hangUntil = world.time.now + 60_000
-        world.run(3 * World.LEASE_MS, busy = false)
-        assertTrue(!hung.alive, "seed $seed: kept for good")
+        world.run(3 * SimulatedCluster.LEASE_MS, busy = false)
+        assertTrue(!hung.isAlive, "seed $seed: kept for good")
     }
 
     @Test
     fun `commands are not sent to machines that are silent`() = (45L..50L).forEach { seed ->
         // Each occupied a delivery thread until its deadline, and with a part of the machines cut all other commands waited behind them.
-        val world = World(seed, quietNetwork = true, perOffer = 30)
+        val world = SimulatedCluster(seed, isNetworkReliable = true, machinesPerOffering = 30)
         // A heartbeat from before the cut that arrives only now is news, so the machine would not count as silent.
-        world.network.delaysHeartbeats = false
+        world.network.mayDelayHeartbeats = false
         world.accept(world.plainJob(1) { it.copy(tasks = 120, estimateS = 30.0, team = TeamId("free"), spotAllowed = false) })
         world.run(30_000, busy = false)
-        val cut = world.cloud.workers.filter { it.alive }.take(20).onEach { it.cutUntil = world.time.now + 60_000 }
+        val cut = world.cloud.workers.filter { it.isAlive }.take(20).onEach { it.partitionedUntil = world.time.now + 60_000 }
         world.run(6500, busy = false)
         val before = world.network.commandsLost
         val id = world.accept(world.plainJob(2) { it.copy(tasks = 40, team = TeamId("free")) })
         world.run(4000, busy = false)
         world.cancel(id)
         world.run(2000, busy = false)
-        assertTrue(cut.all { it.alive })
+        assertTrue(cut.all { it.isAlive })
         assertEquals(before, world.network.commandsLost)
     }
 
     @Test
     fun `a node that stands still for leases in the middle of anything breaks no rule and loses no job`() {
         for (seed in 50L..61L) {
-            val world = World(seed)
+            val world = SimulatedCluster(seed)
             val jobs = (1..4).map { world.accept(world.plainJob(it) { spec -> spec.copy(estimateS = 12.0) }) }
             repeat(5) {
                 val leading = world.hosts.firstOrNull { it.controller?.leaderTerm() != null }
-                (leading ?: world.hosts.first()).faults.pauseAtNextCallMs = world.random.nextLong(200, 4 * World.LEASE_MS)
+                (leading ?: world.hosts.first()).faults.pauseAtNextRequestMs = world.random.nextLong(200, 4 * SimulatedCluster.LEASE_MS)
                 world.run(world.random.nextLong(1000, 12_000), busy = false)
             }
-            world.rules.quietSince = world.time.now + 4 * World.LEASE_MS
+            world.invariants.faultFreeSince = world.time.now + 4 * SimulatedCluster.LEASE_MS
             world.expectDone(jobs, 150_000)
         }
     }
@@ -386,35 +389,35 @@
     @Test
     fun `a zone cut off from all else loses no job, with controllers and work on either side`() {
         for (seed in 70L..75L) {
-            val world = World(seed, quietNetwork = true)
+            val world = SimulatedCluster(seed, isNetworkReliable = true)
             val jobs = (1..6).map { number ->
                 world.accept(world.plainJob(number) { it.copy(estimateS = 10.0, zone = world.zones[number % 2]) })
             }
             world.run(12_000, busy = false)
-            world.cutOff(world.zones[(seed % 2).toInt()], 4 * World.LEASE_MS)
-            world.run(4 * World.LEASE_MS, busy = false)
+            world.partitionZone(world.zones[(seed % 2).toInt()], 4 * SimulatedCluster.LEASE_MS)
+            world.run(4 * SimulatedCluster.LEASE_MS, busy = false)
             world.expectDone(jobs, 90_000)
         }
     }
 
     @Test
     fun `an attempt that was stopped is not forgotten, since its start may come once more`() {
-        val world = World(48, quietNetwork = true)
+        val world = SimulatedCluster(48, isNetworkReliable = true)
         val id = world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(15_000, busy = false)
-        val worker = world.cloud.workers.first { it.busy }
+        val worker = world.cloud.workers.first { it.hasRunningTasks }
         val started = worker.heartbeat()
         val again = started.tasks.map { WorkerCommand(CommandType.START, it.task, it.attempt) }
         assertEquals(200, world.cancel(id))
-        world.run(World.CANCEL_MS + 5000, busy = false)
+        world.run(SimulatedCluster.CANCEL_MS + 5000, busy = false)
         worker.execute(started.token, started.incarnation, again)
         world.run(2000, busy = false)
-        assertTrue(!worker.busy, "a cancelled task runs")
+        assertTrue(!worker.hasRunningTasks, "a cancelled task runs")
     }
 
     @Test
     fun `scale-out chooses small machines where they cost no more`() {
-        val world = World(49, quietNetwork = true)
+        val world = SimulatedCluster(49, isNetworkReliable = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 1.0, memoryGb = 2.0) })
         world.run(15_000, busy = false)
         assertEquals(setOf(TypeId("s")), world.cloud.workers.map { it.type.id }.toSet())
--- a/src/test/kotlin/mountmast/coordination/controller/RulesUnderFailureTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RulesUnderFailureTest.kt
@@ -1,6 +1,6 @@
 package mountmast.coordination.controller
 
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -12,27 +12,27 @@
         ?: 1L..(System.getProperty("mountmast.days")?.toLong() ?: count.toLong())
 
     private fun day(seed: Long, quiet: Boolean, failures: Int) {
-        val world = World(seed, quiet)
+        val world = SimulatedCluster(seed, quiet)
         try {
             world.run(20_000, busy = true)
             repeat(failures) {
                 // Most rules that were seen broken broke when two failures met.
-                world.fail()
+                world.injectRandomFault()
                 world.run(world.random.nextLong(50, 3000), busy = true)
-                world.fail()
+                world.injectRandomFault()
                 world.run(world.random.nextLong(2000, 20_000), busy = true)
             }
             // No failure that was drawn lasts longer; after it every job has its answer soon.
-            world.rules.quietSince = world.time.now + LONGEST_FAILURE_MS
+            world.invariants.faultFreeSince = world.time.now + LONGEST_FAILURE_MS
             // Replicas never end, and may hold all that their team is allowed to borrow.
             world.cancelServices()
             world.run(200_000, busy = false)
             // A slow machine that only ever ran one job's tasks is not noticed, and takes several times as long.
-            repeat(8) { if (world.unfinished().any { world.poll(it)?.isFinal != true }) world.run(50_000, busy = false) }
+            repeat(8) { if (world.unfinishedJobs().any { world.poll(it)?.isFinal != true }) world.run(50_000, busy = false) }
             world.jobs.keys.forEach { world.poll(it) }
-            assertTrue(world.rules.started > 0, "nothing_ran")
-            assertEquals(emptyList<Any>(), world.unfinished().filter { world.poll(it)?.isFinal != true }, "jobs that never got done")
-            assertTrue(world.store.largestValue < 2 * 1024, "a value of ${world.store.largestValue} bytes")
+            assertTrue(world.invariants.startCount > 0, "nothing_ran")
+            assertEquals(emptyList<Any>(), world.unfinishedJobs().filter { world.poll(it)?.isFinal != true }, "jobs that never got done")
+            assertTrue(world.store.largestValueLength < 2 * 1024, "a value of ${world.store.largestValueLength} bytes")
         } catch (e: Throwable) {
             throw AssertionError("seed $seed at ${world.time.now} ms: ${e.message}", e)
         }
@@ -45,6 +45,6 @@
     fun `failures of every kind, alone and together, break no rule`() = seeds(60).forEach { day(it, quiet = false, failures = 8) }
 
     private companion object {
-        const val LONGEST_FAILURE_MS = 2 * World.CANCEL_MS + 5000
+        const val LONGEST_FAILURE_MS = 2 * SimulatedCluster.CANCEL_MS + 5000
     }
 }
--- a/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
@@ -9,7 +9,7 @@
 import mountmast.standin.ControllerHost
 import mountmast.standin.FallingLimits
 import mountmast.standin.NodeVersion
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -21,9 +21,15 @@
  * checked after each step.
  */
 class UpgradeTest {
-    private fun worlds(seeds: LongRange, quiet: Boolean = true, limits: FallingLimits = FallingLimits(), act: World.() -> Unit) =
+    private fun worlds(seeds: LongRange, quiet: Boolean = true, limits: FallingLimits = FallingLimits(), act: SimulatedCluster.() -> Unit) =
         seeds.forEach { seed ->
-            val world = World(seed, quietNetwork = quiet, perOffer = 8, limits = limits, version = NodeVersion.PRODUCTION)
+            val world = SimulatedCluster(
+                seed,
+                isNetworkReliable = quiet,
+                machinesPerOffering = 8,
+                limits = limits,
+                version = NodeVersion.PRODUCTION,
+            )
             try {
                 world.act()
             } catch (e: Throwable) {
@@ -31,7 +37,7 @@
             }
         }
 
-    private fun World.leading(): ControllerHost? = hosts.filter { it.controller?.leaderTerm() != null }
+    private fun SimulatedCluster.leading(): ControllerHost? = hosts.filter { it.controller?.leaderTerm() != null }
         .maxByOrNull { checkNotNull(it.controller?.leaderTerm()).leaderLease.token.number }
 
     private fun ControllerHost.upgrade(downMs: Long = 2000) {
@@ -39,9 +45,9 @@
         crash(downMs)
     }
 
-    private fun World.areAllCurrent() = hosts.all { it.controller?.formats?.isCurrent == true }
+    private fun SimulatedCluster.areAllCurrent() = hosts.all { it.controller?.formats?.isCurrent == true }
 
-    private fun World.runUntil(mostMs: Long, what: String, reached: () -> Boolean) {
+    private fun SimulatedCluster.runUntil(mostMs: Long, what: String, reached: () -> Boolean) {
         val until = time.now + mostMs
         while (!reached()) {
             assertTrue(time.now < until, "$what: not within $mostMs ms")
@@ -50,11 +56,11 @@
     }
 
     /** All of [ids] end; on busy days users cancel some of them. */
-    private fun World.finish(ids: Collection<JobId>, mostMs: Long = 200_000, isBusy: Boolean = false) =
+    private fun SimulatedCluster.finish(ids: Collection<JobId>, mostMs: Long = 200_000, isBusy: Boolean = false) =
         runUntil(mostMs, "all over") { ids.all { id -> poll(id).let { it == JobStatus.DONE || (isBusy && it == JobStatus.CANCELLED) } } }
 
     /** Jobs whose numbers random ones never take. */
-    private fun World.longJobs(numbers: IntRange, runS: Double) = numbers.map { number ->
+    private fun SimulatedCluster.longJobs(numbers: IntRange, runS: Double) = numbers.map { number ->
         accept(plainJob(FIRST_NUMBER + number) { it.copy(team = TeamId("free"), cpus = 1.0, memoryGb = 2.0, estimateS = runS) })
     }
 
@@ -65,7 +71,7 @@
     fun `nodes are exchanged one by one with the cluster full, and no task is lost or started again`() =
         worlds(1L..8L, limits = smallValues) {
             val jobs = longJobs(1..12, runS = 60.0)
-            runUntil(60_000, "all tasks run") { jobs.sumOf { rules.runningOf(it) } == 48 }
+            runUntil(60_000, "all tasks run") { jobs.sumOf { invariants.runningTaskCountOf(it) } == 48 }
             for (host in hosts) {
                 host.upgrade()
                 run(7000, busy = false)
@@ -73,7 +79,7 @@
             }
             runUntil(15_000, "agreement") { areAllCurrent() }
             finish(jobs)
-            assertEquals(48, jobs.sumOf { rules.startsOf(it) }, "tasks were started again")
+            assertEquals(48, jobs.sumOf { invariants.startCountOf(it) }, "tasks were started again")
         }
 
     @Test
@@ -157,7 +163,7 @@
         finish(jobs, isBusy = true)
     }
 
-    private fun World.runUntilLeader(): ControllerHost {
+    private fun SimulatedCluster.runUntilLeader(): ControllerHost {
         runUntil(30_000, "a leader") { leading() != null }
         return checkNotNull(leading())
     }
@@ -172,33 +178,33 @@
                 host.upgrade(random.nextLong(200, 4000))
                 run(random.nextLong(2000, 9000), busy = true)
                 if (random.nextBoolean()) host.crash(random.nextLong(50, 3000))
-                fail()
+                injectRandomFault()
                 run(random.nextLong(2000, 9000), busy = true)
             }
             settle()
         }
     }
 
-    private fun World.disturb(host: ControllerHost) {
+    private fun SimulatedCluster.disturb(host: ControllerHost) {
         when (random.nextInt(6)) {
-            0 -> store.outage(random.nextLong(2000, 20_000))
-            1 -> faultInjector.refusedThenOut(random.nextLong(500, 3000), random.nextLong(3000, World.CANCEL_MS))
-            2 -> cutOff(zones.random(random), random.nextLong(3000, 20_000))
+            0 -> store.startOutage(random.nextLong(2000, 20_000))
+            1 -> faultInjector.injectLeaderRefusalThenOutage(random.nextLong(500, 3000), random.nextLong(3000, SimulatedCluster.CANCEL_MS))
+            2 -> partitionZone(zones.random(random), random.nextLong(3000, 20_000))
             3 -> hosts.forEach { it.faults.lateWritesUntil = time.now + 20_000 }
-            4 -> host.faults.dieAtNextCall = true
-            else -> cancelsAtEnd(15_000)
+            4 -> host.faults.killAtNextRequest = true
+            else -> cancelOnTaskCompletion(15_000)
         }
     }
 
     /** After all troubles every job gets done, and every node learns that all are current. */
-    private fun World.settle() {
-        rules.quietSince = time.now + 2 * World.CANCEL_MS + 5000
+    private fun SimulatedCluster.settle() {
+        invariants.faultFreeSince = time.now + 2 * SimulatedCluster.CANCEL_MS + 5000
         cancelServices()
         run(100_000, busy = false)
         runUntil(60_000, "agreement") { areAllCurrent() }
-        repeat(12) { if (unfinished().any { poll(it)?.isFinal != true }) run(50_000, busy = false) }
-        assertTrue(rules.started > 0, "nothing_ran")
-        assertEquals(emptyList<JobId>(), unfinished().filter { poll(it)?.isFinal != true }, "jobs that never got done")
+        repeat(12) { if (unfinishedJobs().any { poll(it)?.isFinal != true }) run(50_000, busy = false) }
+        assertTrue(invariants.startCount > 0, "nothing_ran")
+        assertEquals(emptyList<JobId>(), unfinishedJobs().filter { poll(it)?.isFinal != true }, "jobs that never got done")
     }
 
     @Test
@@ -215,7 +221,7 @@
             runUntil(30_000, "agreement") { areAllCurrent() }
             leading()?.crash(500)
             run(20_000, busy = true)
-            assertEquals(0, store.tooLarge, "transactions refused as too large")
+            assertEquals(0, store.oversizedTransactions, "transactions refused as too large")
             finish(jobs, isBusy = true)
         }
     }
--- a/src/test/kotlin/mountmast/coordination/election/LeaderElectionTest.kt
+++ b/src/test/kotlin/mountmast/coordination/election/LeaderElectionTest.kt
@@ -5,7 +5,7 @@
 import mountmast.protocol.ModRevision
 import mountmast.protocol.NodeId
 import mountmast.standin.ProcessFaults
-import mountmast.standin.StandInStore
+import mountmast.standin.SimulatedStateStore
 import mountmast.standin.VirtualTime
 import mountmast.storage.Compare
 import mountmast.storage.Keys
@@ -25,11 +25,11 @@
 /** Tests elections between processes that share a simulated store in virtual time. */
 class LeaderElectionTest {
     private val time = VirtualTime()
-    private val standIn = StandInStore(time)
+    private val standIn = SimulatedStateStore(time)
     private val timing = LeaseTiming.of(leaseS = 10.0, cancelS = 40.0, maxClockOffsetMs = 0.0, heartbeatIntervalS = 1.0)
 
     private inner class Participant(name: String, run: String = name, val faults: ProcessFaults = ProcessFaults(time)) {
-        val store = standIn.View(Random(1), faults)
+        val store = standIn.Connection(Random(1), faults)
         val metrics = Metrics()
         val election = LeaderElection(store, NodeId(name), run, timing, time.clock(0.0, 0), metrics)
         val token: FencingToken? get() = election.leaderLease?.token
@@ -148,7 +148,7 @@
     fun `an election whose answer was lost is resolved, and counted once`() {
         for (seed in 1L..40L) {
             val faults = ProcessFaults(time).apply { lossRate = 0.5 }
-            val lossyStore = StandInStore(time).View(Random(seed), faults)
+            val lossyStore = SimulatedStateStore(time).Connection(Random(seed), faults)
             val metrics = Metrics()
             val election = LeaderElection(lossyStore, NodeId("node-0"), "1", timing, time.clock(0.0, 0), metrics)
             while (election.leaderLease == null) {
--- a/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobReaderTest.kt
@@ -6,9 +6,9 @@
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
 import mountmast.standin.ProcessFaults
-import mountmast.standin.StandInStore
+import mountmast.standin.SimulatedCluster
+import mountmast.standin.SimulatedStateStore
 import mountmast.standin.VirtualTime
-import mountmast.standin.World
 import mountmast.storage.Compare
 import mountmast.storage.Entry
 import mountmast.storage.JobRecord
@@ -32,7 +32,7 @@
 
 class JobReaderTest {
     private val time = VirtualTime()
-    private val backingStore = StandInStore(time).View(Random(1), ProcessFaults(time))
+    private val backingStore = SimulatedStateStore(time).Connection(Random(1), ProcessFaults(time))
     private val requests = AtomicInteger()
 
     /** While [requiresPermits] is set, each request to the state service takes one of these permits. */
@@ -54,7 +54,7 @@
 
     /** Its reads never time out, because the result would then depend on the machine's speed. */
     private val reader = readerOn(store, maxWaitMs = TEST_TIMEOUT_S * 1000)
-    private val jobs = (1..20).map { World(1).job(it) }
+    private val jobs = (1..20).map { SimulatedCluster(1).job(it) }
 
     private fun readerOn(store: StateStore, maxWaitMs: Long) =
         JobReader(JobStateLoader(store, UnconfirmedRecordCache(), MAX_COMPARES), MAX_COMPARES, maxWaitMs)
@@ -105,7 +105,7 @@
         assertEquals(JobState.Unknown, reader.read(jobs[0].id))
         put(0, false, ModRevision.ABSENT)
         val faults = ProcessFaults(time).apply { storeRefusedUntil = 100 }
-        val failing = readerOn(StandInStore(time).View(Random(1), faults), maxWaitMs = 1800)
+        val failing = readerOn(SimulatedStateStore(time).Connection(Random(1), faults), maxWaitMs = 1800)
         repeat(3) { assertThrows(StoreException::class.java) { failing.read(jobs[0].id) } }
         time.advance(200)
         assertEquals(JobState.Unknown, failing.read(jobs[0].id))
--- a/src/test/kotlin/mountmast/coordination/jobs/JobRecordPrefetcherTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/JobRecordPrefetcherTest.kt
@@ -8,9 +8,9 @@
 import mountmast.protocol.WallTime
 import mountmast.protocol.WireJson
 import mountmast.standin.ProcessFaults
-import mountmast.standin.StandInStore
+import mountmast.standin.SimulatedCluster
+import mountmast.standin.SimulatedStateStore
 import mountmast.standin.VirtualTime
-import mountmast.standin.World
 import mountmast.storage.JobRecord
 import mountmast.storage.Keys
 import mountmast.storage.Transaction
@@ -21,12 +21,12 @@
 
 class JobRecordPrefetcherTest {
     private val time = VirtualTime()
-    private val standIn = StandInStore(time, keptChanges = 10)
+    private val standIn = SimulatedStateStore(time, retainedChanges = 10)
     private val faults = ProcessFaults(time)
-    private val store = standIn.View(Random(1), faults)
+    private val store = standIn.Connection(Random(1), faults)
     private val prefetched = ArrayList<Pair<JobId, ModRevision>>()
     private val prefetcher = JobRecordPrefetcher(store) { record, modRevision -> prefetched += record.spec.id to modRevision }
-    private val jobs = (1..30).map { World(1).job(it) }
+    private val jobs = (1..30).map { SimulatedCluster(1).job(it) }
 
     private fun put(key: String, value: JsonElement) = store.commit(Transaction(emptyList(), listOf(Write.Put(key, value))))
 
@@ -66,7 +66,7 @@
 
     @Test
     fun `a submission that waits for jobs which another node accepted is written without reading them first`() {
-        val world = World(1, quietNetwork = true)
+        val world = SimulatedCluster(1, isNetworkReliable = true)
         val first = (1..3).map { world.accept(world.plainJob(it)) }
         world.run(5000, busy = false)
         for (host in world.hosts) {
--- a/src/test/kotlin/mountmast/coordination/jobs/UnconfirmedRecordCacheTest.kt
+++ b/src/test/kotlin/mountmast/coordination/jobs/UnconfirmedRecordCacheTest.kt
@@ -2,7 +2,7 @@
 
 import mountmast.protocol.ModRevision
 import mountmast.protocol.WallTime
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import mountmast.storage.JobRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -10,7 +10,7 @@
 
 class UnconfirmedRecordCacheTest {
     private val cache = UnconfirmedRecordCache()
-    private val live = JobRecord(World(1).job(1), WallTime(0))
+    private val live = JobRecord(SimulatedCluster(1).job(1), WallTime(0))
     private val cancelled = live.copy(cancelled = true)
     private val id = live.spec.id
 
--- a/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/FormatNegotiationTest.kt
@@ -7,9 +7,9 @@
 import mountmast.protocol.NodeId
 import mountmast.protocol.WireJson
 import mountmast.standin.ProcessFaults
-import mountmast.standin.StandInStore
+import mountmast.standin.SimulatedCluster
+import mountmast.standin.SimulatedStateStore
 import mountmast.standin.VirtualTime
-import mountmast.standin.World
 import mountmast.storage.Compare
 import mountmast.storage.FORMAT_VERSION
 import mountmast.storage.FormatRecord
@@ -27,9 +27,9 @@
 /** Tests the format negotiation of one node with a simulated store in virtual time; the last test runs three nodes. */
 class FormatNegotiationTest {
     private val time = VirtualTime()
-    private val standIn = StandInStore(time)
+    private val standIn = SimulatedStateStore(time)
     private val faults = ProcessFaults(time)
-    private val store = standIn.View(Random(1), faults)
+    private val store = standIn.Connection(Random(1), faults)
     private val other = NodeId("node-1")
     private val third = NodeId("node-2")
     private val members = listOf(other, third)
@@ -142,7 +142,7 @@
     fun `a write whose answer is lost is read back, or repeated if it was lost itself`() {
         for (seed in 1L..40L) {
             val lossFaults = ProcessFaults(time).apply { lossRate = 0.6 }
-            val faultyStore = StandInStore(time).View(Random(seed), lossFaults)
+            val faultyStore = SimulatedStateStore(time).Connection(Random(seed), lossFaults)
             val negotiation = negotiation(faultyStore)
             negotiation.recordAllMembersAsCurrent()
             repeat(200) {
@@ -158,7 +158,7 @@
     fun `late writes neither fail a negotiation nor lower a later version`() {
         for (seed in 1L..40L) {
             val lateWriteFaults = ProcessFaults(time).apply { lateWritesUntil = time.now + 60_000 }
-            val faultyStore = StandInStore(time).View(Random(seed), lateWriteFaults)
+            val faultyStore = SimulatedStateStore(time).Connection(Random(seed), lateWriteFaults)
             val negotiation = negotiation(faultyStore)
             negotiation.recordAllMembersAsCurrent()
             negotiation.stepTimes(2)
@@ -204,7 +204,7 @@
     @Test
     fun `a store that does not answer gets no requests`() {
         val negotiation = negotiation()
-        standIn.outage(20_000)
+        standIn.startOutage(20_000)
         negotiation.step()
         val before = standIn.requests
         negotiation.stepTimes(10)
@@ -213,7 +213,7 @@
 
     @Test
     fun `three nodes become current within seconds, and again after all were restarted`() {
-        val world = World(1, quietNetwork = true)
+        val world = SimulatedCluster(1, isNetworkReliable = true)
         world.run(12_000, busy = false)
         assertTrue(world.hosts.all { it.controller?.formats?.isCurrent == true })
         world.hosts.forEach { it.crash(100) }
--- a/src/test/kotlin/mountmast/coordination/persistence/FallingLimitsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/FallingLimitsTest.kt
@@ -3,7 +3,7 @@
 import mountmast.protocol.StateLimits
 import mountmast.protocol.TeamId
 import mountmast.standin.FallingLimits
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -17,24 +17,24 @@
         compact: Boolean = false,
         quiet: Boolean = true,
         perOffer: Int = 4,
-    ) = World(
+    ) = SimulatedCluster(
         seed,
-        quietNetwork = quiet,
-        perOffer = perOffer,
+        isNetworkReliable = quiet,
+        machinesPerOffering = perOffer,
         limits = FallingLimits(BEFORE, AFTER, fallsAtMs, isAnnounced),
-        agreesOnForms = compact,
+        negotiatesFormats = compact,
     )
 
-    private fun runUntilAllJobsFinish(world: World) {
+    private fun runUntilAllJobsFinish(world: SimulatedCluster) {
         world.cancelServices()
         world.run(100_000, busy = false)
-        repeat(12) { if (world.unfinished().any { world.poll(it)?.isFinal != true }) world.run(50_000, busy = false) }
+        repeat(12) { if (world.unfinishedJobs().any { world.poll(it)?.isFinal != true }) world.run(50_000, busy = false) }
         world.jobs.keys.forEach { world.poll(it) }
-        assertTrue(world.rules.started > 0, "no task was started")
-        assertEquals(emptyList<Any>(), world.unfinished().filter { world.poll(it)?.isFinal != true }, "jobs that never finished")
+        assertTrue(world.invariants.startCount > 0, "no task was started")
+        assertEquals(emptyList<Any>(), world.unfinishedJobs().filter { world.poll(it)?.isFinal != true }, "jobs that never finished")
     }
 
-    private fun findLeaderHosts(world: World) = world.hosts.filter { it.controller?.leaderTerm() != null }
+    private fun findLeaderHosts(world: SimulatedCluster) = world.hosts.filter { it.controller?.leaderTerm() != null }
 
     @Test
     fun `no transaction is rejected where the lower limits are announced`() {
@@ -42,8 +42,8 @@
             val world = createWorld(171, fallsAtMs = 30_000, isAnnounced = true, compact = compact)
             world.run(70_000, busy = true)
             runUntilAllJobsFinish(world)
-            assertEquals(0, world.store.tooLarge)
-            assertTrue(world.store.mostOps <= AFTER.transactionOps)
+            assertEquals(0, world.store.oversizedTransactions)
+            assertTrue(world.store.maxTransactionOps <= AFTER.transactionOps)
         }
     }
 
@@ -55,7 +55,7 @@
             repeat(30) { number -> world.accept(world.plainJob(5000 + number) { it.copy(team = TeamId("free"), tasks = 40) }) }
             world.run(40_000, busy = true)
             runUntilAllJobsFinish(world)
-            assertTrue(world.store.tooLarge in 1..20, "seed $seed: ${world.store.tooLarge} rejected")
+            assertTrue(world.store.oversizedTransactions in 1..20, "seed $seed: ${world.store.oversizedTransactions} rejected")
         }
     }
 
@@ -71,7 +71,7 @@
             findLeaderHosts(world).forEach { it.crash(200) }
             world.run(20_000, busy = true)
             runUntilAllJobsFinish(world)
-            assertTrue(world.store.tooLarge <= 60, "seed $seed: ${world.store.tooLarge} rejected")
+            assertTrue(world.store.oversizedTransactions <= 60, "seed $seed: ${world.store.oversizedTransactions} rejected")
         }
     }
 
@@ -79,11 +79,11 @@
     fun `the smallest transactions and values suffice`() {
         val minimumLimits = FallingLimits(StateLimits(80.0, 16.0, 1.0, 2), enforcesRates = true)
         for (compact in listOf(false, true)) {
-            val world = World(190, quietNetwork = true, limits = minimumLimits, agreesOnForms = compact)
+            val world = SimulatedCluster(190, isNetworkReliable = true, limits = minimumLimits, negotiatesFormats = compact)
             world.run(40_000, busy = true)
             runUntilAllJobsFinish(world)
-            assertEquals(0, world.store.tooLarge)
-            assertTrue(world.store.mostOps <= 2)
+            assertEquals(0, world.store.oversizedTransactions)
+            assertTrue(world.store.maxTransactionOps <= 2)
         }
     }
 
@@ -94,12 +94,12 @@
             try {
                 world.run(20_000, busy = true)
                 repeat(6) {
-                    world.fail()
+                    world.injectRandomFault()
                     world.run(world.random.nextLong(50, 3000), busy = true)
-                    world.fail()
+                    world.injectRandomFault()
                     world.run(world.random.nextLong(2000, 20_000), busy = true)
                 }
-                world.rules.quietSince = world.time.now + 2 * World.CANCEL_MS + 5000
+                world.invariants.faultFreeSince = world.time.now + 2 * SimulatedCluster.CANCEL_MS + 5000
                 world.cancelServices()
                 world.run(100_000, busy = false)
                 runUntilAllJobsFinish(world)
--- a/src/test/kotlin/mountmast/coordination/persistence/InDoubtResolverTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/InDoubtResolverTest.kt
@@ -4,7 +4,7 @@
 import mountmast.protocol.ModRevision
 import mountmast.protocol.WireJson
 import mountmast.standin.ProcessFaults
-import mountmast.standin.StandInStore
+import mountmast.standin.SimulatedStateStore
 import mountmast.standin.VirtualTime
 import mountmast.storage.JournalRecord
 import mountmast.storage.Transaction
@@ -18,8 +18,8 @@
 /** The outcome of earlier attempts at a batch, as the journal slot of the batch's first record shows it. */
 class InDoubtResolverTest {
     private val time = VirtualTime()
-    private val standIn = StandInStore(time)
-    private val store = standIn.View(Random(1), ProcessFaults(time))
+    private val standIn = SimulatedStateStore(time)
+    private val store = standIn.Connection(Random(1), ProcessFaults(time))
     private val resolver = InDoubtResolver(store)
     private val slotted = SlottedRecord(3, JournalRecord(131, "-j-000001/0;"))
     private val batch = WriteBatch(ModRevision(1u), maxOps = 16).apply { addJournalRecord(slotted, ModRevision.ABSENT, emptyList()) }
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -41,9 +41,9 @@
 import mountmast.protocol.WireJson
 import mountmast.protocol.Zone
 import mountmast.standin.ProcessFaults
-import mountmast.standin.StandInStore
+import mountmast.standin.SimulatedCluster
+import mountmast.standin.SimulatedStateStore
 import mountmast.standin.VirtualTime
-import mountmast.standin.World
 import mountmast.standin.production.BrokenContract
 import mountmast.standin.production.ProductionForms
 import mountmast.standin.production.ProductionLedger
@@ -225,14 +225,14 @@
     @Test
     fun `until all nodes are current, production reads everything that this version stores`() {
         for (seed in 1L..8L) {
-            val world = World(seed, quietNetwork = true)
+            val world = SimulatedCluster(seed, isNetworkReliable = true)
             // One node stays down, so no other node learns that it reads the current forms.
             world.hosts.last().downUntil = Long.MAX_VALUE
             repeat(8) { round ->
                 world.run(8000, busy = true)
                 if (round == 5) world.hosts.first().crash(500)
                 assertFalse(world.hosts.any { it.controller?.formats?.isCurrent == true })
-                assertReadByProduction(world.store.View(Random(seed), ProcessFaults(world.time)).listAll("").first, world)
+                assertReadByProduction(world.store.Connection(Random(seed), ProcessFaults(world.time)).listAll("").first, world)
             }
         }
     }
@@ -241,12 +241,12 @@
      * Checks that production's classes decode every value of [written], with each field that they know as it was written, and that
      * production's journal reader finds the same tasks done and the same assignments as this version.
      */
-    private fun assertReadByProduction(written: List<Entry>, world: World) {
+    private fun assertReadByProduction(written: List<Entry>, world: SimulatedCluster) {
         for (entry in written) {
             val read = ProductionForms.pass(entry.key, entry.value)
             assertTrue(isPartOf(read, entry.value), "${entry.key}: $read of ${entry.value}")
         }
-        val leaderTerm = loaded(world.store.View(Random(1), ProcessFaults(world.time)))
+        val leaderTerm = loaded(world.store.Connection(Random(1), ProcessFaults(world.time)))
         val productionLedger = replayedByProduction(written)
         val currentAssignments = leaderTerm.cluster.jobs.values.flatMap { job ->
             job.live.values.map { "${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone}" }
@@ -305,7 +305,7 @@
     private val time = VirtualTime()
 
     private fun storeOf(entries: Map<String, JsonElement>): StateStore {
-        val view = StandInStore(time).View(Random(1), ProcessFaults(time))
+        val view = SimulatedStateStore(time).Connection(Random(1), ProcessFaults(time))
         for ((key, value) in entries) view.commit(Transaction(emptyList(), listOf(Write.Put(key, value))))
         return view
     }
--- a/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/WriteBudgetTest.kt
@@ -7,7 +7,7 @@
 import mountmast.protocol.TeamId
 import mountmast.protocol.Urgency
 import mountmast.standin.FallingLimits
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import mountmast.standin.WriteKind
 import mountmast.storage.StoreRateQuota
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -18,12 +18,12 @@
 class WriteBudgetTest {
     /** A fleet of [machines] on which [tasksPerSecond] tasks start and end each second, in jobs of [TASKS_PER_JOB] tasks. */
     private class FullFleet(private val name: String, machines: Int, private val tasksPerSecond: Int, compact: Boolean) {
-        val world = World(
+        val world = SimulatedCluster(
             91,
-            quietNetwork = true,
-            perOffer = machines / OFFERING_COUNT,
+            isNetworkReliable = true,
+            machinesPerOffering = machines / OFFERING_COUNT,
             limits = FallingLimits(LIMITS, enforcesRates = true),
-            agreesOnForms = compact,
+            negotiatesFormats = compact,
         )
         private var submitted = 0
         private var refused = 0
@@ -45,7 +45,7 @@
         private fun submit(spec: JobSpec) {
             if (world.submit(spec) in 200..201) return
             refused++
-            world.time.later(1000) { submit(spec) }
+            world.time.schedule(1000) { submit(spec) }
         }
 
         fun run(ms: Long) {
@@ -63,16 +63,16 @@
         fun measure() {
             run(RAMP_UP_MS)
             val writesBefore = HashMap(world.store.writesByKind)
-            val startedBefore = world.rules.started
+            val startedBefore = world.invariants.startCount
             val refusedBefore = refused
             val measuredFrom = world.time.now
             run(MEASURED_MS)
             val seconds = (world.time.now - measuredFrom) / 1000.0
             val perKind = world.store.writesByKind.mapValues { (kind, count) -> (count - (writesBefore[kind] ?: 0)) / seconds }
             println("$name: ${perKind.entries.joinToString { "${it.key} %.2f".format(it.value) }}")
-            println("$name: ${refused - refusedBefore} refused submissions, 429: ${world.store.overRate}")
+            println("$name: ${refused - refusedBefore} refused submissions, 429: ${world.store.rateLimitedRequests}")
             assertEquals(refusedBefore, refused, "submissions refused")
-            assertKeepsUp((world.rules.started - startedBefore) / seconds)
+            assertKeepsUp((world.invariants.startCount - startedBefore) / seconds)
             assertWritten(perKind)
         }
 
@@ -86,8 +86,8 @@
             val quota = StoreRateQuota.writes(LIMITS, 3, isLeader = true)
             val leaderWritesPerSecond = perKind.filterKeys { it != WriteKind.USERS }.values.sum()
             println("$name: leader %.2f of %.2f writes a second".format(leaderWritesPerSecond, quota))
-            assertEquals(0, world.store.overRate, "requests over the rates")
-            assertEquals(0, world.store.tooLarge, "transactions over the limits")
+            assertEquals(0, world.store.rateLimitedRequests, "requests over the rates")
+            assertEquals(0, world.store.oversizedTransactions, "transactions over the limits")
             assertTrue(leaderWritesPerSecond <= quota, "$leaderWritesPerSecond of $quota")
             assertTrue((perKind[WriteKind.PROGRESS] ?: 0.0) >= 0.3, "the progress of jobs is written")
             assertTrue((perKind[WriteKind.WATERMARK] ?: 0.0) >= 0.3, "the watermark is written")
--- a/src/test/kotlin/mountmast/coordination/state/AssignmentTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/AssignmentTest.kt
@@ -8,7 +8,7 @@
 import mountmast.protocol.WallTime
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test
 
 class AssignmentTest {
-    private val job = Job(World(1).job(1) { it.copy(checkpointSaveS = 7.0) }, WallTime(0), ModRevision(1u))
+    private val job = Job(SimulatedCluster(1).job(1) { it.copy(checkpointSaveS = 7.0) }, WallTime(0), ModRevision(1u))
     private val placement = Placement(MachineId("vm-1"), WorkerIncarnation(1u), Zone("a"))
     private val assignment = Assignment(job, 0, placement, Attempt(1u), Phase.INTENDED)
 
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -19,7 +19,7 @@
 import mountmast.protocol.WallTime
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import mountmast.storage.JobRecord
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -28,7 +28,7 @@
 
 class ClusterStateTest {
     private val cluster = ClusterState(0.7)
-    private val spec = World(1).job(1) { it.copy(shape = Shape.ARRAY, tasks = 20, estimateS = 1.0) }
+    private val spec = SimulatedCluster(1).job(1) { it.copy(shape = Shape.ARRAY, tasks = 20, estimateS = 1.0) }
     private val job = cluster.putJob(JobRecord(spec, WallTime(0)), ModRevision(1u), MonotonicTime(0))
     private var sequence = 0uL
 
@@ -51,7 +51,7 @@
         cluster.assignments.assign(of, index, cluster.machines.getValue(MachineId(machine)), MonotonicTime(at)).apply { markJournaled() }
 
     private fun arrayJob(number: Int, tasks: Int): Job {
-        val spec = World(1).job(number) { it.copy(shape = Shape.ARRAY, tasks = tasks) }
+        val spec = SimulatedCluster(1).job(number) { it.copy(shape = Shape.ARRAY, tasks = tasks) }
         return cluster.putJob(JobRecord(spec, WallTime(0)), ModRevision(1u), MonotonicTime(0))
     }
 
--- a/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/JobDependenciesTest.kt
@@ -8,7 +8,7 @@
 import mountmast.protocol.Shape
 import mountmast.protocol.Urgency
 import mountmast.protocol.WallTime
-import mountmast.standin.World
+import mountmast.standin.SimulatedCluster
 import mountmast.storage.FinishedJobRecord
 import mountmast.storage.JobRecord
 import mountmast.storage.PrerequisiteListRef
@@ -20,7 +20,7 @@
 class JobDependenciesTest {
     private val cluster = ClusterState(0.7)
     private val dependencies = JobDependencies(cluster)
-    private val world = World(1)
+    private val world = SimulatedCluster(1)
     private val now = MonotonicTime(5000)
 
     private fun id(number: Int) = JobId("j-$number")
--- a/src/test/kotlin/mountmast/soak/SoakRun.kt
+++ b/src/test/kotlin/mountmast/soak/SoakRun.kt
@@ -2,11 +2,11 @@
 
 import mountmast.protocol.JobStatus
 import mountmast.standin.FallingLimits
+import mountmast.standin.InvariantChecker
 import mountmast.standin.ProcessFaults
-import mountmast.standin.Rules
-import mountmast.standin.StandInCloud
-import mountmast.standin.StandInStore
-import mountmast.standin.StandInWorker
+import mountmast.standin.SimulatedCloud
+import mountmast.standin.SimulatedStateStore
+import mountmast.standin.SimulatedWorker
 import mountmast.transport.HttpCaller
 import mountmast.transport.NoAnswerException
 import java.io.File
@@ -25,13 +25,13 @@
     private val schedule: List<Fault> = FaultSchedule.draw(seed),
 ) : AutoCloseable {
     val clock = SoakClock()
-    val rules = Rules(SoakSite.teams, SoakSite.CANCEL_MS)
+    val rules = InvariantChecker(SoakSite.teams, SoakSite.CANCEL_MS)
     private val random = Random(seed)
     private val executor = Executors.newCachedThreadPool { task -> Thread(null, task, "soak", STACK_BYTES).apply { isDaemon = true } }
-    private val store = StandInStore(clock.time, keptChanges = 10_000, FallingLimits(SoakSite.limits), pageSize = PAGE)
+    private val store = SimulatedStateStore(clock.time, retainedChanges = 10_000, FallingLimits(SoakSite.limits), pageSize = PAGE)
     private val users = SoakUsers(this, Random(seed + 1))
-    val cloud: StandInCloud = StandInCloud(clock.time, random, SoakSite.types, size.machinesPerOffer) { id, request ->
-        StandInWorker(
+    val cloud: SimulatedCloud = SimulatedCloud(clock.time, random, SoakSite.types, size.machinesPerOffer) { id, request ->
+        SimulatedWorker(
             id, SoakSite.types.first { it.id == request.type }, request.zone, request.spot, clock.time, rules, leaseMs(),
             { users.jobs[it] }, { false }, {},
         )
@@ -43,8 +43,10 @@
     val publicPorts: List<Int> get() = ports.take(SoakSite.NODES)
     private val directory: File = Files.createTempDirectory("mountmast-soak").toFile()
     private val troubles = List(SoakSite.NODES) { ProcessFaults(clock.time).apply { lossRate = LOSS_RATE } }
-    private val storeServers = troubles.map { StoreServer(clock, store.View(random, it), executor, breakage == Breakage.SUBMISSIONS_LOST) }
-    private val cloudServer = CloudServer(clock, cloud.View(ProcessFaults(clock.time)), fleet::addressOf, executor)
+    private val storeServers = troubles.map {
+        StoreServer(clock, store.Connection(random, it), executor, breakage == Breakage.SUBMISSIONS_LOST)
+    }
+    private val cloudServer = CloudServer(clock, cloud.Connection(ProcessFaults(clock.time)), fleet::addressOf, executor)
     private val stateLinks = storeServers.map { LinkProxy(it.port).start() }
 
     /** From each node to each other one. */
@@ -75,7 +77,7 @@
         clock.eachTick {
             cloud.step()
             fleet.step()
-            rules.check(clock.time.now)
+            rules.checkCancelledJobs(clock.time.now)
         }
         controllers.forEach { it.start() }
         clock.start()
@@ -91,9 +93,9 @@
 
     /** What the run did, in one line. */
     fun summary(): String = clock.locked {
-        val alive = cloud.workers.count { it.alive }
+        val alive = cloud.workers.count { it.isAlive }
         val accepted = users.accepted.distinct().size
-        "${schedule.size} faults, $accepted jobs accepted, ${rules.started} starts, $alive of ${cloud.rented} machines left"
+        "${schedule.size} faults, $accepted jobs accepted, ${rules.startCount} starts, $alive of ${cloud.rentedCount} machines left"
     }
 
     private fun now() = clock.locked { clock.time.now }
@@ -106,7 +108,7 @@
     private var isSubmitting = true
 
     private fun awaitFirstTask() {
-        while (clock.locked { rules.started } == 0) {
+        while (clock.locked { rules.startCount } == 0) {
             clock.failure?.let { throw it }
             check(now() < STARTED_WITHIN_MS) { "nothing ran" }
             Thread.sleep(STEP_MS)
@@ -155,7 +157,7 @@
                 stateLinks.forEach { it.delayMs = SLOW_MS }
                 after(fault.forMs) { stateLinks.forEach { it.delayMs = 0 } }
             }
-            FaultKind.STATE_OUT -> clock.locked { store.outage(fault.forMs) }
+            FaultKind.STATE_OUT -> clock.locked { store.startOutage(fault.forMs) }
             FaultKind.LATE_WRITES -> clock.locked { trouble.lateWritesUntil = until }
             FaultKind.PEERS_HELD -> cut(linksOf(node), Cut.BOTH, fault.forMs)
             FaultKind.PEERS_REFUSED -> cut(linksOf(node), Cut.REFUSED, fault.forMs)
@@ -171,24 +173,24 @@
                 fleet.copiesHeartbeats = true
                 after(fault.forMs) { fleet.copiesHeartbeats = false }
             }
-            FaultKind.CLOUD_OUT -> clock.locked { cloud.outage(fault.forMs) }
+            FaultKind.CLOUD_OUT -> clock.locked { cloud.startOutage(fault.forMs) }
             else -> clock.locked { machinesFail(fault.kind, fault.forMs) }
         }
     }
 
     private fun machinesFail(kind: FaultKind, forMs: Long) {
         val until = clock.time.now + forMs
-        for (worker in cloud.workers.filter { it.alive && random.nextInt(3) == 0 }) {
+        for (worker in cloud.workers.filter { it.isAlive && random.nextInt(3) == 0 }) {
             when (kind) {
-                FaultKind.MACHINES_CUT -> worker.cutUntil = until
-                FaultKind.MACHINES_DEAF -> worker.deafUntil = until
-                FaultKind.MACHINES_MUTE -> worker.muteUntil = until
+                FaultKind.MACHINES_CUT -> worker.partitionedUntil = until
+                FaultKind.MACHINES_DEAF -> worker.inboundCutUntil = until
+                FaultKind.MACHINES_MUTE -> worker.outboundCutUntil = until
                 FaultKind.MACHINES_HANG -> worker.hangUntil = clock.time.now + forMs / 2
                 FaultKind.COMMANDS_HELD -> {
                     worker.commandsHeldMs = forMs
                     worker.commandsHeldUntil = until
                 }
-                else -> cloud.take(worker.id)
+                else -> cloud.terminateMachine(worker.id)
             }
         }
     }
@@ -216,7 +218,7 @@
     private fun recover(troublesEndAt: Long) {
         clock.locked {
             troubles.forEach { it.lossRate = 0.0 }
-            rules.quietSince = clock.time.now
+            rules.faultFreeSince = clock.time.now
         }
         var open = users.expected()
         while (open.isNotEmpty()) {
--- a/src/test/kotlin/mountmast/soak/SoakUsers.kt
+++ b/src/test/kotlin/mountmast/soak/SoakUsers.kt
@@ -34,7 +34,9 @@
     private val number = AtomicInteger()
 
     /** Accepted jobs that nobody asked to cancel, directly or through what they wait for. */
-    fun expected(): List<JobId> = accepted.distinct().filter { id -> id !in cancelled && run.rules.ancestors(id).none { it in cancelled } }
+    fun expected(): List<JobId> = accepted.distinct().filter { id ->
+        id !in cancelled && run.rules.transitivePrerequisites(id).none { it in cancelled }
+    }
 
     /** Something that users do at a random moment. */
     fun act() {
@@ -85,11 +87,11 @@
 
     private fun submitNow(spec: JobSpec) {
         jobs[spec.id] = spec
-        run.clock.locked { run.rules.submitting(spec, run.clock.time.now) }
+        run.clock.locked { run.rules.recordSubmission(spec, run.clock.time.now) }
         val reply = ask("POST", "/v1/jobs", WireJson.encodeToString(spec), SUBMIT_MS) ?: return
         run.clock.locked {
-            run.rules.submissionAnswered(spec.id, reply.status)
-            reply.state()?.let { run.rules.statusAnswered(spec.id, reply.status, it, run.clock.time.now) }
+            run.rules.checkSubmissionAnswer(spec.id, reply.status)
+            reply.state()?.let { run.rules.checkStatusAnswer(spec.id, reply.status, it, run.clock.time.now) }
         }
         if (reply.status in 200..201) accepted += spec.id
     }
@@ -98,9 +100,9 @@
 
     private fun cancelNow(id: JobId) {
         cancelled += id
-        run.clock.locked { run.rules.cancelling(id) }
+        run.clock.locked { run.rules.recordCancellation(id) }
         val reply = ask("POST", "/v1/jobs/$id/cancel", "", SUBMIT_MS) ?: return
-        run.clock.locked { run.rules.statusAnswered(id, reply.status, reply.state(), run.clock.time.now) }
+        run.clock.locked { run.rules.checkStatusAnswer(id, reply.status, reply.state(), run.clock.time.now) }
     }
 
     /** The state that a user is told, or null where no answer comes. */
@@ -110,8 +112,8 @@
         val askedAt = run.clock.locked { run.clock.time.now }
         val reply = ask("GET", "/v1/jobs/$id", null, POLL_MS)
         return run.clock.locked {
-            run.rules.asked(id, reply?.status == 200, run.clock.time.now)
-            if (reply != null) run.rules.statusAnswered(id, reply.status, reply.state(), run.clock.time.now, askedAt)
+            run.rules.recordStatusRequest(id, reply?.status == 200, run.clock.time.now)
+            if (reply != null) run.rules.checkStatusAnswer(id, reply.status, reply.state(), run.clock.time.now, askedAt)
             reply?.state()
         }
     }
--- a/src/test/kotlin/mountmast/soak/WorkerFleet.kt
+++ b/src/test/kotlin/mountmast/soak/WorkerFleet.kt
@@ -13,7 +13,7 @@
 import mountmast.protocol.TaskState
 import mountmast.protocol.WireJson
 import mountmast.protocol.WorkerCommand
-import mountmast.standin.StandInWorker
+import mountmast.standin.SimulatedWorker
 import mountmast.transport.HttpCaller
 import mountmast.transport.NoAnswerException
 import mountmast.transport.Reply
@@ -54,7 +54,7 @@
     fun step() {
         for (worker in run.cloud.workers) {
             worker.step()
-            if (!worker.alive || worker.hanging || clock.time.now < worker.nextHeartbeatAt || !reporting.add(worker.id)) continue
+            if (!worker.isAlive || worker.isHanging || clock.time.now < worker.nextHeartbeatAt || !reporting.add(worker.id)) continue
             servers.computeIfAbsent(worker.id) { StandInServer(executor) { request -> command(worker, request) } }
             val heartbeat = heartbeatOf(worker)
             val sentAt = clock.time.now
@@ -64,7 +64,7 @@
         }
     }
 
-    private fun heartbeatOf(worker: StandInWorker): Heartbeat {
+    private fun heartbeatOf(worker: SimulatedWorker): Heartbeat {
         val heartbeat = worker.heartbeat().copy(address = checkNotNull(addressOf(worker.id)))
         if (run.breakage != Breakage.DONE_TOO_EARLY) return heartbeat
         return heartbeat.copy(
@@ -97,12 +97,12 @@
         }
     }
 
-    private fun heartbeat(worker: StandInWorker, heartbeat: Heartbeat, sentAt: Long) {
+    private fun heartbeat(worker: SimulatedWorker, heartbeat: Heartbeat, sentAt: Long) {
         try {
-            val target = worker.target
+            val target = worker.targetNodeIndex
             val link = links[target]
-            val reply = if (worker.cut || worker.mute || link.heartbeatsLost) null else post(target, heartbeat)
-            val isLost = reply == null || worker.cut || worker.deaf || link.answersLost
+            val reply = if (worker.isPartitioned || worker.isOutboundCut || link.heartbeatsLost) null else post(target, heartbeat)
+            val isLost = reply == null || worker.isPartitioned || worker.isInboundCut || link.answersLost
             clock.locked { if (isLost || !isWhole(reply)) tryNext(worker) else take(worker, heartbeat, sentAt, checkNotNull(reply)) }
         } finally {
             reporting -= heartbeat.machine
@@ -121,47 +121,47 @@
     /** A controller that ends in the middle of an answer may leave an empty one. */
     private fun isWhole(reply: Reply?) = reply != null && (reply.status !in setOf(200, 421) || reply.bytes.isNotEmpty())
 
-    private fun take(worker: StandInWorker, heartbeat: Heartbeat, sentAt: Long, reply: Reply) {
+    private fun take(worker: SimulatedWorker, heartbeat: Heartbeat, sentAt: Long, reply: Reply) {
         when (reply.status) {
             200 -> {
                 val answer = WireJson.decodeFromString<HeartbeatResponse>(reply.text)
                 noteStarts(answer.commands.filter { it.type == CommandType.START }.map { it.task })
-                worker.answered(answer.token, obeyed(answer.commands), sentAt, heartbeat.incarnation)
+                worker.onHeartbeatAnswer(answer.token, obeyed(answer.commands), sentAt, heartbeat.incarnation)
             }
             421 -> {
                 val next = WireJson.decodeFromString<Redirect>(reply.text).leader?.text?.substringAfterLast('-')?.toIntOrNull()
-                if (next == null || next == worker.target) return tryNext(worker)
-                worker.target = next
+                if (next == null || next == worker.targetNodeIndex) return tryNext(worker)
+                worker.targetNodeIndex = next
                 worker.nextHeartbeatAt = clock.time.now + random.nextLong(0, REDIRECT_MS)
             }
             else -> tryNext(worker)
         }
     }
 
-    private fun tryNext(worker: StandInWorker) {
-        worker.target = (worker.target + 1) % SoakSite.NODES
+    private fun tryNext(worker: SimulatedWorker) {
+        worker.targetNodeIndex = (worker.targetNodeIndex + 1) % SoakSite.NODES
         worker.nextHeartbeatAt = clock.time.now + RETRY_MS
     }
 
     private fun noteStarts(tasks: List<String>) {
-        for (task in tasks) TaskId.parse(task)?.let { run.rules.startCommanded(it.job, clock.time.now) }
+        for (task in tasks) TaskId.parse(task)?.let { run.rules.checkStartCommand(it.job, clock.time.now) }
     }
 
     private fun copyLate(heartbeat: Heartbeat) {
         val target = random.nextInt(SoakSite.NODES)
-        clock.time.later(random.nextLong(1000, 2 * SoakSite.LEASE_MS)) { submit { post(target, heartbeat) } }
+        clock.time.schedule(random.nextLong(1000, 2 * SoakSite.LEASE_MS)) { submit { post(target, heartbeat) } }
     }
 
     /** A direct command: lost, held up, or carried out at once. */
-    private fun command(worker: StandInWorker, request: StandInRequest): StandInAnswer? {
+    private fun command(worker: SimulatedWorker, request: StandInRequest): StandInAnswer? {
         // So may one that ends in the middle of a command.
         if (request.body.isEmpty()) return StandInAnswer(400, "{}")
         val message = WireJson.decodeFromString<CommandRequest>(request.body)
         return clock.locked {
-            if (!worker.alive || worker.cut || worker.deaf) return@locked null
-            val heldMs = if (worker.hanging) worker.hangUntil - clock.time.now else worker.commandsHeldMs
-            if (worker.hanging || clock.time.now < worker.commandsHeldUntil) {
-                clock.time.later(heldMs) { if (worker.alive) worker.execute(message.token, message.incarnation, message.commands) }
+            if (!worker.isAlive || worker.isPartitioned || worker.isInboundCut) return@locked null
+            val heldMs = if (worker.isHanging) worker.hangUntil - clock.time.now else worker.commandsHeldMs
+            if (worker.isHanging || clock.time.now < worker.commandsHeldUntil) {
+                clock.time.schedule(heldMs) { if (worker.isAlive) worker.execute(message.token, message.incarnation, message.commands) }
                 return@locked null
             }
             noteStarts(message.commands.filter { it.type == CommandType.START }.map { it.task })
--- a/src/test/kotlin/mountmast/standin/DayDigest.kt
+++ b/src/test/kotlin/mountmast/standin/DayDigest.kt
@@ -3,7 +3,7 @@
 import java.security.MessageDigest
 
 /**
- * A SHA-256 hash over all events that the simulated cloud, workers, users, network and state service of one [World] report,
+ * A SHA-256 hash over all events that the simulated cloud, workers, users, network and state service of one [SimulatedCluster] report,
  * each with its virtual time. In two simulation runs with the same digest the controllers had the same external behaviour.
  *
  * Events are reported through [VirtualTime.record], in wire form: JSON, keys and numbers. They contain no names of classes or
--- a/src/test/kotlin/mountmast/standin/FallingLimits.kt
+++ b/src/test/kotlin/mountmast/standin/FallingLimits.kt
@@ -18,21 +18,22 @@
     val enforcesRates: Boolean = false,
 ) {
     /** The limits that a node keeps to if its version has no setting for future limits. */
-    val present: StateLimits get() = initial
+    val withoutAnnounced: StateLimits get() = initial
 
     /** The limits that the nodes keep to: the lower of the present and the announced ones. */
-    val known: StateLimits = if (isAnnounced) initial.lowerOf(next) else initial
+    val configured: StateLimits = if (isAnnounced) initial.lowerOf(next) else initial
 
     /** The limits that the state service enforces at the present virtual time. */
-    fun now(time: VirtualTime): StateLimits = if (time.now < fallsAtMs) initial else next
+    fun enforcedAt(time: VirtualTime): StateLimits = if (time.now < fallsAtMs) initial else next
 }
 
 /** A rate limiter of the state service; a burst may take the tokens of one second. */
-class ServiceRate(private val time: VirtualTime) {
+class ServiceRateLimiter(private val time: VirtualTime) {
     private var tokens = Double.MAX_VALUE
     private var refilledAt = 0L
 
-    fun allows(count: Int, perSecond: Double): Boolean {
+    /** Takes [count] tokens, refilled at [perSecond]. Returns whether there were enough. */
+    fun tryAcquire(count: Int, perSecond: Double): Boolean {
         tokens = minOf(perSecond, tokens + (time.now - refilledAt) / MS_PER_S * perSecond)
         refilledAt = time.now
         // A refused request also takes tokens, down to zero.
--- a/src/test/kotlin/mountmast/standin/FaultInjector.kt
+++ b/src/test/kotlin/mountmast/standin/FaultInjector.kt
@@ -2,18 +2,18 @@
 
 import mountmast.protocol.FencingToken
 
-/** Injects random faults into a [World]; all draws come from the seed of its simulation run. */
-class FaultInjector(private val world: World) {
-    private val time get() = world.time
-    private val random get() = world.random
-    private val hosts get() = world.hosts
-    private val aliveWorkers get() = world.cloud.workers.filter { it.alive }
+/** Injects random faults into a [SimulatedCluster]; all draws come from the seed of its simulation run. */
+class FaultInjector(private val cluster: SimulatedCluster) {
+    private val time get() = cluster.time
+    private val random get() = cluster.random
+    private val hosts get() = cluster.hosts
+    private val aliveWorkers get() = cluster.cloud.workers.filter { it.isAlive }
 
     /** The node, duration and worker that a fault may affect. They are drawn before the kind, so that each kind takes these same draws. */
-    private class FaultTarget(val host: ControllerHost, val ms: Long, val worker: StandInWorker?)
+    private class FaultTarget(val host: ControllerHost, val ms: Long, val worker: SimulatedWorker?)
 
     /** Injects one random fault. */
-    fun draw() {
+    fun injectRandomFault() {
         val target = FaultTarget(hosts.random(random), random.nextLong(1000, MAX_FAULT_MS), aliveWorkers.randomOrNull(random))
         val kind = random.nextInt(FAULT_KINDS)
         injectProcessFault(kind, target) ||
@@ -27,21 +27,21 @@
         val host = target.host
         when (kind) {
             0 -> host.crash(if (random.nextBoolean()) 100L else 4000L)
-            1 -> host.faults.dieAtNextCall = true
+            1 -> host.faults.killAtNextRequest = true
             2 -> hosts.forEach { it.crash(random.nextLong(50, 4000)) }
             6 -> host.faults.stalledUntil = time.now + target.ms / 2
             17 -> {
-                // Two crashes in a row, of one node or of all nodes, each with a restart within 400 ms.
+                // Two crashes in a row, of one node or of all nodes, each followed by a restart within 400 ms.
                 val all = if (random.nextBoolean()) hosts else listOf(host)
                 all.forEach { it.crash(random.nextLong(20, 400)) }
-                time.later(random.nextLong(300, 2500)) { all.forEach { it.crash(random.nextLong(20, 400)) } }
+                time.schedule(random.nextLong(300, 2500)) { all.forEach { it.crash(random.nextLong(20, 400)) } }
             }
             // Pauses a process in the middle of a step, for up to three leases; it then goes on with the same step.
             20, 21 -> hosts.shuffled(random).take(random.nextInt(1, 3)).forEach {
-                it.faults.pauseAtNextCallMs = random.nextLong(500, 3 * World.LEASE_MS)
+                it.faults.pauseAtNextRequestMs = random.nextLong(500, 3 * SimulatedCluster.LEASE_MS)
             }
-            31 -> repeat(10) { time.later(it * 5000L) { leader()?.crash(random.nextLong(20, 3000)) } }
-            33 -> hosts.forEach { it.crash(random.nextLong(World.LEASE_MS, 3 * World.LEASE_MS)) }
+            31 -> repeat(10) { time.schedule(it * 5000L) { leader()?.crash(random.nextLong(20, 3000)) } }
+            33 -> hosts.forEach { it.crash(random.nextLong(SimulatedCluster.LEASE_MS, 3 * SimulatedCluster.LEASE_MS)) }
             else -> return false
         }
         return true
@@ -54,20 +54,20 @@
             3 -> faults.storeCutUntil = until
             4 -> faults.storeRefusedUntil = until
             5 -> faults.workersCutUntil = until
-            7 -> world.store.outage(target.ms)
-            8 -> world.cloud.outage(target.ms)
+            7 -> cluster.store.startOutage(target.ms)
+            8 -> cluster.cloud.startOutage(target.ms)
             15 -> {
                 // The node loses the state service and the other controllers, but not its workers.
                 faults.storeCutUntil = until
                 faults.peersCutUntil = until
             }
             16 -> faults.peersCutUntil = until
-            19 -> faults.sendsNothingUntil = until
-            25 -> world.cutOff(world.zones.random(random), target.ms)
+            19 -> faults.sendsBlockedUntil = until
+            25 -> cluster.partitionZone(cluster.zones.random(random), target.ms)
             26 -> faults.lateWritesUntil = until
-            32 -> world.store.outage(random.nextLong(World.CANCEL_MS, 2 * World.CANCEL_MS))
+            32 -> cluster.store.startOutage(random.nextLong(SimulatedCluster.CANCEL_MS, 2 * SimulatedCluster.CANCEL_MS))
             34 -> leader()?.faults?.let { leaderFaults ->
-                leaderFaults.watchesNothingUntil = until
+                leaderFaults.watchesBlockedUntil = until
                 leaderFaults.peersCutUntil = until
             }
             else -> return false
@@ -78,14 +78,14 @@
     private fun injectWorkerFault(kind: Int, target: FaultTarget): Boolean {
         val worker = target.worker
         when (kind) {
-            9 -> worker?.cutUntil = time.now + target.ms
+            9 -> worker?.partitionedUntil = time.now + target.ms
             10 -> worker?.hangUntil = time.now + target.ms / 3
             11 -> worker?.let { reclaimed ->
                 reclaimed.noticeEndsAt = time.now + 3000
-                time.later(random.nextLong(0, 3000)) { world.cloud.take(reclaimed.id) }
+                time.schedule(random.nextLong(0, 3000)) { cluster.cloud.terminateMachine(reclaimed.id) }
             }
-            12 -> worker?.slowTimes = 6
-            13 -> worker?.deafUntil = time.now + target.ms
+            12 -> worker?.slowdownFactor = 6
+            13 -> worker?.inboundCutUntil = time.now + target.ms
             18 -> worker?.reboot()
             else -> return false
         }
@@ -95,11 +95,11 @@
     private fun injectFleetFault(kind: Int, target: FaultTarget): Boolean {
         val ms = target.ms
         when (kind) {
-            14 -> aliveWorkers.forEach { if (random.nextBoolean()) it.deafUntil = time.now + ms / 2 }
+            14 -> aliveWorkers.forEach { if (random.nextBoolean()) it.inboundCutUntil = time.now + ms / 2 }
             22 -> forThirdOfWorkers { it.hangUntil = time.now + ms / 2 }
-            23 -> forThirdOfWorkers { it.cutUntil = time.now + ms }
-            24 -> forThirdOfWorkers { if (random.nextBoolean()) world.cloud.take(it.id) else it.reboot() }
-            27 -> forThirdOfWorkers { it.muteUntil = time.now + ms }
+            23 -> forThirdOfWorkers { it.partitionedUntil = time.now + ms }
+            24 -> forThirdOfWorkers { if (random.nextBoolean()) cluster.cloud.terminateMachine(it.id) else it.reboot() }
+            27 -> forThirdOfWorkers { it.outboundCutUntil = time.now + ms }
             else -> return false
         }
         return true
@@ -107,9 +107,9 @@
 
     private fun injectUserLoad(kind: Int, ms: Long): Boolean {
         when (kind) {
-            28 -> refusedThenOut(random.nextLong(1000, 4000), random.nextLong(5000, 2 * World.CANCEL_MS))
-            29 -> world.cancelsAtEnd(ms)
-            30 -> repeat(10) { world.submitOdd() }
+            28 -> injectLeaderRefusalThenOutage(random.nextLong(1000, 4000), random.nextLong(5000, 2 * SimulatedCluster.CANCEL_MS))
+            29 -> cluster.cancelOnTaskCompletion(ms)
+            30 -> repeat(10) { cluster.submitInvalidJob() }
             else -> return false
         }
         return true
@@ -123,13 +123,13 @@
      * The state service refuses requests of the leader only, while users cancel jobs, which other nodes can record; after
      * [afterMs] it has an outage of [outMs] for all nodes.
      */
-    fun refusedThenOut(afterMs: Long, outMs: Long) {
+    fun injectLeaderRefusalThenOutage(afterMs: Long, outMs: Long) {
         leader()?.faults?.storeRefusedUntil = time.now + afterMs + outMs
-        world.users.cancelSomeWithin(afterMs)
-        time.later(afterMs) { world.store.outage(outMs) }
+        cluster.users.cancelSomeWithin(afterMs)
+        time.schedule(afterMs) { cluster.store.startOutage(outMs) }
     }
 
-    private fun forThirdOfWorkers(inject: (StandInWorker) -> Unit) = aliveWorkers.filter { random.nextInt(3) == 0 }.forEach(inject)
+    private fun forThirdOfWorkers(inject: (SimulatedWorker) -> Unit) = aliveWorkers.filter { random.nextInt(3) == 0 }.forEach(inject)
 
     private companion object {
         const val FAULT_KINDS = 35
--- a/src/test/kotlin/mountmast/standin/NodeVersion.kt
+++ b/src/test/kotlin/mountmast/standin/NodeVersion.kt
@@ -20,7 +20,7 @@
     PRODUCTION {
         override fun store(store: StateStore) = ProductionStore(store)
 
-        override fun limits(limits: FallingLimits) = limits.present
+        override fun limits(limits: FallingLimits) = limits.withoutAnnounced
 
         override fun peerHeartbeat(peerHeartbeat: PeerHeartbeat): PeerHeartbeat =
             ProtoBuf.decodeFromByteArray(ProductionForms.passHello(ProtoBuf.encodeToByteArray(peerHeartbeat)))
@@ -44,7 +44,7 @@
     open fun store(store: StateStore): StateStore = store
 
     /** Returns the limits of the state service that a process of this version keeps to. */
-    open fun limits(limits: FallingLimits): StateLimits = limits.known
+    open fun limits(limits: FallingLimits): StateLimits = limits.configured
 
     /** Returns [peerHeartbeat] as a process of this version sends or reads it; fields that the version lacks are dropped. */
     open fun peerHeartbeat(peerHeartbeat: PeerHeartbeat): PeerHeartbeat = peerHeartbeat
--- a/src/test/kotlin/mountmast/standin/RulesTest.kt
+++ b/src/test/kotlin/mountmast/standin/RulesTest.kt
@@ -12,135 +12,135 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Checks that each rule of [Rules] is reported as broken by events that violate it. */
+/** Checks that [InvariantChecker] reports a violation of each of its rules. */
 class RulesTest {
-    private val world = World(1)
-    private val spec = world.job(1) {
+    private val cluster = SimulatedCluster(1)
+    private val spec = cluster.job(1) {
         it.copy(
             team = TeamId("red"), shape = Shape.ARRAY, tasks = 6, cpus = 20.0, types = listOf(TypeId("l")), zone = null,
             singleZone = false, spreadAcrossZones = false, spotAllowed = false,
         )
     }
-    private val rules = Rules(world.teams, 1000).apply { submitting(spec) }
-    private val validPlace = Place(MachineId("vm-1"), TypeId("l"), Zone("a"), spot = false)
+    private val invariants = InvariantChecker(cluster.teams, 1000).apply { recordSubmission(spec) }
+    private val validPlace = TaskPlacement(MachineId("vm-1"), TypeId("l"), Zone("a"), spot = false)
 
-    private fun assertBroken(rule: String, act: () -> Unit) {
-        val broken = assertThrows(RuleBroken::class.java, act)
-        assertTrue(broken.message!!.startsWith(rule), broken.message)
+    private fun assertViolated(rule: String, event: () -> Unit) {
+        val violation = assertThrows(InvariantViolation::class.java, event)
+        assertTrue(violation.message!!.startsWith(rule), violation.message)
     }
 
     @Test
     fun `a task on two machines`() {
-        rules.taskStarts(TaskId(spec.id, 0), validPlace, 0)
-        assertBroken("ran_twice") { rules.taskStarts(TaskId(spec.id, 0), validPlace.copy(machine = MachineId("vm-2")), 0) }
+        invariants.checkTaskStart(TaskId(spec.id, 0), validPlace, 0)
+        assertViolated("ran_twice") { invariants.checkTaskStart(TaskId(spec.id, 0), validPlace.copy(machine = MachineId("vm-2")), 0) }
     }
 
     @Test
-    fun `more than the limit`() {
-        repeat(2) { rules.taskStarts(TaskId(spec.id, it), validPlace, 0) }
-        assertBroken("quota") { rules.taskStarts(TaskId(spec.id, 2), validPlace, 0) }
+    fun `more resources than the quota of the team`() {
+        repeat(2) { invariants.checkTaskStart(TaskId(spec.id, it), validPlace, 0) }
+        assertViolated("quota") { invariants.checkTaskStart(TaskId(spec.id, 2), validPlace, 0) }
     }
 
     @Test
-    fun `the wrong type, kind or zone`() {
-        assertBroken("wrong_place") { rules.taskStarts(TaskId(spec.id, 0), validPlace.copy(type = TypeId("s")), 0) }
-        assertBroken("wrong_place") { rules.taskStarts(TaskId(spec.id, 0), validPlace.copy(spot = true), 0) }
-        val together = spec.copy(singleZone = true, cpus = 1.0).also(rules::submitting)
-        rules.taskStarts(TaskId(together.id, 0), validPlace, 0)
-        assertBroken("wrong_place") { rules.taskStarts(TaskId(together.id, 1), validPlace.copy(zone = Zone("b")), 0) }
+    fun `a machine of the wrong type or zone, or a spot machine`() {
+        assertViolated("wrong_place") { invariants.checkTaskStart(TaskId(spec.id, 0), validPlace.copy(type = TypeId("s")), 0) }
+        assertViolated("wrong_place") { invariants.checkTaskStart(TaskId(spec.id, 0), validPlace.copy(spot = true), 0) }
+        val singleZoneJob = spec.copy(singleZone = true, cpus = 1.0).also(invariants::recordSubmission)
+        invariants.checkTaskStart(TaskId(singleZoneJob.id, 0), validPlace, 0)
+        assertViolated("wrong_place") { invariants.checkTaskStart(TaskId(singleZoneJob.id, 1), validPlace.copy(zone = Zone("b")), 0) }
     }
 
     @Test
-    fun `too many in one zone`() {
-        val spreadAcrossZones = spec.copy(spreadAcrossZones = true, cpus = 1.0).also(rules::submitting)
-        repeat(3) { rules.taskStarts(TaskId(spreadAcrossZones.id, it), validPlace, 0) }
-        assertBroken("wrong_place") { rules.taskStarts(TaskId(spreadAcrossZones.id, 3), validPlace, 0) }
+    fun `too many tasks of a job in one zone`() {
+        val spreadJob = spec.copy(spreadAcrossZones = true, cpus = 1.0).also(invariants::recordSubmission)
+        repeat(3) { invariants.checkTaskStart(TaskId(spreadJob.id, it), validPlace, 0) }
+        assertViolated("wrong_place") { invariants.checkTaskStart(TaskId(spreadJob.id, 3), validPlace, 0) }
     }
 
     @Test
     fun `a start commanded after its job's cancellation was confirmed`() {
-        rules.cancelling(spec.id)
-        rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0)
-        rules.startCommanded(spec.id, 2000)
-        assertBroken("started_cancelled") { rules.startCommanded(spec.id, 4000) }
+        invariants.recordCancellation(spec.id)
+        invariants.checkStatusAnswer(spec.id, 200, JobStatus.CANCELLED, 0)
+        invariants.checkStartCommand(spec.id, 2000)
+        assertViolated("started_cancelled") { invariants.checkStartCommand(spec.id, 4000) }
     }
 
     @Test
     fun `a job accepted although it lacks a field`() {
-        rules.oddAnswered("no owner", 400)
-        assertBroken("accepted_odd") { rules.oddAnswered("no owner", 201) }
+        invariants.checkInvalidSubmissionAnswer("no owner", 400)
+        assertViolated("accepted_odd") { invariants.checkInvalidSubmissionAnswer("no owner", 201) }
     }
 
     @Test
-    fun `a job left waiting beside room`() {
-        rules.waitsBesideRoom(spec.id, true, 0)
-        rules.waitsBesideRoom(spec.id, true, 200_000)
-        rules.quietSince = 200_000
-        rules.waitsBesideRoom(spec.id, true, 200_000)
-        rules.waitsBesideRoom(spec.id, true, 285_000)
-        rules.waitsBesideRoom(spec.id, false, 286_000)
-        rules.waitsBesideRoom(spec.id, true, 287_000)
-        rules.waitsBesideRoom(spec.id, true, 375_000)
-        assertBroken("left_waiting") { rules.waitsBesideRoom(spec.id, true, 378_000) }
+    fun `a job that keeps waiting despite free capacity`() {
+        invariants.checkStarvation(spec.id, true, 0)
+        invariants.checkStarvation(spec.id, true, 200_000)
+        invariants.faultFreeSince = 200_000
+        invariants.checkStarvation(spec.id, true, 200_000)
+        invariants.checkStarvation(spec.id, true, 285_000)
+        invariants.checkStarvation(spec.id, false, 286_000)
+        invariants.checkStarvation(spec.id, true, 287_000)
+        invariants.checkStarvation(spec.id, true, 375_000)
+        assertViolated("left_waiting") { invariants.checkStarvation(spec.id, true, 378_000) }
     }
 
     @Test
-    fun `a task of a cancelled job`() {
-        rules.taskStarts(TaskId(spec.id, 0), validPlace, 0)
-        rules.cancelling(spec.id)
-        rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0)
-        rules.check(1000)
-        assertBroken("ran_cancelled") { rules.check(1001) }
+    fun `a task that still runs after its job was cancelled`() {
+        invariants.checkTaskStart(TaskId(spec.id, 0), validPlace, 0)
+        invariants.recordCancellation(spec.id)
+        invariants.checkStatusAnswer(spec.id, 200, JobStatus.CANCELLED, 0)
+        invariants.checkCancelledJobs(1000)
+        assertViolated("ran_cancelled") { invariants.checkCancelledJobs(1001) }
     }
 
     @Test
-    fun `what users are told`() {
-        assertBroken("invented") { rules.statusAnswered(world.job(2).id, 200, JobStatus.PENDING, 0) }
-        assertBroken("not_done") { rules.statusAnswered(spec.id, 200, JobStatus.DONE, 0) }
-        assertBroken("went_back") { rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0) }
-        rules.cancelling(spec.id)
-        rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0)
-        assertBroken("went_back") { rules.statusAnswered(spec.id, 200, JobStatus.RUNNING, 0) }
-        assertBroken("forgotten") { rules.statusAnswered(spec.id, 404, null, 0) }
-        assertBroken("forgotten") { rules.submissionAnswered(spec.id, 422) }
+    fun `wrong or contradictory answers to users`() {
+        assertViolated("invented") { invariants.checkStatusAnswer(cluster.job(2).id, 200, JobStatus.PENDING, 0) }
+        assertViolated("not_done") { invariants.checkStatusAnswer(spec.id, 200, JobStatus.DONE, 0) }
+        assertViolated("went_back") { invariants.checkStatusAnswer(spec.id, 200, JobStatus.CANCELLED, 0) }
+        invariants.recordCancellation(spec.id)
+        invariants.checkStatusAnswer(spec.id, 200, JobStatus.CANCELLED, 0)
+        assertViolated("went_back") { invariants.checkStatusAnswer(spec.id, 200, JobStatus.RUNNING, 0) }
+        assertViolated("forgotten") { invariants.checkStatusAnswer(spec.id, 404, null, 0) }
+        assertViolated("forgotten") { invariants.checkSubmissionAnswer(spec.id, 422) }
     }
 
     @Test
-    fun `a job that nobody answers for once all troubles are over`() {
-        rules.submissionAnswered(spec.id, 201)
-        rules.asked(spec.id, answered = false, now = 10_000)
-        rules.asked(spec.id, answered = false, now = 100_000)
-        rules.quietSince = 50_000
-        rules.asked(spec.id, answered = false, now = 125_000)
-        assertBroken("forgotten") { rules.asked(spec.id, answered = false, now = 125_001) }
-        rules.asked(spec.id, answered = true, now = 126_000)
-        rules.asked(spec.id, answered = false, now = 300_000)
+    fun `a job whose status requests go unanswered once all faults have ended`() {
+        invariants.checkSubmissionAnswer(spec.id, 201)
+        invariants.recordStatusRequest(spec.id, answered = false, now = 10_000)
+        invariants.recordStatusRequest(spec.id, answered = false, now = 100_000)
+        invariants.faultFreeSince = 50_000
+        invariants.recordStatusRequest(spec.id, answered = false, now = 125_000)
+        assertViolated("forgotten") { invariants.recordStatusRequest(spec.id, answered = false, now = 125_001) }
+        invariants.recordStatusRequest(spec.id, answered = true, now = 126_000)
+        invariants.recordStatusRequest(spec.id, answered = false, now = 300_000)
     }
 
     @Test
-    fun `a task that starts before a job that its job needs is done`() {
-        val dependent = spec.copy(id = JobId("j-2"), cpus = 1.0, prerequisites = listOf(spec.id)).also(rules::submitting)
-        repeat(spec.tasks - 1) { rules.taskGone(TaskId(spec.id, it), validPlace.machine, done = true) }
-        assertBroken("too_early") { rules.taskStarts(TaskId(dependent.id, 0), validPlace, 0) }
-        rules.taskGone(TaskId(spec.id, spec.tasks - 1), validPlace.machine, done = true)
-        rules.taskStarts(TaskId(dependent.id, 0), validPlace, 0)
+    fun `a task that starts before a prerequisite of its job is done`() {
+        val dependent = spec.copy(id = JobId("j-2"), cpus = 1.0, prerequisites = listOf(spec.id)).also(invariants::recordSubmission)
+        repeat(spec.tasks - 1) { invariants.recordTaskEnd(TaskId(spec.id, it), validPlace.machine, done = true) }
+        assertViolated("too_early") { invariants.checkTaskStart(TaskId(dependent.id, 0), validPlace, 0) }
+        invariants.recordTaskEnd(TaskId(spec.id, spec.tasks - 1), validPlace.machine, done = true)
+        invariants.checkTaskStart(TaskId(dependent.id, 0), validPlace, 0)
     }
 
     @Test
-    fun `a job that is called queued long after a job before it was called cancelled`() {
-        val second = spec.copy(id = JobId("j-2"), prerequisites = listOf(spec.id)).also(rules::submitting)
-        val third = spec.copy(id = JobId("j-3"), prerequisites = listOf(second.id)).also(rules::submitting)
-        rules.cancelling(spec.id)
-        rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0)
-        rules.statusAnswered(third.id, 200, JobStatus.PENDING, 1000)
-        assertBroken("orphaned") { rules.statusAnswered(third.id, 200, JobStatus.PENDING, 1001) }
-        rules.statusAnswered(third.id, 200, JobStatus.CANCELLED, 1001)
+    fun `a job reported as pending long after a prerequisite was reported as cancelled`() {
+        val second = spec.copy(id = JobId("j-2"), prerequisites = listOf(spec.id)).also(invariants::recordSubmission)
+        val third = spec.copy(id = JobId("j-3"), prerequisites = listOf(second.id)).also(invariants::recordSubmission)
+        invariants.recordCancellation(spec.id)
+        invariants.checkStatusAnswer(spec.id, 200, JobStatus.CANCELLED, 0)
+        invariants.checkStatusAnswer(third.id, 200, JobStatus.PENDING, 1000)
+        assertViolated("orphaned") { invariants.checkStatusAnswer(third.id, 200, JobStatus.PENDING, 1001) }
+        invariants.checkStatusAnswer(third.id, 200, JobStatus.CANCELLED, 1001)
     }
 
     @Test
-    fun `a job called cancelled though neither it nor a job before it was`() {
-        val second = spec.copy(id = JobId("j-2"), prerequisites = listOf(spec.id)).also(rules::submitting)
-        rules.cancelling(second.id)
-        assertBroken("went_back") { rules.statusAnswered(spec.id, 200, JobStatus.CANCELLED, 0) }
+    fun `a job reported as cancelled although neither it nor a prerequisite was`() {
+        val second = spec.copy(id = JobId("j-2"), prerequisites = listOf(spec.id)).also(invariants::recordSubmission)
+        invariants.recordCancellation(second.id)
+        assertViolated("went_back") { invariants.checkStatusAnswer(spec.id, 200, JobStatus.CANCELLED, 0) }
     }
 }
--- a/src/test/kotlin/mountmast/standin/StandInCloud.kt
+++ b/src/test/kotlin/mountmast/standin/SimulatedCloud.kt
@@ -17,21 +17,21 @@
 /**
  * The simulated cloud: rents, boots, lists and terminates machines in virtual time.
  *
- * @param perOffer how many machines the cloud has of each machine type in each zone, for spot and on-demand machines each
+ * @param machinesPerOffering how many machines the cloud has of each machine type in each zone, for spot and on-demand machines each
  * @param newWorker creates the worker of a machine that has booted
  */
-class StandInCloud(
+class SimulatedCloud(
     private val time: VirtualTime,
     private val random: Random,
     private val types: List<MachineType>,
-    private val perOffer: Int,
-    private val newWorker: (MachineId, RentalRequest) -> StandInWorker,
+    private val machinesPerOffering: Int,
+    private val newWorker: (MachineId, RentalRequest) -> SimulatedWorker,
 ) {
-    private class Rented(val request: RentalRequest, val at: Long, val bootedAt: Long) {
-        var worker: StandInWorker? = null
+    private class RentedMachine(val request: RentalRequest, val rentedAt: Long, val bootedAt: Long) {
+        var worker: SimulatedWorker? = null
     }
 
-    private val machines = LinkedHashMap<MachineId, Rented>()
+    private val machines = LinkedHashMap<MachineId, RentedMachine>()
     private val rentedByRequest = HashMap<RentalRequestId, List<MachineId>>()
     private var recordedLists = ArrayDeque<Pair<Long, List<ListedMachine>>>()
     private var outageUntil = 0L
@@ -41,13 +41,13 @@
     var neverBoots: (RentalRequest) -> Boolean = { false }
 
     /** Number of machines rented since the start. */
-    val rented get() = machinesRented
+    val rentedCount get() = machinesRented
 
     /** The workers of all machines that have booted and were not terminated. */
-    val workers: List<StandInWorker> get() = machines.values.mapNotNull { it.worker }
+    val workers: List<SimulatedWorker> get() = machines.values.mapNotNull { it.worker }
 
     /** Lets all requests to the cloud fail for [forMs]. */
-    fun outage(forMs: Long) {
+    fun startOutage(forMs: Long) {
         outageUntil = time.now + forMs
     }
 
@@ -60,15 +60,15 @@
         if (machines.size > LARGE_FLEET_MACHINES && time.now - (recordedLists.lastOrNull()?.first ?: 0) < LIST_INTERVAL_MS) return
         recordedLists += time.now to machines.map { (id, it) ->
             val state = if (it.worker == null) ListedState.BOOTING else ListedState.RUNNING
-            ListedMachine(id, "$id:9000", it.request.type, it.request.zone, it.request.spot, state, (time.now - it.at) / 1000.0)
+            ListedMachine(id, "$id:9000", it.request.type, it.request.zone, it.request.spot, state, (time.now - it.rentedAt) / 1000.0)
         }
         while (recordedLists.size > 200) recordedLists.removeFirst()
     }
 
     /** Terminates a machine, on request or because the cloud reclaims it. */
-    fun take(id: MachineId) {
+    fun terminateMachine(id: MachineId) {
         time.record { "cloud takes ${id.text}" }
-        machines.remove(id)?.worker?.die()
+        machines.remove(id)?.worker?.terminate()
     }
 
     private fun allocate(request: RentalRequest): RentalOutcome {
@@ -78,12 +78,12 @@
                 it.request.zone == request.zone &&
                 it.request.spot == request.spot
         }
-        val count = minOf(request.count, perOffer - used)
+        val count = minOf(request.count, machinesPerOffering - used)
         if (count <= 0) return RentalOutcome.NoCapacity
         val ids = List(count) { MachineId("vm-" + (machinesRented++).toString().padStart(6, '0')) }
         for (id in ids) {
             val bootMs = if (random.nextInt(20) == 0 || neverBoots(request)) Long.MAX_VALUE / 2 else random.nextLong(500, 12_000)
-            machines[id] = Rented(request, time.now, time.now + bootMs)
+            machines[id] = RentedMachine(request, time.now, time.now + bootMs)
         }
         rentedByRequest[request.id] = ids
         return RentalOutcome.Rented(ids)
@@ -95,7 +95,7 @@
     }
 
     /** The connection of one controller process to the cloud, with the injected [faults] of that process. */
-    inner class View(private val faults: ProcessFaults) : Cloud {
+    inner class Connection(private val faults: ProcessFaults) : Cloud {
         private fun <T> call(requestText: () -> String, responseText: (T) -> String, request: () -> T): T {
             time.record { "cloud ${faults.number} ${requestText()}" }
             try {
@@ -110,7 +110,7 @@
             faults.interruptIfDue(random)
             if (time.now < outageUntil) throw CloudException("outage", mayBeCarriedOut = false)
             if (random.nextDouble() < faults.lossRate) {
-                if (random.nextBoolean()) request() else time.later(random.nextLong(100, 15_000)) { request() }
+                if (random.nextBoolean()) request() else time.schedule(random.nextLong(100, 15_000)) { request() }
                 throw CloudException("answer lost", mayBeCarriedOut = true)
             }
             faults.repeatLaterIfDue(random) { request() }
@@ -120,7 +120,7 @@
         override fun machineTypes() = call({ "types" }, { WireJson.encodeToString(it) }) { types }
         override fun rent(request: RentalRequest) = call({ "rent ${WireJson.encodeToString(request)}" }, ::traceText) { allocate(request) }
         override fun delete(machines: List<MachineId>) =
-            call({ "delete ${machines.joinToString { it.text }}" }, { "" }) { machines.forEach(::take) }
+            call({ "delete ${machines.joinToString { it.text }}" }, { "" }) { machines.forEach(::terminateMachine) }
         override fun list(after: MachineId?): MachinePage = call({ "list ${after?.text}" }, { WireJson.encodeToString(it) }) {
             val old = recordedLists.lastOrNull { it.first <= time.now - random.nextLong(1000, 6000) }?.second.orEmpty()
             val rest = old.filter { after == null || it.id > after }
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/SimulatedCluster.kt
@@ -15,18 +15,18 @@
 
 /**
  * A simulated cluster in virtual time: three controllers with simulated workers, users, network, cloud and state service. All
- * random draws come from [seed]. The rules are checked after each step.
+ * random draws come from [seed]. [InvariantChecker] checks the rules of PROTOCOL in each run.
  *
- * @param quietNetwork whether the network neither loses, delays nor repeats messages
- * @param perOffer how many machines the cloud has of each machine type in each zone, for spot and on-demand machines each
+ * @param isNetworkReliable whether the network neither loses, delays nor repeats messages, unless a fault is injected
+ * @param machinesPerOffering how many machines the cloud has of each machine type in each zone, for spot and on-demand machines each
  */
-class World(
+class SimulatedCluster(
     val seed: Long,
-    val quietNetwork: Boolean = false,
-    perOffer: Int = 4,
+    val isNetworkReliable: Boolean = false,
+    machinesPerOffering: Int = 4,
     val limits: FallingLimits = FallingLimits(),
     /** Whether the nodes learn that all of them read the current data formats. */
-    val agreesOnForms: Boolean = true,
+    val negotiatesFormats: Boolean = true,
     /** The version that all nodes run at first. */
     version: NodeVersion = NodeVersion.CURRENT,
 ) {
@@ -42,26 +42,26 @@
         MachineType(TypeId("s"), 4.0, 0.0, 16.0, 20.0, 1.0, 0.3, 0.1, 4.0, zones),
         MachineType(TypeId("l"), 16.0, 0.0, 64.0, 40.0, 0.5, 1.2, 0.38, 5.0, zones),
     )
-    val rules = Rules(teams, CANCEL_MS)
-    val users = Users(this)
+    val invariants = InvariantChecker(teams, CANCEL_MS)
+    val users = SimulatedUsers(this)
     val jobs: Map<JobId, JobSpec> get() = users.jobs
 
     /** Jobs whose tasks fail on every machine. */
-    val poisoned = HashSet<JobId>()
-    val store = StandInStore(time, limits = limits)
-    val cloud = StandInCloud(time, random, types, perOffer) { id, request ->
-        StandInWorker(
-            id, types.first { it.id == request.type }, request.zone, request.spot, time, rules, LEASE_MS, jobs::get,
-            poisoned::contains, users::taskDone,
+    val failingJobs = HashSet<JobId>()
+    val store = SimulatedStateStore(time, limits = limits)
+    val cloud = SimulatedCloud(time, random, types, machinesPerOffering) { id, request ->
+        SimulatedWorker(
+            id, types.first { it.id == request.type }, request.zone, request.spot, time, invariants, LEASE_MS, jobs::get,
+            failingJobs::contains, users::onTaskCompleted,
         )
     }
-    val network = Network(this)
+    val network = SimulatedNetwork(this)
     val faultInjector = FaultInjector(this)
     val hosts = List(NODES) { ControllerHost(this, it, version) }
-    private val waitingCheck = WaitingCheck(this)
+    private val starvationCheck = StarvationCheck(this)
 
     /** Whether users submit jobs with prerequisites; they do not while a node runs the production release, which lacks them. */
-    val usesPipelines: Boolean get() = hosts.all { it.version == NodeVersion.CURRENT }
+    val usesPrerequisites: Boolean get() = hosts.all { it.version == NodeVersion.CURRENT }
 
     /** Runs the simulation for [ms] milliseconds, in steps of 20 to 90 ms; if [busy], users submit and cancel jobs. */
     fun run(ms: Long, busy: Boolean) {
@@ -75,9 +75,9 @@
             }
             hosts.shuffled(random).forEach { it.step() }
             users.step(busy)
-            rules.check(time.now)
-            hosts.firstOrNull { it.violations > 0 }?.let { throw RuleBroken("invariant violated by ${it.name}, seed $seed") }
-            waitingCheck.step()
+            invariants.checkCancelledJobs(time.now)
+            hosts.firstOrNull { it.violations > 0 }?.let { throw InvariantViolation("invariant violated by ${it.name}, seed $seed") }
+            starvationCheck.step()
         }
     }
 
@@ -115,21 +115,21 @@
 
     fun poll(id: JobId, at: ControllerHost? = null): JobStatus? = users.poll(id, at)
 
-    fun submitOdd() = users.submitOdd()
+    fun submitInvalidJob() = users.submitInvalidJob()
 
     fun cancelServices() = users.cancelServices()
 
-    fun cancelsAtEnd(ms: Long) = users.cancelsAtEnd(ms)
+    fun cancelOnTaskCompletion(ms: Long) = users.cancelOnTaskCompletion(ms)
 
-    fun unfinished(): List<JobId> = users.unfinished()
+    fun unfinishedJobs(): List<JobId> = users.unfinishedJobs()
 
     /** Injects one random fault. */
-    fun fail() = faultInjector.draw()
+    fun injectRandomFault() = faultInjector.injectRandomFault()
 
-    fun cutOff(zone: Zone, ms: Long) = network.cutOff(zone, ms)
+    fun partitionZone(zone: Zone, ms: Long) = network.partitionZone(zone, ms)
 
     /** For [ms], direct commands to [worker] are held up; each is carried out [ms] after it was sent. */
-    fun holdCommands(worker: StandInWorker, ms: Long) {
+    fun holdCommands(worker: SimulatedWorker, ms: Long) {
         worker.commandsHeldMs = ms
         worker.commandsHeldUntil = time.now + ms
     }
--- a/src/test/kotlin/mountmast/standin/Network.kt
+++ b/src/test/kotlin/mountmast/standin/SimulatedNetwork.kt
@@ -21,19 +21,19 @@
 import mountmast.transport.PeerClient
 import mountmast.transport.WorkerClient
 
-/** The simulated network of a [World]: carries heartbeats, commands and the messages between controllers, and injects faults into them. */
+/** The simulated network of a [SimulatedCluster]: delivers heartbeats, commands and peer messages, with injected faults. */
 @OptIn(ExperimentalSerializationApi::class)
-class Network(private val world: World) {
-    private val time get() = world.time
-    private val random get() = world.random
+class SimulatedNetwork(private val cluster: SimulatedCluster) {
+    private val time get() = cluster.time
+    private val random get() = cluster.random
     private var partitionedZone: Zone? = null
     private var partitionedUntil = 0L
 
     /** Whether a heartbeat that does not get through may be held up and arrive late. */
-    var delaysHeartbeats = true
+    var mayDelayHeartbeats = true
 
     /** How long, in milliseconds, a heartbeat waits at its node before it is processed; commands and their answers are not delayed. */
-    var heartbeatsWaitMs = 0L
+    var heartbeatQueueDelayMs = 0L
 
     /** Number of command requests sent to workers. */
     var commandsSent = 0
@@ -43,22 +43,23 @@
     var commandsLost = 0
         private set
 
-    /** Number of command requests held up by [World.holdCommands]. */
-    var heldCommands = 0
+    /** Number of command requests held up by [SimulatedCluster.holdCommands]. */
+    var delayedCommands = 0
         private set
 
-    /** Partitions [zone] from the other zones and the state service for [ms]; connections inside the zone still work. */
-    fun cutOff(zone: Zone, ms: Long) {
+    /** For [ms], partitions [zone] from the other zones and the state service; connections inside the zone still work. */
+    fun partitionZone(zone: Zone, ms: Long) {
         partitionedZone = zone
         partitionedUntil = time.now + ms
-        world.hosts.filter { it.zone == zone }.forEach { it.faults.storeCutUntil = maxOf(it.faults.storeCutUntil, partitionedUntil) }
+        cluster.hosts.filter { it.zone == zone }.forEach { it.faults.storeCutUntil = maxOf(it.faults.storeCutUntil, partitionedUntil) }
     }
 
-    private fun isPartitioned(one: Zone, other: Zone) = time.now < partitionedUntil && (one == partitionedZone) != (other == partitionedZone)
+    private fun isPartitioned(one: Zone, other: Zone) =
+        time.now < partitionedUntil && (one == partitionedZone) != (other == partitionedZone)
 
-    private fun isUnreachable(worker: StandInWorker, faults: ProcessFaults) = worker.cut ||
+    private fun isUnreachable(worker: SimulatedWorker, faults: ProcessFaults) = worker.isPartitioned ||
         faults.isCutFromWorkers() ||
-        world.hosts.any { it.faults === faults && isPartitioned(it.zone, worker.zone) }
+        cluster.hosts.any { it.faults === faults && isPartitioned(it.zone, worker.zone) }
 
     /** Returns a client by which the process with [faults] reaches the workers. */
     fun workersOf(faults: ProcessFaults) = WorkerClient { address, message -> deliver(faults, address, message) }
@@ -81,24 +82,24 @@
         recordStartCommands(message.commands)
         faults.interruptIfDue(random)
         commandsSent++
-        val worker = world.cloud.workers.firstOrNull { it.address == address && it.alive } ?: return CommandOutcome.Unknown
-        if (time.now < worker.calledByNobodyUntil) return CommandOutcome.NotSent
+        val worker = cluster.cloud.workers.firstOrNull { it.address == address && it.isAlive } ?: return CommandOutcome.Unknown
+        if (time.now < worker.directCommandsCutUntil) return CommandOutcome.NotSent
         if (time.now < worker.commandsHeldUntil) {
-            heldCommands++
-            time.later(worker.commandsHeldMs) { if (worker.alive) execute(worker, message) }
+            delayedCommands++
+            time.schedule(worker.commandsHeldMs) { if (worker.isAlive) execute(worker, message) }
             return CommandOutcome.Unknown
         }
         val isLost = isUnreachable(worker, faults) ||
-            worker.deaf ||
-            worker.hanging ||
-            faults.sendsNothing() ||
+            worker.isInboundCut ||
+            worker.isHanging ||
+            faults.areSendsBlocked() ||
             random.nextDouble() < faults.lossRate
         if (isLost) return loseCommand(worker, message)
-        faults.repeatLaterIfDue(random) { if (worker.alive) execute(worker, message) }
+        faults.repeatLaterIfDue(random) { if (worker.isAlive) execute(worker, message) }
         return execute(worker, message).also { faults.interruptIfDue(random) }
     }
 
-    private fun execute(worker: StandInWorker, message: CommandRequest): CommandOutcome {
+    private fun execute(worker: SimulatedWorker, message: CommandRequest): CommandOutcome {
         time.record { "worker ${worker.id.text} gets ${WireJson.encodeToString(message)}" }
         return if (worker.execute(message.token, message.incarnation, message.commands)) {
             CommandOutcome.Executed(worker.heartbeat())
@@ -107,23 +108,25 @@
         }
     }
 
-    private fun loseCommand(worker: StandInWorker, message: CommandRequest): CommandOutcome {
+    private fun loseCommand(worker: SimulatedWorker, message: CommandRequest): CommandOutcome {
         commandsLost++
         if (random.nextInt(4) == 0) return CommandOutcome.NotSent
-        if (random.nextBoolean()) time.later(random.nextLong(100, 60_000)) { if (worker.alive) execute(worker, message) }
+        if (random.nextBoolean()) time.schedule(random.nextLong(100, 60_000)) { if (worker.isAlive) execute(worker, message) }
         return CommandOutcome.Unknown
     }
 
-    /** Reports the start commands among [commands] to the checker of the rules. */
+    /** Reports the start commands among [commands] to the [InvariantChecker]. */
     private fun recordStartCommands(commands: List<WorkerCommand>) {
         for (command in commands) {
-            if (command.type == CommandType.START) TaskId.parse(command.task)?.let { world.rules.startCommanded(it.job, time.now) }
+            if (command.type == CommandType.START) {
+                TaskId.parse(command.task)?.let { cluster.invariants.checkStartCommand(it.job, time.now) }
+            }
         }
     }
 
     /** Returns a client by which the process of [host] with [faults] reaches the other controllers. */
     fun peersOf(host: ControllerHost, faults: ProcessFaults) = object : PeerClient {
-        private fun reachablePeer(to: Member) = world.hosts.first { it.name == to.node }.takeIf {
+        private fun reachablePeer(to: Member) = cluster.hosts.first { it.name == to.node }.takeIf {
             !isPartitioned(it.zone, host.zone) &&
                 !faults.isStalled() &&
                 !it.faults.isStalled() &&
@@ -142,7 +145,7 @@
         /** Returns [heartbeat] as the version of [to] reads it, without the format version if the cluster does not negotiate formats. */
         private fun asReceived(heartbeat: PeerHeartbeat, from: ControllerHost, to: ControllerHost): PeerHeartbeat {
             val received = to.version.peerHeartbeat(from.version.peerHeartbeat(heartbeat))
-            return if (world.agreesOnForms) received else received.copy(formatVersion = 0)
+            return if (cluster.negotiatesFormats) received else received.copy(formatVersion = 0)
         }
 
         override fun forward(to: Member, request: ForwardedRequest): ForwardedResponse? {
@@ -163,33 +166,35 @@
     }
 
     /** Sends a heartbeat of [worker], if one is due. */
-    fun onHeartbeat(worker: StandInWorker) {
-        if (!worker.alive || worker.hanging || time.now < worker.nextHeartbeatAt) return
-        worker.nextHeartbeatAt = time.now + World.HEARTBEAT_MS * random.nextLong(75, 125) / 100
+    fun onHeartbeat(worker: SimulatedWorker) {
+        if (!worker.isAlive || worker.isHanging || time.now < worker.nextHeartbeatAt) return
+        worker.nextHeartbeatAt = time.now + SimulatedCluster.HEARTBEAT_MS * random.nextLong(75, 125) / 100
         val heartbeat = worker.heartbeat()
-        if (!world.quietNetwork && random.nextInt(15) == 0) deliverCopyLate(heartbeat)
-        val host = world.hosts[worker.target]
+        if (!cluster.isNetworkReliable && random.nextInt(15) == 0) deliverCopyLate(heartbeat)
+        val host = cluster.hosts[worker.targetNodeIndex]
         val controller = host.controller?.takeUnless { isHeartbeatLost(worker, host.faults) } ?: return tryNextHost(worker, heartbeat)
         val sentAt = time.now
-        if (heartbeatsWaitMs == 0L) {
-            host.guarded { processOutcome(worker, host, heartbeat, sentAt, deliver(host, controller, heartbeat)) }
+        if (heartbeatQueueDelayMs == 0L) {
+            host.runInProcess { processOutcome(worker, host, heartbeat, sentAt, deliver(host, controller, heartbeat)) }
         } else {
             processLater(worker, host, heartbeat, sentAt)
         }
     }
 
-    private fun isHeartbeatLost(worker: StandInWorker, faults: ProcessFaults) = worker.mute ||
+    private fun isHeartbeatLost(worker: SimulatedWorker, faults: ProcessFaults) = worker.isOutboundCut ||
         faults.isStalled() ||
         isUnreachable(worker, faults) ||
         random.nextDouble() < faults.lossRate
 
-    /** Processes [heartbeat] after [heartbeatsWaitMs], as if it waited for a thread of its node; the worker sends no other meanwhile. */
-    private fun processLater(worker: StandInWorker, host: ControllerHost, heartbeat: Heartbeat, sentAt: Long) {
+    /** Processes [heartbeat] after [heartbeatQueueDelayMs], as if it waited for a thread of its node; [worker] sends no other meanwhile. */
+    private fun processLater(worker: SimulatedWorker, host: ControllerHost, heartbeat: Heartbeat, sentAt: Long) {
         val process = host.faults
-        worker.nextHeartbeatAt += heartbeatsWaitMs
-        time.later(heartbeatsWaitMs) {
+        worker.nextHeartbeatAt += heartbeatQueueDelayMs
+        time.schedule(heartbeatQueueDelayMs) {
             val controller = host.controller?.takeIf { host.faults === process }
-            if (controller != null) host.guarded { processOutcome(worker, host, heartbeat, sentAt, deliver(host, controller, heartbeat)) }
+            if (controller != null) {
+                host.runInProcess { processOutcome(worker, host, heartbeat, sentAt, deliver(host, controller, heartbeat)) }
+            }
         }
     }
 
@@ -209,36 +214,47 @@
 
     /** Delivers a copy of [heartbeat] to a random node after 1 to 40 seconds, also if its machine no longer exists by then. */
     private fun deliverCopyLate(heartbeat: Heartbeat) {
-        val host = world.hosts.random(random)
-        time.later(random.nextLong(1000, 40_000)) { host.controller?.let { late -> host.guarded { deliver(host, late, heartbeat) } } }
+        val host = cluster.hosts.random(random)
+        time.schedule(random.nextLong(1000, 40_000)) {
+            host.controller?.let { late -> host.runInProcess { deliver(host, late, heartbeat) } }
+        }
     }
 
-    private fun tryNextHost(worker: StandInWorker, heartbeat: Heartbeat) {
+    private fun tryNextHost(worker: SimulatedWorker, heartbeat: Heartbeat) {
         // A network fault may hold up a heartbeat and deliver it long after the worker has stopped waiting for the answer.
-        if (random.nextInt(3) == 0 && delaysHeartbeats) {
-            time.later(random.nextLong(500, 40_000)) {
-                val host = world.hosts[worker.target]
-                host.controller?.let { late -> host.guarded { deliver(host, late, heartbeat) } }
+        if (random.nextInt(3) == 0 && mayDelayHeartbeats) {
+            time.schedule(random.nextLong(500, 40_000)) {
+                val host = cluster.hosts[worker.targetNodeIndex]
+                host.controller?.let { late -> host.runInProcess { deliver(host, late, heartbeat) } }
             }
         }
-        worker.target = (worker.target + 1) % world.hosts.size
+        worker.targetNodeIndex = (worker.targetNodeIndex + 1) % cluster.hosts.size
     }
 
-    private fun processOutcome(worker: StandInWorker, host: ControllerHost, heartbeat: Heartbeat, sentAt: Long, outcome: HeartbeatOutcome) {
-        val isAnswerLost = worker.deaf || host.faults.sendsNothing()
+    private fun processOutcome(
+        worker: SimulatedWorker,
+        host: ControllerHost,
+        heartbeat: Heartbeat,
+        sentAt: Long,
+        outcome: HeartbeatOutcome,
+    ) {
+        val isAnswerLost = worker.isInboundCut || host.faults.areSendsBlocked()
         when (outcome) {
             is HeartbeatOutcome.Accepted -> {
                 recordStartCommands(outcome.answer.commands)
-                val delay = if (world.quietNetwork) 0L else random.nextLong(0, 60)
+                val delay = if (cluster.isNetworkReliable) 0L else random.nextLong(0, 60)
                 if (isAnswerLost) {
-                    worker.target = (worker.target + 1) % world.hosts.size
+                    worker.targetNodeIndex = (worker.targetNodeIndex + 1) % cluster.hosts.size
                 } else if (random.nextDouble() >= host.faults.lossRate) {
-                    time.later(delay) { worker.answered(outcome.answer.token, outcome.answer.commands, sentAt, heartbeat.incarnation) }
+                    time.schedule(delay) {
+                        worker.onHeartbeatAnswer(outcome.answer.token, outcome.answer.commands, sentAt, heartbeat.incarnation)
+                    }
                 }
             }
             is HeartbeatOutcome.Elsewhere -> {
-                val next = if (isAnswerLost) -1 else world.hosts.indexOfFirst { it.name == outcome.node }
-                worker.target = if (next < 0 || next == worker.target) (worker.target + 1) % world.hosts.size else next
+                val next = if (isAnswerLost) -1 else cluster.hosts.indexOfFirst { it.name == outcome.node }
+                worker.targetNodeIndex =
+                    if (next < 0 || next == worker.targetNodeIndex) (worker.targetNodeIndex + 1) % cluster.hosts.size else next
             }
         }
     }
--- a/src/test/kotlin/mountmast/standin/StandInStore.kt
+++ b/src/test/kotlin/mountmast/standin/SimulatedStateStore.kt
@@ -27,11 +27,11 @@
 /**
  * The simulated state service: a transactional key-value store with leases and watches, in virtual time.
  *
- * @param keptChanges how many changes watches can still read; a watch from before them is answered as compacted
+ * @param retainedChanges how many changes watches can still read; a watch from before them is answered as compacted
  */
-class StandInStore(
+class SimulatedStateStore(
     private val time: VirtualTime,
-    private val keptChanges: Int = 400,
+    private val retainedChanges: Int = 400,
     private val limits: FallingLimits = FallingLimits(),
     /** Entries in a page of a list; few, so that lists need several pages. */
     private val pageSize: Int = 7,
@@ -48,7 +48,7 @@
     private var outageUntil = 0L
 
     /** Length of the largest value written so far, in characters. */
-    var largestValue = 0
+    var largestValueLength = 0
         private set
 
     /** Number of requests, refused ones included. */
@@ -60,59 +60,59 @@
         private set
 
     /** The largest number of puts and deletes in one transaction. */
-    var mostOps = 0
+    var maxTransactionOps = 0
         private set
 
     /** Number of puts and deletes carried out, by kind. */
     val writesByKind = TreeMap<WriteKind, Int>()
 
     /** Number of transactions rejected as too large. */
-    var tooLarge = 0
+    var oversizedTransactions = 0
         private set
 
     /** Number of requests refused because they exceeded a rate. */
-    var overRate = 0
+    var rateLimitedRequests = 0
         private set
-    private val requestRate = ServiceRate(time)
-    private val writeRate = ServiceRate(time)
+    private val requestRate = ServiceRateLimiter(time)
+    private val writeRate = ServiceRateLimiter(time)
 
     private fun checkRequestRate() {
-        if (limits.enforcesRates && !requestRate.allows(1, limits.now(time).requestsPerSecond)) refuseOverRate()
+        if (limits.enforcesRates && !requestRate.tryAcquire(1, limits.enforcedAt(time).requestsPerSecond)) refuseOverRate()
     }
 
     private fun checkWriteRate(count: Int) {
-        if (limits.enforcesRates && !writeRate.allows(count, limits.now(time).writesPerSecond)) refuseOverRate()
+        if (limits.enforcesRates && !writeRate.tryAcquire(count, limits.enforcedAt(time).writesPerSecond)) refuseOverRate()
     }
 
     private fun refuseOverRate(): Nothing {
-        overRate++
+        rateLimitedRequests++
         throw StoreUnavailableException("status 429")
     }
 
     private fun checkSizes(transaction: Transaction) {
-        val now = limits.now(time)
+        val now = limits.enforcedAt(time)
         val sizes = transaction.writes.map { if (it is Write.Put) it.value.toString().encodeToByteArray().size else 0 }
         val fits = transaction.writes.size <= now.transactionOps &&
             transaction.compares.size <= now.transactionCompares &&
             sizes.all { it <= now.valueKb * BYTES_PER_KB } &&
             sizes.sum() <= MAX_TRANSACTION_BYTES
         if (fits) return
-        tooLarge++
+        oversizedTransactions++
         throw StoreRequestRejectedException.of(transaction, "too large")
     }
 
     /** Refuses all requests for [forMs]. */
-    fun outage(forMs: Long) {
+    fun startOutage(forMs: Long) {
         outageUntil = maxOf(outageUntil, time.now + forMs)
         // After an outage all leases run for their full time to live again.
         for (storeLease in leases.values) storeLease[1] = maxOf(storeLease[1], outageUntil + storeLease[0])
     }
 
     /** Whether an outage goes on. */
-    val out: Boolean get() = time.now < outageUntil
+    val hasOutage: Boolean get() = time.now < outageUntil
 
     private fun expireLeases() {
-        if (out) return
+        if (hasOutage) return
         val expiredLeases = leases.filterValues { it[1] < time.now }.keys
         if (expiredLeases.isEmpty()) return
         leases.keys.removeAll(expiredLeases)
@@ -127,7 +127,7 @@
 
     private fun recordChange(change: WatchEvent) {
         changes += change
-        while (changes.size > keptChanges) changes.removeFirst()
+        while (changes.size > retainedChanges) changes.removeFirst()
     }
 
     private fun commit(transaction: Transaction): TransactionResult {
@@ -169,7 +169,7 @@
         checkSizes(transaction)
         checkWriteRate(transaction.writes.size)
         writes += transaction.writes.size
-        mostOps = maxOf(mostOps, transaction.writes.size)
+        maxTransactionOps = maxOf(maxTransactionOps, transaction.writes.size)
         for (write in transaction.writes) {
             if (write is Write.Put &&
                 write.storeLease != null &&
@@ -186,7 +186,7 @@
             when (write) {
                 is Write.Put -> {
                     values[write.key] = StoredValue(write.value, revision, write.storeLease?.number?.toLong())
-                    largestValue = maxOf(largestValue, write.value.toString().length)
+                    largestValueLength = maxOf(largestValueLength, write.value.toString().length)
                     recordChange(WatchEvent(write.key, write.value, ModRevision(revision.toULong())))
                 }
                 is Write.Delete -> delete(write.key)
@@ -199,14 +199,14 @@
      * The connection of one controller process to the state service, with the injected [faults] of that process. Transactions of
      * the format negotiation draw from [formatRandom], so that they do not change the random draws of a given seed.
      */
-    inner class View(private val random: Random, private val faults: ProcessFaults, private val formatRandom: Random = random) :
+    inner class Connection(private val random: Random, private val faults: ProcessFaults, private val formatRandom: Random = random) :
         StateStore {
         override var isReachable = true
             private set
 
-        private val bucket = TokenBucket(StoreRateQuota.writes(limits.known, NODES, isLeader = false)) { time.now * NANOS_PER_MS }
+        private val bucket = TokenBucket(StoreRateQuota.writes(limits.configured, NODES, isLeader = false)) { time.now * NANOS_PER_MS }
 
-        override fun setRole(leader: Boolean) = bucket.setRate(StoreRateQuota.writes(limits.known, NODES, leader))
+        override fun setRole(leader: Boolean) = bucket.setRate(StoreRateQuota.writes(limits.configured, NODES, leader))
 
         override fun writeBudget(): WriteBudget = if (limits.enforcesRates) bucket.budget() else WriteBudget.AMPLE
 
@@ -239,25 +239,25 @@
             faults.interruptIfDue(random)
             requests++
             checkRequestRate()
-            if (out || faults.isRefusedByStore()) {
+            if (hasOutage || faults.isRefusedByStore()) {
                 isReachable = false
                 throw StoreUnavailableException("refused")
             }
             if (faults.isCutFromStore()) {
                 isReachable = false
-                if (mayLoseMessage && random.nextBoolean()) time.later(random.nextLong(100, 60_000)) { runCatching(request) }
+                if (mayLoseMessage && random.nextBoolean()) time.schedule(random.nextLong(100, 60_000)) { runCatching(request) }
                 throw StoreTimeoutException("no connection to the state service")
             }
             if (mayLoseMessage && random.nextDouble() < faults.lossRate) {
                 when (random.nextInt(3)) {
                     0 -> request()
-                    1 -> time.later(random.nextLong(100, 20_000)) { if (!out) runCatching(request) }
+                    1 -> time.schedule(random.nextLong(100, 20_000)) { if (!hasOutage) runCatching(request) }
                     else -> {}
                 }
                 throw StoreTimeoutException("message lost")
             }
             isReachable = true
-            if (mayLoseMessage) faults.repeatLaterIfDue(random) { if (!out) request() }
+            if (mayLoseMessage) faults.repeatLaterIfDue(random) { if (!hasOutage) request() }
             return request().also { faults.interruptIfDue(random) }
         }
 
@@ -266,7 +266,9 @@
             values[key]?.let { Entry(key, it.data, ModRevision(it.modRevision.toULong())) }
         }
 
-        override fun list(prefix: String, after: String?, limit: Int): EntryPage = call({ "list $prefix $after $limit" }, ::traceText, false) {
+        override fun list(prefix: String, after: String?, limit: Int): EntryPage = call({
+            "list $prefix $after $limit"
+        }, ::traceText, false) {
             expireLeases()
             val matching = values.tailMap(prefix).entries.takeWhile { it.key.startsWith(prefix) }.filter { after == null || it.key > after }
             val page = matching.take(minOf(limit, pageSize))
@@ -280,14 +282,16 @@
         }
 
         override fun commit(transaction: Transaction): TransactionResult {
-            if (limits.enforcesRates && bucket.take(transaction.writes.size, 0) == null) throw StoreUnavailableException("over the write rate")
+            if (limits.enforcesRates && bucket.take(transaction.writes.size, 0) == null) throw StoreUnavailableException("over write rate")
             val random = if (transaction.writes.any { it.key == Keys.FORMAT }) formatRandom else random
             return call({ "commit ${traceText(transaction)}" }, ::traceText, random = random) {
-                if (faults.writesLate(random)) {
-                    time.later(random.nextLong(2000, 12_000)) { if (!out) runCatching { this@StandInStore.commit(transaction) } }
+                if (faults.drawsLateWrite(random)) {
+                    time.schedule(random.nextLong(2000, 12_000)) {
+                        if (!hasOutage) runCatching { this@SimulatedStateStore.commit(transaction) }
+                    }
                     throw StoreTimeoutException("carried out later")
                 }
-                this@StandInStore.commit(transaction)
+                this@SimulatedStateStore.commit(transaction)
             }
         }
 
@@ -312,10 +316,10 @@
         override fun watch(prefix: String, from: Revision, waitMs: Long): WatchResult = call({
             "follow $prefix ${from.number} $waitMs"
         }, ::traceText, false) {
-            if (faults.watchesNothing()) throw StoreTimeoutException("watch got no answer")
+            if (faults.areWatchesBlocked()) throw StoreTimeoutException("watch got no answer")
             expireLeases()
             val oldest = changes.firstOrNull()?.modRevision?.number ?: 0u
-            if (changes.size >= keptChanges && from.number < oldest) return@call WatchResult.Compacted
+            if (changes.size >= retainedChanges && from.number < oldest) return@call WatchResult.Compacted
             WatchResult.Changes(
                 changes.filter { it.modRevision.number > from.number && it.key.startsWith(prefix) },
                 Revision(revision.toULong()),
@@ -331,9 +335,9 @@
             WatchResult.Compacted -> "too old"
         }
 
-        private fun traceText(outcome: TransactionResult) = this@StandInStore.traceText(outcome)
+        private fun traceText(outcome: TransactionResult) = this@SimulatedStateStore.traceText(outcome)
 
-        private fun traceText(transaction: Transaction) = this@StandInStore.traceText(transaction)
+        private fun traceText(transaction: Transaction) = this@SimulatedStateStore.traceText(transaction)
     }
 
     private companion object {
--- a/src/test/kotlin/mountmast/standin/Users.kt
+++ b/src/test/kotlin/mountmast/standin/SimulatedUsers.kt
@@ -17,11 +17,11 @@
 import mountmast.protocol.WireJson
 import mountmast.transport.UserAnswer
 
-/** The simulated users of a [World]: they submit jobs, request their status, and cancel some. Each answer is checked. */
-class Users(private val world: World) {
-    private val time get() = world.time
-    private val random get() = world.random
-    private val rules get() = world.rules
+/** The simulated users of a [SimulatedCluster]: they submit jobs, request their status, and cancel some. Each answer is checked. */
+class SimulatedUsers(private val cluster: SimulatedCluster) {
+    private val time get() = cluster.time
+    private val random get() = cluster.random
+    private val invariants get() = cluster.invariants
     val jobs = LinkedHashMap<JobId, JobSpec>()
     private val accepted = LinkedHashSet<JobId>()
     private val cancelled = LinkedHashSet<JobId>()
@@ -46,12 +46,12 @@
         at: ControllerHost? = null,
         request: (Controller) -> UserAnswer,
     ): UserAnswer? {
-        val host = at ?: world.hosts.filter { it.controller != null && !it.faults.isStalled() }.randomOrNull(random) ?: return null
+        val host = at ?: cluster.hosts.filter { it.controller != null && !it.faults.isStalled() }.randomOrNull(random) ?: return null
         if (!requestsUnderWay.add(id)) return null
         val askedAt = time.now
         time.record { "user ${host.number} $requestName ${id.text}" }
         var result: UserAnswer? = null
-        host.guarded { result = request(checkNotNull(host.controller)) }
+        host.runInProcess { result = request(checkNotNull(host.controller)) }
         requestsUnderWay -= id
         time.record { "user ${host.number} $requestName ${id.text} answered ${result?.run { "$status $retryAfterS $body" }}" }
         return result.takeIf { time.now - askedAt <= timeoutMs }
@@ -60,14 +60,14 @@
     /** Submits [spec]. Returns the HTTP status, or null without an answer in time. */
     fun submit(spec: JobSpec, at: ControllerHost? = null): Int? {
         jobs[spec.id] = spec
-        rules.submitting(spec, time.now)
+        invariants.recordSubmission(spec, time.now)
         val answer =
             send("submit", spec.id, SUBMIT_TIMEOUT_MS, at) {
                 it.users.submit(WireJson.encodeToString(spec), isForwarded = false)
             } ?: return null
-        rules.submissionAnswered(spec.id, answer.status)
+        invariants.checkSubmissionAnswer(spec.id, answer.status)
         if (answer.status in 200..201) accepted += spec.id
-        answer.state()?.let { rules.statusAnswered(spec.id, answer.status, it, time.now) }
+        answer.state()?.let { invariants.checkStatusAnswer(spec.id, answer.status, it, time.now) }
         return answer.status
     }
 
@@ -75,16 +75,16 @@
     fun accept(spec: JobSpec): JobId {
         repeat(50) {
             if (submit(spec) in 200..201) return spec.id
-            world.run(1000, busy = false)
+            cluster.run(1000, busy = false)
         }
         throw AssertionError("${spec.id} was not accepted in 50 attempts")
     }
 
     /** Cancels the job [id]. Returns the HTTP status, or null without an answer in time. */
     fun cancel(id: JobId, at: ControllerHost? = null): Int? {
-        rules.cancelling(id)
+        invariants.recordCancellation(id)
         val answer = send("cancel", id, SUBMIT_TIMEOUT_MS, at) { it.users.cancel(id.text, isForwarded = false) } ?: return null
-        rules.statusAnswered(id, answer.status, answer.state(), time.now)
+        invariants.checkStatusAnswer(id, answer.status, answer.state(), time.now)
         if (answer.status == 200) cancelled += id
         return answer.status
     }
@@ -93,9 +93,9 @@
     fun poll(id: JobId, at: ControllerHost? = null): JobStatus? {
         val askedAt = time.now
         val answer = send("status", id, POLL_TIMEOUT_MS, at) { it.users.status(id.text, isForwarded = false) }
-        rules.asked(id, answer?.status == 200, time.now)
+        invariants.recordStatusRequest(id, answer?.status == 200, time.now)
         if (answer == null) return null
-        rules.statusAnswered(id, answer.status, answer.state(), time.now, askedAt)
+        invariants.checkStatusAnswer(id, answer.status, answer.state(), time.now, askedAt)
         return answer.state()
     }
 
@@ -106,22 +106,22 @@
             submit(jobs.values.random(random))
             return
         }
-        submit(world.job(jobs.size) { it.copy(prerequisites = drawPrerequisites()) })
+        submit(cluster.job(jobs.size) { it.copy(prerequisites = drawPrerequisites()) })
     }
 
     /** Draws prerequisites for one in three jobs, from accepted jobs in any state, so that chains, diamonds and fans arise. */
     private fun drawPrerequisites(): List<JobId> {
-        if (random.nextInt(3) != 0 || !world.usesPipelines) return emptyList()
+        if (random.nextInt(3) != 0 || !cluster.usesPrerequisites) return emptyList()
         val arrays = accepted.filter { jobs.getValue(it).shape == Shape.ARRAY }
         val candidates = if (random.nextInt(4) == 0) arrays else arrays.takeLast(RECENT_JOB_COUNT)
         return candidates.shuffled(random).take(random.nextInt(1, 4))
     }
 
-    /** Submits an invalid job: one that fits no machine, lacks a field, has an unknown team or has wrong prerequisites. */
-    fun submitOdd() {
-        val validJob = world.job(nextInvalidNumber--) { it.copy(shape = Shape.ARRAY) }
+    /** Submits an invalid job: one that fits no machine, lacks a field, or has an unknown team or wrong prerequisites. */
+    fun submitInvalidJob() {
+        val validJob = cluster.job(nextInvalidNumber--) { it.copy(shape = Shape.ARRAY) }
         val body = WireJson.encodeToJsonElement(validJob).jsonObject
-        val invalidJob = when (random.nextInt(if (world.usesPipelines) 7 else 4)) {
+        val invalidJob = when (random.nextInt(if (cluster.usesPrerequisites) 7 else 4)) {
             4 -> WireJson.encodeToJsonElement(validJob.copy(prerequisites = listOf(JobId("j-888888")))).jsonObject
             5 -> WireJson.encodeToJsonElement(validJob.copy(prerequisites = listOf(validJob.id))).jsonObject
             6 -> JsonObject(body + ("waitsOn" to JsonPrimitive("j-000001")))
@@ -131,41 +131,41 @@
             else -> WireJson.encodeToJsonElement(validJob.copy(types = listOf(TypeId("s")), memoryGb = 17.0)).jsonObject
         }
         val answer = send("odd", validJob.id, SUBMIT_TIMEOUT_MS) { it.users.submit(invalidJob.toString(), isForwarded = false) } ?: return
-        rules.oddAnswered(invalidJob.toString(), answer.status)
+        invariants.checkInvalidSubmissionAnswer(invalidJob.toString(), answer.status)
     }
 
-    /** Called when a task of [id] completes. During [cancelsAtEnd] users then cancel the job, request its status and submit it again. */
-    fun taskDone(id: JobId) {
+    /** Called when a task of [id] completes. While [cancelOnTaskCompletion] lasts, users cancel the job, poll it and submit it again. */
+    fun onTaskCompleted(id: JobId) {
         if (time.now >= cancelsOnCompletionUntil || random.nextInt(4) != 0 || id !in accepted) return
-        time.later(random.nextLong(0, 300)) { cancel(id) }
-        time.later(random.nextLong(0, 300)) { poll(id) }
-        time.later(random.nextLong(0, 300)) { submit(jobs.getValue(id)) }
+        time.schedule(random.nextLong(0, 300)) { cancel(id) }
+        time.schedule(random.nextLong(0, 300)) { poll(id) }
+        time.schedule(random.nextLong(0, 300)) { submit(jobs.getValue(id)) }
     }
 
     /** For [ms] users cancel some jobs, request their status and submit them again within 300 ms of the completion of a task. */
-    fun cancelsAtEnd(ms: Long) {
+    fun cancelOnTaskCompletion(ms: Long) {
         cancelsOnCompletionUntil = time.now + ms
     }
 
     /** Users cancel up to three accepted jobs at random times within [withinMs]. */
     fun cancelSomeWithin(withinMs: Long) =
-        accepted.shuffled(random).take(3).forEach { id -> time.later(random.nextLong(0, withinMs)) { cancel(id) } }
+        accepted.shuffled(random).take(3).forEach { id -> time.schedule(random.nextLong(0, withinMs)) { cancel(id) } }
 
     /** Users cancel all accepted jobs of shape [Shape.SERVICE], which would never end. */
     fun cancelServices() {
         for (id in accepted.filter { jobs.getValue(it).shape == Shape.SERVICE }) {
-            while (cancel(id) != 200) world.run(2000, busy = false)
+            while (cancel(id) != 200) cluster.run(2000, busy = false)
         }
     }
 
     /** Returns the accepted array jobs without a final status, except cancelled jobs, jobs that always fail, and their dependents. */
-    fun unfinished(): List<JobId> = accepted.filter { id ->
-        val ancestors = rules.ancestors(id)
+    fun unfinishedJobs(): List<JobId> = accepted.filter { id ->
+        val allPrerequisites = invariants.transitivePrerequisites(id)
         jobs.getValue(id).shape == Shape.ARRAY &&
             id !in cancelled &&
-            id !in world.poisoned &&
-            rules.tellable(id) == null &&
-            ancestors.none { it in cancelled || it in world.poisoned }
+            id !in cluster.failingJobs &&
+            invariants.finalStatusOf(id) == null &&
+            allPrerequisites.none { it in cancelled || it in cluster.failingJobs }
     }
 
     private companion object {
--- a/src/test/kotlin/mountmast/standin/StandInWorker.kt
+++ b/src/test/kotlin/mountmast/standin/SimulatedWorker.kt
@@ -19,19 +19,19 @@
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 
-/** A simulated worker that follows PROTOCOL in virtual time, and reports the starts and ends of its tasks to [rules]. */
-class StandInWorker(
+/** A simulated worker that follows PROTOCOL in virtual time, and reports the starts and ends of its tasks to [invariants]. */
+class SimulatedWorker(
     val id: MachineId,
     val type: MachineType,
     val zone: Zone,
     val spot: Boolean,
     private val time: VirtualTime,
-    private val rules: Rules,
+    private val invariants: InvariantChecker,
     private val leaseMs: Long,
     /** Returns the specification of a job, or null for an unknown job. */
     private val jobOf: (JobId) -> JobSpec?,
     /** Whether the tasks of a job fail on every machine. */
-    private val poisoned: (JobId) -> Boolean,
+    private val isFailingJob: (JobId) -> Boolean,
     /** Called with its job when a task completes on this worker. */
     private val onDone: (JobId) -> Unit,
 ) {
@@ -51,18 +51,18 @@
     private var highestToken = FencingToken(0u)
     private var leaseRenewedAt = time.now
     private var lastStepAt = time.now
-    private val place = Place(id, type.id, zone, spot)
+    private val placement = TaskPlacement(id, type.id, zone, spot)
     var address = "$id:9000"
         private set
 
     /** Injected fault: every task on this worker fails as soon as it starts. */
-    var sick = false
+    var failsAllTasks = false
 
     /** The factor by which tasks take longer on this worker. */
-    var slowTimes = 1L
+    var slowdownFactor = 1L
 
     /** Virtual time until which this worker and the controllers cannot reach each other. */
-    var cutUntil = 0L
+    var partitionedUntil = 0L
 
     /** Virtual time until which this worker does nothing, as if its machine hung. */
     var hangUntil = 0L
@@ -74,30 +74,30 @@
     var commandsHeldUntil = 0L
 
     /** Virtual time until which direct commands do not reach this worker, while its heartbeats and their answers get through. */
-    var calledByNobodyUntil = 0L
+    var directCommandsCutUntil = 0L
 
     /** Virtual time until which heartbeats of this worker reach no controller, while direct commands reach the worker. */
-    var muteUntil = 0L
+    var outboundCutUntil = 0L
 
     /** Virtual time until which heartbeats of this worker arrive, but no answers or commands reach the worker. */
-    var deafUntil = 0L
+    var inboundCutUntil = 0L
 
     /** Virtual time at which the notice period of the cloud ends and the machine is reclaimed; null without a notice. */
     var noticeEndsAt: Long? = null
-    var alive = true
+    var isAlive = true
     var nextHeartbeatAt = time.now
 
     /** Index of the node that gets the next heartbeat. */
-    var target = 0
+    var targetNodeIndex = 0
 
-    val busy get() = alive && tasks.values.any { it.isRunning }
-    val hanging get() = time.now < hangUntil
-    val cut get() = time.now < cutUntil
-    val deaf get() = time.now < deafUntil
-    val mute get() = time.now < muteUntil
+    val hasRunningTasks get() = isAlive && tasks.values.any { it.isRunning }
+    val isHanging get() = time.now < hangUntil
+    val isPartitioned get() = time.now < partitionedUntil
+    val isInboundCut get() = time.now < inboundCutUntil
+    val isOutboundCut get() = time.now < outboundCutUntil
 
     /** Milliseconds since the last partition, hang or one-way connection loss of this worker ended; negative while one lasts. */
-    val wellFor get() = time.now - maxOf(cutUntil, hangUntil, deafUntil, muteUntil)
+    val faultFreeForMs get() = time.now - maxOf(partitionedUntil, hangUntil, inboundCutUntil, outboundCutUntil)
 
     /** Returns the next heartbeat message. */
     fun heartbeat(): Heartbeat {
@@ -113,12 +113,12 @@
 
     /** Advances the tasks and the lease to the present virtual time. */
     fun step() {
-        if (!alive) return
+        if (!isAlive) return
         val elapsedMs = time.now - lastStepAt
         lastStepAt = time.now
         // A machine that hangs for longer than its lease loses its tasks.
         if (time.now - leaseRenewedAt > leaseMs) loseLease()
-        if (hanging) return
+        if (isHanging) return
         for ((task, execution) in tasks) {
             if (execution.state == TaskState.EXITED) continue
             execution.remainingMs -= elapsedMs
@@ -140,9 +140,9 @@
     private fun run(task: TaskId, execution: TaskExecution) {
         if (task in completedTasks) return exit(task, execution, ExitCause.DONE)
         execution.state = TaskState.RUNNING
-        execution.remainingMs = ((execution.spec.estimateS * 1000).toLong() + 500) * slowTimes
-        rules.taskStarts(task, place, time.now)
-        if (sick || poisoned(task.job)) exit(task, execution, ExitCause.FAILED)
+        execution.remainingMs = ((execution.spec.estimateS * 1000).toLong() + 500) * slowdownFactor
+        invariants.checkTaskStart(task, placement, time.now)
+        if (failsAllTasks || isFailingJob(task.job)) exit(task, execution, ExitCause.FAILED)
     }
 
     private fun exit(task: TaskId, execution: TaskExecution, cause: ExitCause) {
@@ -150,7 +150,7 @@
         execution.state = TaskState.EXITED
         execution.cause = cause
         if (cause == ExitCause.DONE) completedTasks += task
-        if (wasRunning) rules.taskGone(task, id, cause == ExitCause.DONE)
+        if (wasRunning) invariants.recordTaskEnd(task, id, cause == ExitCause.DONE)
         if (cause == ExitCause.DONE) onDone(task.job)
     }
 
@@ -169,19 +169,19 @@
     }
 
     private fun endAllTasks() {
-        for ((task, execution) in tasks) if (execution.isRunning) rules.taskGone(task, id, done = false)
+        for ((task, execution) in tasks) if (execution.isRunning) invariants.recordTaskEnd(task, id, done = false)
     }
 
     /** Ends all tasks, as the machine was terminated. */
-    fun die() {
-        alive = false
+    fun terminate() {
+        isAlive = false
         endAllTasks()
         tasks.clear()
     }
 
     /** Processes the answer to the heartbeat that was sent at [sentAt] in incarnation [ofIncarnation]. Ignores outdated answers. */
-    fun answered(token: FencingToken, commands: List<WorkerCommand>, sentAt: Long, ofIncarnation: WorkerIncarnation) {
-        if (!alive || ofIncarnation.number != incarnation || token < highestToken || time.now - sentAt > 4000) return
+    fun onHeartbeatAnswer(token: FencingToken, commands: List<WorkerCommand>, sentAt: Long, ofIncarnation: WorkerIncarnation) {
+        if (!isAlive || ofIncarnation.number != incarnation || token < highestToken || time.now - sentAt > 4000) return
         highestToken = token
         leaseRenewedAt = sentAt
         commands.forEach(::execute)
@@ -210,7 +210,7 @@
         val startError = when {
             spec == null || task.index >= spec.tasks -> ExitCause.UNKNOWN
             known != null && known.state != TaskState.EXITED -> ExitCause.BUSY
-            !spec.perTask.fitsWithin(room()) -> ExitCause.NO_ROOM
+            !spec.perTask.fitsWithin(freeCapacity()) -> ExitCause.NO_ROOM
             else -> null
         }
         if (spec == null) return
@@ -242,9 +242,9 @@
     }
 
     /** Returns the capacity that no task on this worker takes. */
-    fun room(): Resources {
-        var room = type.capacity
-        for (execution in tasks.values) if (execution.state != TaskState.EXITED) room -= execution.spec.perTask
-        return room
+    fun freeCapacity(): Resources {
+        var free = type.capacity
+        for (execution in tasks.values) if (execution.state != TaskState.EXITED) free -= execution.spec.perTask
+        return free
     }
 }
--- a/src/test/kotlin/mountmast/standin/VirtualTime.kt
+++ b/src/test/kotlin/mountmast/standin/VirtualTime.kt
@@ -15,7 +15,7 @@
     private val scheduled = PriorityQueue<Pair<Long, () -> Unit>>(compareBy { it.first })
 
     /** Schedules [action] for [delayMs] milliseconds from now. */
-    fun later(delayMs: Long, action: () -> Unit) {
+    fun schedule(delayMs: Long, action: () -> Unit) {
         scheduled += (now + delayMs) to action
     }
 
--- a/src/test/kotlin/mountmast/storage/TypesFormTest.kt
+++ b/src/test/kotlin/mountmast/storage/TypesFormTest.kt
@@ -9,7 +9,7 @@
 import mountmast.protocol.Zone
 import mountmast.standin.FallingLimits
 import mountmast.standin.ProcessFaults
-import mountmast.standin.StandInStore
+import mountmast.standin.SimulatedStateStore
 import mountmast.standin.VirtualTime
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -20,7 +20,7 @@
 class TypesFormTest {
     private val time = VirtualTime()
     private val limits = FallingLimits(StateLimits(100.0, 100.0, 1.0, 64))
-    private val store = StandInStore(time, limits = limits).View(Random(1), ProcessFaults(time))
+    private val store = SimulatedStateStore(time, limits = limits).Connection(Random(1), ProcessFaults(time))
 
     private fun types(count: Int) = MachineTypes(
         List(count) {
