--- a/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
@@ -21,7 +21,7 @@
 import mountmast.protocol.WorkerIncarnation
 import mountmast.protocol.Zone
 import mountmast.standin.ProcessFaults
-import mountmast.standin.StandInStore
+import mountmast.standin.SimulatedStateStore
 import mountmast.standin.VirtualTime
 import mountmast.storage.Compare
 import mountmast.storage.Entry
@@ -294,7 +294,7 @@
 
     private val time = VirtualTime()
 
-    private fun createEmptyStore(): StateStore = StandInStore(time).View(Random(1), ProcessFaults(time))
+    private fun createEmptyStore(): StateStore = SimulatedStateStore(time).Connection(Random(1), ProcessFaults(time))
 
     private fun formatLine(put: Write.Put) = "${put.key} ${put.value}"
 
--- a/src/test/kotlin/mountmast/soak/SoakRun.kt
+++ b/src/test/kotlin/mountmast/soak/SoakRun.kt
@@ -2,11 +2,11 @@
 
 import mountmast.protocol.JobStatus
 import mountmast.standin.FallingLimits
+import mountmast.standin.InvariantChecker
 import mountmast.standin.ProcessFaults
-import mountmast.standin.Rules
-import mountmast.standin.StandInCloud
-import mountmast.standin.StandInStore
-import mountmast.standin.StandInWorker
+import mountmast.standin.SimulatedCloud
+import mountmast.standin.SimulatedStateStore
+import mountmast.standin.SimulatedWorker
 import mountmast.transport.HttpCaller
 import mountmast.transport.NoAnswerException
 import java.io.File
@@ -25,13 +25,13 @@
     private val schedule: List<Fault> = FaultSchedule.draw(seed),
 ) : AutoCloseable {
     val clock = SoakClock()
-    val rules = Rules(SoakDeployment.teams, SoakDeployment.CANCELLATION_MS)
+    val rules = InvariantChecker(SoakDeployment.teams, SoakDeployment.CANCELLATION_MS)
     private val random = Random(seed)
     private val executor = Executors.newCachedThreadPool { task -> Thread(null, task, "soak", STACK_BYTES).apply { isDaemon = true } }
-    private val store = StandInStore(clock.time, keptChanges = 10_000, FallingLimits(SoakDeployment.limits), pageSize = STORE_PAGE_SIZE)
+    private val store = SimulatedStateStore(clock.time, retainedChanges = 10_000, FallingLimits(SoakDeployment.limits), pageSize = STORE_PAGE_SIZE)
     private val users = SoakUsers(this, Random(seed + 1))
-    val cloud: StandInCloud = StandInCloud(clock.time, random, SoakDeployment.types, size.machinesPerOffering) { id, request ->
-        StandInWorker(
+    val cloud: SimulatedCloud = SimulatedCloud(clock.time, random, SoakDeployment.types, size.machinesPerOffering) { id, request ->
+        SimulatedWorker(
             id, SoakDeployment.types.first { it.id == request.type }, request.zone, request.spot, clock.time, rules, leaseMs(),
             { users.jobs[it] }, { false }, {},
         )
@@ -44,9 +44,9 @@
     private val directory: File = Files.createTempDirectory("mountmast-soak").toFile()
     private val processFaults = List(SoakDeployment.NODE_COUNT) { ProcessFaults(clock.time).apply { lossRate = LOSS_RATE } }
     private val storeServers = processFaults.map {
-        StoreServer(clock, store.View(random, it), executor, breakage == Breakage.SUBMISSIONS_LOST)
+        StoreServer(clock, store.Connection(random, it), executor, breakage == Breakage.SUBMISSIONS_LOST)
     }
-    private val cloudServer = CloudServer(clock, cloud.View(ProcessFaults(clock.time)), fleet::addressOf, executor)
+    private val cloudServer = CloudServer(clock, cloud.Connection(ProcessFaults(clock.time)), fleet::addressOf, executor)
     private val stateLinks = storeServers.map { LinkProxy(it.port).start() }
 
     /** The links from each node to each other node. */
@@ -84,7 +84,7 @@
         clock.addTickAction {
             cloud.step()
             fleet.step()
-            rules.check(clock.time.now)
+            rules.checkCancelledJobs(clock.time.now)
         }
         controllers.forEach { it.start() }
         clock.start()
@@ -100,9 +100,9 @@
 
     /** Returns a one-line summary of the run. */
     fun summary(): String = clock.runLocked {
-        val alive = cloud.workers.count { it.alive }
+        val alive = cloud.workers.count { it.isAlive }
         val accepted = users.accepted.distinct().size
-        "${schedule.size} faults, $accepted jobs accepted, ${rules.started} task starts, $alive of ${cloud.rented} rented machines alive"
+        "${schedule.size} faults, $accepted jobs accepted, ${rules.startCount} task starts, $alive of ${cloud.rentedCount} rented machines alive"
     }
 
     private fun now() = clock.runLocked { clock.time.now }
@@ -115,7 +115,7 @@
     private var isSubmitting = true
 
     private fun awaitFirstTask() {
-        while (clock.runLocked { rules.started } == 0) {
+        while (clock.runLocked { rules.startCount } == 0) {
             clock.failure?.let { throw it }
             check(now() < STARTUP_TIMEOUT_MS) { "no task started within the time limit" }
             Thread.sleep(POLL_INTERVAL_MS)
@@ -164,7 +164,7 @@
                 stateLinks.forEach { it.delayMs = SLOW_LINK_DELAY_MS }
                 runAfter(fault.durationMs) { stateLinks.forEach { it.delayMs = 0 } }
             }
-            FaultKind.STATE_OUT -> clock.runLocked { store.outage(fault.durationMs) }
+            FaultKind.STATE_OUT -> clock.runLocked { store.startOutage(fault.durationMs) }
             FaultKind.LATE_WRITES -> clock.runLocked { faultsOfNode.lateWritesUntil = until }
             FaultKind.PEERS_HELD -> failLinks(peerLinksOf(node), LinkFault.BOTH_HELD, fault.durationMs)
             FaultKind.PEERS_REFUSED -> failLinks(peerLinksOf(node), LinkFault.CONNECTIONS_REFUSED, fault.durationMs)
@@ -180,24 +180,24 @@
                 fleet.resendsHeartbeats = true
                 runAfter(fault.durationMs) { fleet.resendsHeartbeats = false }
             }
-            FaultKind.CLOUD_OUT -> clock.runLocked { cloud.outage(fault.durationMs) }
+            FaultKind.CLOUD_OUT -> clock.runLocked { cloud.startOutage(fault.durationMs) }
             else -> clock.runLocked { failMachines(fault.kind, fault.durationMs) }
         }
     }
 
     private fun failMachines(kind: FaultKind, durationMs: Long) {
         val until = clock.time.now + durationMs
-        for (worker in cloud.workers.filter { it.alive && random.nextInt(3) == 0 }) {
+        for (worker in cloud.workers.filter { it.isAlive && random.nextInt(3) == 0 }) {
             when (kind) {
-                FaultKind.MACHINES_CUT -> worker.cutUntil = until
-                FaultKind.MACHINES_DEAF -> worker.deafUntil = until
-                FaultKind.MACHINES_MUTE -> worker.muteUntil = until
+                FaultKind.MACHINES_CUT -> worker.partitionedUntil = until
+                FaultKind.MACHINES_DEAF -> worker.inboundCutUntil = until
+                FaultKind.MACHINES_MUTE -> worker.outboundCutUntil = until
                 FaultKind.MACHINES_HANG -> worker.hangUntil = clock.time.now + durationMs / 2
                 FaultKind.COMMANDS_HELD -> {
                     worker.commandsHeldMs = durationMs
                     worker.commandsHeldUntil = until
                 }
-                else -> cloud.take(worker.id)
+                else -> cloud.terminateMachine(worker.id)
             }
         }
     }
@@ -225,7 +225,7 @@
     private fun checkRecovery(faultsEndedAt: Long) {
         clock.runLocked {
             processFaults.forEach { it.lossRate = 0.0 }
-            rules.quietSince = clock.time.now
+            rules.faultFreeSince = clock.time.now
         }
         var unfinished = users.expectedJobs()
         while (unfinished.isNotEmpty()) {
--- a/src/test/kotlin/mountmast/soak/SoakUsers.kt
+++ b/src/test/kotlin/mountmast/soak/SoakUsers.kt
@@ -35,7 +35,7 @@
 
     /** Returns the accepted jobs that must get done: no user cancelled them or any of their direct or indirect prerequisites. */
     fun expectedJobs(): List<JobId> = accepted.distinct().filter { id ->
-        id !in cancelled && run.rules.ancestors(id).none { it in cancelled }
+        id !in cancelled && run.rules.transitivePrerequisites(id).none { it in cancelled }
     }
 
     /** Performs one random action of a user. */
@@ -91,11 +91,11 @@
 
     private fun sendSubmission(spec: JobSpec) {
         jobs[spec.id] = spec
-        run.clock.runLocked { run.rules.submitting(spec, run.clock.time.now) }
+        run.clock.runLocked { run.rules.recordSubmission(spec, run.clock.time.now) }
         val reply = send("POST", "/v1/jobs", WireJson.encodeToString(spec), SUBMIT_TIMEOUT_MS) ?: return
         run.clock.runLocked {
-            run.rules.submissionAnswered(spec.id, reply.status)
-            reply.jobStatus()?.let { run.rules.statusAnswered(spec.id, reply.status, it, run.clock.time.now) }
+            run.rules.checkSubmissionAnswer(spec.id, reply.status)
+            reply.jobStatus()?.let { run.rules.checkStatusAnswer(spec.id, reply.status, it, run.clock.time.now) }
         }
         if (reply.status in 200..201) accepted += spec.id
     }
@@ -104,9 +104,9 @@
 
     private fun sendCancellation(id: JobId) {
         cancelled += id
-        run.clock.runLocked { run.rules.cancelling(id) }
+        run.clock.runLocked { run.rules.recordCancellation(id) }
         val reply = send("POST", "/v1/jobs/$id/cancel", "", SUBMIT_TIMEOUT_MS) ?: return
-        run.clock.runLocked { run.rules.statusAnswered(id, reply.status, reply.jobStatus(), run.clock.time.now) }
+        run.clock.runLocked { run.rules.checkStatusAnswer(id, reply.status, reply.jobStatus(), run.clock.time.now) }
     }
 
     /** Returns the status in the response to a user, or null if there is none. */
@@ -116,8 +116,8 @@
         val askedAt = run.clock.runLocked { run.clock.time.now }
         val reply = send("GET", "/v1/jobs/$id", null, POLL_TIMEOUT_MS)
         return run.clock.runLocked {
-            run.rules.asked(id, reply?.status == 200, run.clock.time.now)
-            if (reply != null) run.rules.statusAnswered(id, reply.status, reply.jobStatus(), run.clock.time.now, askedAt)
+            run.rules.recordStatusRequest(id, reply?.status == 200, run.clock.time.now)
+            if (reply != null) run.rules.checkStatusAnswer(id, reply.status, reply.jobStatus(), run.clock.time.now, askedAt)
             reply?.jobStatus()
         }
     }
--- a/src/test/kotlin/mountmast/soak/WorkerFleet.kt
+++ b/src/test/kotlin/mountmast/soak/WorkerFleet.kt
@@ -13,7 +13,7 @@
 import mountmast.protocol.TaskState
 import mountmast.protocol.WireJson
 import mountmast.protocol.WorkerCommand
-import mountmast.standin.StandInWorker
+import mountmast.standin.SimulatedWorker
 import mountmast.transport.HttpCaller
 import mountmast.transport.NoAnswerException
 import mountmast.transport.Reply
@@ -54,7 +54,7 @@
     fun step() {
         for (worker in run.cloud.workers) {
             worker.step()
-            if (!worker.alive || worker.hanging || clock.time.now < worker.nextHeartbeatAt || !inFlight.add(worker.id)) continue
+            if (!worker.isAlive || worker.isHanging || clock.time.now < worker.nextHeartbeatAt || !inFlight.add(worker.id)) continue
             servers.computeIfAbsent(worker.id) { LoopbackHttpServer(executor) { request -> handleCommands(worker, request) } }
             val heartbeat = heartbeatOf(worker)
             val sentAt = clock.time.now
@@ -64,7 +64,7 @@
         }
     }
 
-    private fun heartbeatOf(worker: StandInWorker): Heartbeat {
+    private fun heartbeatOf(worker: SimulatedWorker): Heartbeat {
         val heartbeat = worker.heartbeat().copy(address = checkNotNull(addressOf(worker.id)))
         if (run.breakage != Breakage.DONE_TOO_EARLY) return heartbeat
         return heartbeat.copy(
@@ -97,12 +97,12 @@
         }
     }
 
-    private fun sendHeartbeat(worker: StandInWorker, heartbeat: Heartbeat, sentAt: Long) {
+    private fun sendHeartbeat(worker: SimulatedWorker, heartbeat: Heartbeat, sentAt: Long) {
         try {
-            val target = worker.target
+            val target = worker.targetNodeIndex
             val link = links[target]
-            val reply = if (worker.cut || worker.mute || link.heartbeatsLost) null else post(target, heartbeat)
-            val isLost = reply == null || worker.cut || worker.deaf || link.responsesLost
+            val reply = if (worker.isPartitioned || worker.isOutboundCut || link.heartbeatsLost) null else post(target, heartbeat)
+            val isLost = reply == null || worker.isPartitioned || worker.isInboundCut || link.responsesLost
             clock.runLocked {
                 if (isLost || !isComplete(reply)) {
                     targetNextController(worker)
@@ -127,47 +127,47 @@
     /** A controller that is killed while responding may leave an empty body. */
     private fun isComplete(reply: Reply?) = reply != null && (reply.status !in setOf(200, 421) || reply.bytes.isNotEmpty())
 
-    private fun handleResponse(worker: StandInWorker, heartbeat: Heartbeat, sentAt: Long, reply: Reply) {
+    private fun handleResponse(worker: SimulatedWorker, heartbeat: Heartbeat, sentAt: Long, reply: Reply) {
         when (reply.status) {
             200 -> {
                 val response = WireJson.decodeFromString<HeartbeatResponse>(reply.text)
                 recordStarts(response.commands.filter { it.type == CommandType.START }.map { it.task })
-                worker.answered(response.token, removeIgnoredStops(response.commands), sentAt, heartbeat.incarnation)
+                worker.onHeartbeatAnswer(response.token, removeIgnoredStops(response.commands), sentAt, heartbeat.incarnation)
             }
             421 -> {
                 val next = WireJson.decodeFromString<Redirect>(reply.text).leader?.text?.substringAfterLast('-')?.toIntOrNull()
-                if (next == null || next == worker.target) return targetNextController(worker)
-                worker.target = next
+                if (next == null || next == worker.targetNodeIndex) return targetNextController(worker)
+                worker.targetNodeIndex = next
                 worker.nextHeartbeatAt = clock.time.now + random.nextLong(0, MAX_REDIRECT_DELAY_MS)
             }
             else -> targetNextController(worker)
         }
     }
 
-    private fun targetNextController(worker: StandInWorker) {
-        worker.target = (worker.target + 1) % SoakDeployment.NODE_COUNT
+    private fun targetNextController(worker: SimulatedWorker) {
+        worker.targetNodeIndex = (worker.targetNodeIndex + 1) % SoakDeployment.NODE_COUNT
         worker.nextHeartbeatAt = clock.time.now + RETRY_DELAY_MS
     }
 
     private fun recordStarts(tasks: List<String>) {
-        for (task in tasks) TaskId.parse(task)?.let { run.rules.startCommanded(it.job, clock.time.now) }
+        for (task in tasks) TaskId.parse(task)?.let { run.rules.checkStartCommand(it.job, clock.time.now) }
     }
 
     private fun resendLater(heartbeat: Heartbeat) {
         val target = random.nextInt(SoakDeployment.NODE_COUNT)
-        clock.time.later(random.nextLong(1000, 2 * SoakDeployment.LEASE_MS)) { submit { post(target, heartbeat) } }
+        clock.time.schedule(random.nextLong(1000, 2 * SoakDeployment.LEASE_MS)) { submit { post(target, heartbeat) } }
     }
 
     /** Drops the direct commands in [request], delays them, or executes them at once. Returns null where no response is sent. */
-    private fun handleCommands(worker: StandInWorker, request: LoopbackHttpRequest): LoopbackHttpResponse? {
+    private fun handleCommands(worker: SimulatedWorker, request: LoopbackHttpRequest): LoopbackHttpResponse? {
         // A controller that is killed while sending a command may leave an empty body.
         if (request.body.isEmpty()) return LoopbackHttpResponse(400, "{}")
         val message = WireJson.decodeFromString<CommandRequest>(request.body)
         return clock.runLocked {
-            if (!worker.alive || worker.cut || worker.deaf) return@runLocked null
-            val heldMs = if (worker.hanging) worker.hangUntil - clock.time.now else worker.commandsHeldMs
-            if (worker.hanging || clock.time.now < worker.commandsHeldUntil) {
-                clock.time.later(heldMs) { if (worker.alive) worker.execute(message.token, message.incarnation, message.commands) }
+            if (!worker.isAlive || worker.isPartitioned || worker.isInboundCut) return@runLocked null
+            val heldMs = if (worker.isHanging) worker.hangUntil - clock.time.now else worker.commandsHeldMs
+            if (worker.isHanging || clock.time.now < worker.commandsHeldUntil) {
+                clock.time.schedule(heldMs) { if (worker.isAlive) worker.execute(message.token, message.incarnation, message.commands) }
                 return@runLocked null
             }
             recordStarts(message.commands.filter { it.type == CommandType.START }.map { it.task })
--- a/src/test/kotlin/mountmast/standin/ProcessFaults.kt
+++ b/src/test/kotlin/mountmast/standin/ProcessFaults.kt
@@ -2,64 +2,76 @@
 
 import kotlin.random.Random
 
-/** The faults that the process of node [number] has at present. Times are those of the virtual time, in milliseconds. */
+/** The faults injected at present into the controller process of node [number]. All times are virtual times in milliseconds. */
 class ProcessFaults(private val time: VirtualTime, val number: Int = -1) {
+    /** Probability with which a message of the process is lost. */
     var lossRate = 0.0
+
+    /** Virtual time until which requests to the state service get no answer. */
     var storeCutUntil = 0L
+
+    /** Virtual time until which the state service refuses the requests of this process. */
     var storeRefusedUntil = 0L
     var workersCutUntil = 0L
+
+    /** Virtual time until which the process runs no steps and answers no requests. */
     var stalledUntil = 0L
     var peersCutUntil = 0L
 
-    /** Its watches of the state service get no answer, while all other requests do. */
-    var watchesNothingUntil = 0L
+    /** Virtual time until which watches of the state service time out, while all other requests of the process work. */
+    var watchesBlockedUntil = 0L
+
+    /** Virtual time until which the process receives heartbeats, but none of its answers and commands reaches a worker. */
+    var sendsBlockedUntil = 0L
 
-    /** Heartbeats arrive, but nothing that this node sends reaches any worker. */
-    var sendsNothingUntil = 0L
-    var dieAtNextCall = false
+    /** Kills the process in one of its next requests. */
+    var killAtNextRequest = false
 
-    /** How long the process pauses in the middle of a step, from one of its next calls on. */
-    var pauseAtNextCallMs = 0L
+    /** How long, in milliseconds, the process will pause in one of its next requests; 0 for no pause. */
+    var pauseAtNextRequestMs = 0L
 
-    /** Lets time pass for all other processes. */
-    var standStill: (Long) -> Unit = {}
+    /** Pauses this process for the given milliseconds, while virtual time passes for everything else. */
+    var pauseProcess: (Long) -> Unit = {}
 
-    /** A share of its transactions gets no answer and is executed seconds later, after newer ones. */
+    /** Virtual time until which one in [LATE_ONE_IN] transactions times out and is executed seconds later, after newer ones. */
     var lateWritesUntil = 0L
 
-    fun writesLate(random: Random) = time.now < lateWritesUntil && random.nextInt(LATE_ONE_IN) == 0
+    fun drawsLateWrite(random: Random) = time.now < lateWritesUntil && random.nextInt(LATE_ONE_IN) == 0
 
-    /** Whether requests that were executed may be executed once more, long afterwards. */
-    var repeats = false
+    /** Whether executed requests may be executed a second time, up to a minute later. */
+    var repeatsRequests = false
 
     fun isCutFromPeers() = time.now < peersCutUntil
     fun isCutFromStore() = time.now < storeCutUntil
     fun isRefusedByStore() = time.now < storeRefusedUntil
-    fun watchesNothing() = time.now < watchesNothingUntil
-    fun sendsNothing() = time.now < sendsNothingUntil
+    fun areWatchesBlocked() = time.now < watchesBlockedUntil
+    fun areSendsBlocked() = time.now < sendsBlockedUntil
     fun isCutFromWorkers() = time.now < workersCutUntil
     fun isStalled() = time.now < stalledUntil
 
-    /** Pauses or ends the process, if that is due. Called before a request of it is executed, and before it gets the answer. */
+    /**
+     * Injects a pending pause or kill, each with a probability of one third. Called before a request of the process is executed,
+     * and before the process gets the answer. Throws [NodeDied] if it kills the process.
+     */
     fun interruptIfDue(random: Random) {
-        if (pauseAtNextCallMs > 0 && random.nextInt(3) == 0) {
-            val ms = pauseAtNextCallMs
-            pauseAtNextCallMs = 0
-            standStill(ms)
+        if (pauseAtNextRequestMs > 0 && random.nextInt(3) == 0) {
+            val ms = pauseAtNextRequestMs
+            pauseAtNextRequestMs = 0
+            pauseProcess(ms)
         }
-        if (dieAtNextCall && random.nextInt(3) == 0) {
-            dieAtNextCall = false
+        if (killAtNextRequest && random.nextInt(3) == 0) {
+            killAtNextRequest = false
             throw NodeDied()
         }
     }
 
-    /** Now and then has the request that was just executed [act] again, from a moment to minutes later. */
+    /** If [repeatsRequests], executes one in [REPEAT_ONE_IN] requests, [act], a second time, up to a minute later. */
     fun repeatLaterIfDue(random: Random, act: () -> Unit) {
-        if (repeats && random.nextInt(REPEATED_ONE_IN) == 0) time.later(random.nextLong(50, 60_000)) { runCatching(act) }
+        if (repeatsRequests && random.nextInt(REPEAT_ONE_IN) == 0) time.schedule(random.nextLong(50, 60_000)) { runCatching(act) }
     }
 
     private companion object {
-        const val REPEATED_ONE_IN = 12
+        const val REPEAT_ONE_IN = 12
         const val LATE_ONE_IN = 4
     }
 }
--- a/src/test/kotlin/mountmast/standin/World.kt
+++ b/src/test/kotlin/mountmast/standin/SimulatedCluster.kt
@@ -13,15 +13,21 @@
 import mountmast.protocol.Zone
 import kotlin.random.Random
 
-/** Three controllers with everything around them, in virtual time, drawn from one seed. Rules are checked after each step. */
-class World(
+/**
+ * A simulated cluster in virtual time: three controllers with simulated workers, users, network, cloud and state service. All
+ * random draws come from [seed]. [InvariantChecker] checks the rules of PROTOCOL in each run.
+ *
+ * @param isNetworkReliable whether the network neither loses, delays nor repeats messages, unless a fault is injected
+ * @param machinesPerOffering how many machines the cloud has of each machine type in each zone, for spot and on-demand machines each
+ */
+class SimulatedCluster(
     val seed: Long,
-    val quietNetwork: Boolean = false,
-    perOffer: Int = 4,
+    val isNetworkReliable: Boolean = false,
+    machinesPerOffering: Int = 4,
     val limits: FallingLimits = FallingLimits(),
-    /** Whether the nodes learn that all of them read the current forms. */
-    val agreesOnForms: Boolean = true,
-    /** The version of the program that all nodes begin with. */
+    /** Whether the nodes learn that all of them read the current data formats. */
+    val negotiatesFormats: Boolean = true,
+    /** The version that all nodes run at first. */
     version: NodeVersion = NodeVersion.CURRENT,
 ) {
     val random = Random(seed)
@@ -36,28 +42,28 @@
         MachineType(TypeId("s"), 4.0, 0.0, 16.0, 20.0, 1.0, 0.3, 0.1, 4.0, zones),
         MachineType(TypeId("l"), 16.0, 0.0, 64.0, 40.0, 0.5, 1.2, 0.38, 5.0, zones),
     )
-    val rules = Rules(teams, CANCEL_MS)
-    val users = Users(this)
+    val invariants = InvariantChecker(teams, CANCEL_MS)
+    val users = SimulatedUsers(this)
     val jobs: Map<JobId, JobSpec> get() = users.jobs
 
     /** Jobs whose tasks fail on every machine. */
-    val poisoned = HashSet<JobId>()
-    val store = StandInStore(time, limits = limits)
-    val cloud = StandInCloud(time, random, types, perOffer) { id, request ->
-        StandInWorker(
-            id, types.first { it.id == request.type }, request.zone, request.spot, time, rules, LEASE_MS, jobs::get,
-            poisoned::contains, users::taskDone,
+    val failingJobs = HashSet<JobId>()
+    val store = SimulatedStateStore(time, limits = limits)
+    val cloud = SimulatedCloud(time, random, types, machinesPerOffering) { id, request ->
+        SimulatedWorker(
+            id, types.first { it.id == request.type }, request.zone, request.spot, time, invariants, LEASE_MS, jobs::get,
+            failingJobs::contains, users::onTaskCompleted,
         )
     }
-    val network = Network(this)
+    val network = SimulatedNetwork(this)
     val faultInjector = FaultInjector(this)
     val hosts = List(NODES) { ControllerHost(this, it, version) }
-    private val waitingCheck = WaitingCheck(this)
+    private val starvationCheck = StarvationCheck(this)
 
-    /** Whether users may name prerequisites: nothing new is asked while nodes of the version before may run. */
-    val usesPipelines: Boolean get() = hosts.all { it.version == NodeVersion.CURRENT }
+    /** Whether users submit jobs with prerequisites; they do not while a node runs the production release, which lacks them. */
+    val usesPrerequisites: Boolean get() = hosts.all { it.version == NodeVersion.CURRENT }
 
-    /** Lets [ms] pass, step by step. */
+    /** Runs the simulation for [ms] milliseconds, in steps of 20 to 90 ms; if [busy], users submit and cancel jobs. */
     fun run(ms: Long, busy: Boolean) {
         val until = time.now + ms
         while (time.now < until) {
@@ -69,13 +75,13 @@
             }
             hosts.shuffled(random).forEach { it.step() }
             users.step(busy)
-            rules.check(time.now)
-            hosts.firstOrNull { it.violations > 0 }?.let { throw RuleBroken("invariant violated by ${it.name}, seed $seed") }
-            waitingCheck.step()
+            invariants.checkCancelledJobs(time.now)
+            hosts.firstOrNull { it.violations > 0 }?.let { throw InvariantViolation("invariant violated by ${it.name}, seed $seed") }
+            starvationCheck.step()
         }
     }
 
-    /** A job that may be of any kind. */
+    /** Returns a random job with the id of [number], after [change]. */
     fun job(number: Int, change: (JobSpec) -> JobSpec = { it }): JobSpec {
         val cpus = listOf(1.0, 2.0, 4.0, 7.0).random(random)
         return change(
@@ -90,7 +96,7 @@
         )
     }
 
-    /** An array of four tasks that may run anywhere. */
+    /** Returns an array job of four tasks that may run on any machine, after [change]. */
     fun plainJob(number: Int, change: (JobSpec) -> JobSpec = { it }) = job(number) { drawn ->
         change(
             drawn.copy(
@@ -109,21 +115,21 @@
 
     fun poll(id: JobId, at: ControllerHost? = null): JobStatus? = users.poll(id, at)
 
-    fun submitOdd() = users.submitOdd()
+    fun submitInvalidJob() = users.submitInvalidJob()
 
     fun cancelServices() = users.cancelServices()
 
-    fun cancelsAtEnd(ms: Long) = users.cancelsAtEnd(ms)
+    fun cancelOnTaskCompletion(ms: Long) = users.cancelOnTaskCompletion(ms)
 
-    fun unfinished(): List<JobId> = users.unfinished()
+    fun unfinishedJobs(): List<JobId> = users.unfinishedJobs()
 
-    /** One failure, drawn from the seed. */
-    fun fail() = faultInjector.draw()
+    /** Injects one random fault. */
+    fun injectRandomFault() = faultInjector.injectRandomFault()
 
-    fun cutOff(zone: Zone, ms: Long) = network.cutOff(zone, ms)
+    fun partitionZone(zone: Zone, ms: Long) = network.partitionZone(zone, ms)
 
-    /** Direct commands to [worker] are held up for [ms], and carried out then. */
-    fun holdCommands(worker: StandInWorker, ms: Long) {
+    /** For [ms], direct commands to [worker] are held up; each is carried out [ms] after it was sent. */
+    fun holdCommands(worker: SimulatedWorker, ms: Long) {
         worker.commandsHeldMs = ms
         worker.commandsHeldUntil = time.now + ms
     }
