--- a/src/test/kotlin/mountmast/coordination/controller/DayDigestTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/DayDigestTest.kt
@@ -8,12 +8,12 @@
 import java.io.File
 import java.io.Writer
 
-/** Days in virtual time repeat, so that their digests tell whether a change of the sources changed any behaviour. */
+/** Simulated days are reproducible, so that a changed digest shows that a change of the sources changed behaviour. */
 class DayDigestTest {
-    private class Played(val digest: String, val events: Int)
+    private class DayResult(val digest: String, val events: Int)
 
-    /** Plays the day of [seed] for at least [ms] after its calm start: quiet for odd seeds, with failures for even ones. */
-    private fun play(seed: Long, ms: Long, trace: Appendable? = null): Played {
+    /** Simulates the day of [seed] for at least [ms] after its calm start: without failures for odd seeds, with failures for even ones. */
+    private fun simulateDay(seed: Long, ms: Long, trace: Appendable? = null): DayResult {
         val isQuiet = seed % 2 == 1L
         val world = World(seed, isQuiet)
         val digest = DayDigest(trace)
@@ -27,14 +27,14 @@
             world.run(world.random.nextLong(2000, 15_000), busy = true)
         }
         world.run(CALM_END_MS, busy = false)
-        return Played(digest.finish(), digest.events)
+        return DayResult(digest.finish(), digest.events)
     }
 
     @Test
     fun `a seed gives the same day each time`() = listOf(1L, 2L).forEach { seed ->
-        val first = play(seed, SHORT_DAY_MS)
+        val first = simulateDay(seed, SHORT_DAY_MS)
 
-        val second = play(seed, SHORT_DAY_MS)
+        val second = simulateDay(seed, SHORT_DAY_MS)
 
         assertEquals(first.digest, second.digest, "seed $seed")
         assertEquals(first.events, second.events, "seed $seed")
@@ -42,20 +42,23 @@
 
     @Test
     fun `two seeds give different days`() {
-        assertNotEquals(play(1, SHORT_DAY_MS).digest, play(3, SHORT_DAY_MS).digest)
-        assertNotEquals(play(2, SHORT_DAY_MS).digest, play(4, SHORT_DAY_MS).digest)
+        assertNotEquals(simulateDay(1, SHORT_DAY_MS).digest, simulateDay(3, SHORT_DAY_MS).digest)
+        assertNotEquals(simulateDay(2, SHORT_DAY_MS).digest, simulateDay(4, SHORT_DAY_MS).digest)
     }
 
-    /** With `-Dmountmast.digests=FIRST-LAST`; `-Dmountmast.digestTrace=FILE` also writes every event to that file. */
+    /**
+     * Prints the digests of the seeds that `-Dmountmast.digests=FIRST-LAST` names; does nothing without that property.
+     * `-Dmountmast.digestTrace=FILE` also writes every event to that file.
+     */
     @Test
-    fun `digests of the seeds asked for are printed`() {
+    fun `digests of the requested seeds are printed`() {
         val (first, last) = System.getProperty("mountmast.digests")?.split('-')?.map(String::toLong) ?: return
         val trace = System.getProperty("mountmast.digestTrace")?.let { File(it).bufferedWriter() } ?: Writer.nullWriter()
         trace.use {
             for (seed in first..last) {
                 trace.append("seed $seed\n")
-                val played = play(seed, DAY_MS, trace)
-                println("digest $seed ${played.digest} events=${played.events}")
+                val result = simulateDay(seed, DAY_MS, trace)
+                println("digest $seed ${result.digest} events=${result.events}")
             }
         }
     }
--- a/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
@@ -15,33 +15,34 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Some 4,000 machines with 32,000 tasks: filled, reconnecting, failing over, cut, under falling limits. The rules are checked after
- * each step.
+ * About 4,000 machines with 32,000 tasks: all workers reconnect at once, leaders change, a quarter of the machines is partitioned, and
+ * the limits of the state service fall. The rules are checked after each step of the simulation.
  */
 class LargeClusterTest {
     private val limits = FallingLimits(StateLimits(500.0, 80.0, 8.0, 16), StateLimits(500.0, 80.0, 2.0, 8), fallsAtMs = 95_000)
     private val world = World(91, quietNetwork = true, perOffer = 525, limits = limits)
 
-    private fun spec(number: Int, tasks: Int, cpus: Double, runS: Double, needs: List<JobId> = emptyList()): JobSpec = world.job(number) {
-        it.copy(
-            team = TeamId("free"), shape = Shape.ARRAY, urgency = Urgency.NORMAL, tasks = tasks, cpus = cpus, memoryGb = 2 * cpus,
-            image = ImageId(
-                "i",
-            ),
-            imageGb = 0.2, types = null, zone = null, singleZone = false, spreadAcrossZones = false, spotAllowed = true,
-            estimateS = runS, checkpointEveryS = 0.0, deadlineS = null, prerequisites = needs,
-        )
-    }
+    private fun spec(number: Int, tasks: Int, cpus: Double, runS: Double, prerequisites: List<JobId> = emptyList()): JobSpec =
+        world.job(number) {
+            it.copy(
+                team = TeamId("free"), shape = Shape.ARRAY, urgency = Urgency.NORMAL, tasks = tasks, cpus = cpus, memoryGb = 2 * cpus,
+                image = ImageId(
+                    "i",
+                ),
+                imageGb = 0.2, types = null, zone = null, singleZone = false, spreadAcrossZones = false, spotAllowed = true,
+                estimateS = runS, checkpointEveryS = 0.0, deadlineS = null, prerequisites = prerequisites,
+            )
+        }
 
     private fun submit(spec: JobSpec): JobId {
         assertEquals(201, world.submit(spec))
         return spec.id
     }
 
-    private fun leader() = world.hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
+    private fun leaderTerm() = world.hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
-    /** Every worker reconnects at once, to nodes that have all ended, and end again before they have recovered. */
-    private fun reconnectAllWorkersWhileAllNodesEndTwice() {
+    /** Crashes all nodes, and again before they have recovered; every worker reconnects to a random node at once. */
+    private fun reconnectAllWorkersWhileAllNodesCrashTwice() {
         world.hosts.forEach { it.crash(world.random.nextLong(50, 800)) }
         world.cloud.workers.forEach { it.target = world.random.nextInt(World.NODES) }
         world.run(2500, busy = false)
@@ -49,7 +50,7 @@
         world.run(15_000, busy = false)
     }
 
-    private fun assigned() = leader().cluster.machines.values.sumOf { it.live.size }
+    private fun countAssignments() = leaderTerm().cluster.machines.values.sumOf { it.live.size }
 
     @Test
     fun `4000 machines are filled, reconnect at once, fail over, are cut in part and meet lower limits`() {
@@ -61,26 +62,26 @@
         assertTrue(started > ALL_TASKS * 0.9, "$started starts")
         assertTrue(world.store.writes < 3000, "${world.store.writes} writes")
 
-        // A pipeline goes on beside all that follows.
+        // These three jobs form a chain of prerequisites and run during all of the following failures.
         val first = submit(spec(501, 4, cpus = 0.1, runS = 5.0))
-        val second = submit(spec(502, 4, cpus = 0.1, runS = 20.0, needs = listOf(first)))
-        val last = submit(spec(503, 4, cpus = 0.1, runS = 5.0, needs = listOf(second)))
+        val second = submit(spec(502, 4, cpus = 0.1, runS = 20.0, prerequisites = listOf(first)))
+        val last = submit(spec(503, 4, cpus = 0.1, runS = 5.0, prerequisites = listOf(second)))
 
-        reconnectAllWorkersWhileAllNodesEndTwice()
+        reconnectAllWorkersWhileAllNodesCrashTwice()
         assertTrue(world.rules.started - started < ALL_TASKS / 10, "${world.rules.started - started} starts after a failover")
-        assertTrue(assigned() > ALL_TASKS * 0.9, "${assigned()} assignments taken over")
-        assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.count { it.hasShownCurrentTerm } > 3500)
+        assertTrue(countAssignments() > ALL_TASKS * 0.9, "${countAssignments()} assignments after the failover")
+        assertTrue(leaderTerm().cluster.machines.values.filter { it.live.isNotEmpty() }.count { it.hasShownCurrentTerm } > 3500)
 
-        // The limits have fallen by now; a quarter of the machines is cut off for over a lease, and another leader follows.
-        val cut = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 4 == 0 }
-        cut.forEach { it.cutUntil = world.time.now + 9000 }
+        // The limits have fallen by now. A quarter of the machines is partitioned for longer than a lease, and the leader crashes.
+        val partitionedWorkers = world.cloud.workers.filter { it.alive && it.busy }.filterIndexed { i, _ -> i % 4 == 0 }
+        partitionedWorkers.forEach { it.cutUntil = world.time.now + 9000 }
         world.run(3000, busy = false)
         world.hosts.first { it.controller?.leaderTerm() != null }.crash(500)
         world.run(30_000, busy = false)
         assertEquals(0, world.store.tooLarge, "transactions over the limits")
-        assertTrue(assigned() > ALL_TASKS * 0.85, "${assigned()} assignments in the end")
+        assertTrue(countAssignments() > ALL_TASKS * 0.85, "${countAssignments()} assignments after the partition")
 
-        // A cancellation of thousands of tasks, and the pipeline's end.
+        // Five jobs with 2,000 tasks are cancelled, and the chain of three jobs completes.
         jobs.take(5).forEach { assertEquals(200, world.cancel(it)) }
         world.run(30_000, busy = false)
         assertEquals(0, jobs.take(5).sumOf { world.rules.runningOf(it) })
--- a/src/test/kotlin/mountmast/coordination/controller/OperatorSettingsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/OperatorSettingsTest.kt
@@ -17,7 +17,7 @@
         assertEquals(OperatorSettings(), OperatorSettings.read("example") { File("deploy/mountmast.example.xml").inputStream() })
 
     @Test
-    fun `values are taken over`() {
+    fun `values in the file override the defaults`() {
         val settings = read(
             """<mountmast><scheduler><borrowing>3</borrowing><guaranteed-from team="t">high</guaranteed-from></scheduler>
                <fleet><idle-return-s>90</idle-return-s></fleet></mountmast>""",
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `what is unknown, doubled or out of range is refused with line and element`() {
+    fun `unknown, repeated and out-of-range elements are rejected with line and element name`() {
         val cases = mapOf(
             "<mountmast>\n<scheduler><speed>1</speed></scheduler></mountmast>" to listOf("line 2", "speed"),
             "<mountmast>\n<scheduler/>\n<scheduler/></mountmast>" to listOf("line 3", "scheduler"),
@@ -42,9 +42,9 @@
             "<mountmast><overload><least-requests>9</least-requests><most-requests>3</most-requests></overload></mountmast>" to
                 listOf("least-requests"),
         )
-        for ((xml, words) in cases) {
-            val refused = assertThrows(InvalidSettingsException::class.java, { read(xml) }, xml)
-            for (word in words) assertTrue(word in refused.message!!, refused.message)
+        for ((xml, expectedWords) in cases) {
+            val exception = assertThrows(InvalidSettingsException::class.java, { read(xml) }, xml)
+            for (word in expectedWords) assertTrue(word in exception.message!!, exception.message)
         }
     }
 }
--- a/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
@@ -10,81 +10,82 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Jobs that depend on others, in a whole deployment in virtual time. The rules are checked after each step. */
+/** Jobs with prerequisites, in a simulated deployment in virtual time. The rules are checked after each step of the simulation. */
 class PipelinesTest {
     private val seeds = 1L..6L
 
-    private fun worlds(act: World.() -> Unit) = seeds.forEach { seed ->
+    private fun forEachWorld(test: World.() -> Unit) = seeds.forEach { seed ->
         val world = World(seed, quietNetwork = true)
         try {
-            world.act()
+            world.test()
         } catch (e: Throwable) {
             throw AssertionError("seed $seed at ${world.time.now} ms: ${e.message}", e)
         }
     }
 
-    private fun World.stage(number: Int, needs: List<JobId> = emptyList(), change: (JobSpec) -> JobSpec = { it }): JobId =
-        accept(plainJob(number) { change(it.copy(estimateS = 2.0, tasks = 2, prerequisites = needs)) })
+    private fun World.stage(number: Int, prerequisites: List<JobId> = emptyList(), change: (JobSpec) -> JobSpec = { it }): JobId =
+        accept(plainJob(number) { change(it.copy(estimateS = 2.0, tasks = 2, prerequisites = prerequisites)) })
 
-    private fun World.leader() = hosts.first { it.controller?.leaderTerm() != null }
+    private fun World.leaderHost() = hosts.first { it.controller?.leaderTerm() != null }
 
-    private fun World.runUntil(mostMs: Long, reached: () -> Boolean) {
-        val until = time.now + mostMs
-        while (!reached()) {
-            assertTrue(time.now < until, "not reached within $mostMs ms")
+    private fun World.runUntil(timeoutMs: Long, condition: () -> Boolean) {
+        val until = time.now + timeoutMs
+        while (!condition()) {
+            assertTrue(time.now < until, "the condition did not hold within $timeoutMs ms")
             run(100, busy = false)
         }
     }
 
-    private fun World.finish(jobs: Collection<JobId>, mostMs: Long = 120_000) = runUntil(mostMs) { jobs.all { poll(it)?.isFinal == true } }
+    private fun World.runUntilFinal(jobs: Collection<JobId>, timeoutMs: Long = 120_000) =
+        runUntil(timeoutMs) { jobs.all { poll(it)?.isFinal == true } }
 
     @Test
-    fun `a diamond runs stage by stage, each right after the one before`() = worlds {
+    fun `jobs that form a diamond run one after the other without delay`() = forEachWorld {
         val first = stage(1)
         val middle = listOf(stage(2, listOf(first)), stage(3, listOf(first)))
         val last = stage(4, middle)
-        finish(listOf(first, last) + middle)
+        runUntilFinal(listOf(first, last) + middle)
         (middle + first + last).forEach { assertEquals(JobStatus.DONE, poll(it)) }
-        // Four stages of some seconds each; waiting for a timer after each would show.
-        assertTrue(checkNotNull(rules.beganAfterMs(last)) < 45_000, "the last began after ${rules.beganAfterMs(last)} ms")
+        // Four jobs of a few seconds each; the last would start later than this if each waited for a periodic timer.
+        assertTrue(checkNotNull(rules.beganAfterMs(last)) < 45_000, "the last job started after ${rules.beganAfterMs(last)} ms")
     }
 
     @Test
-    fun `dependents of a cancelled job are cancelled with it, on every node`() = worlds {
+    fun `dependents of a cancelled job are cancelled with it, on every node`() = forEachWorld {
         val first = stage(1) { it.copy(estimateS = 300.0) }
         val second = stage(2, listOf(first))
         val third = stage(3, listOf(second))
         run(5000, busy = false)
         assertEquals(200, cancel(first))
         for (host in hosts) for (id in listOf(second, third)) assertEquals(JobStatus.CANCELLED, poll(id, host))
-        val late = stage(4, listOf(second))
-        for (host in hosts) assertEquals(JobStatus.CANCELLED, poll(late, host))
+        val lateDependent = stage(4, listOf(second))
+        for (host in hosts) assertEquals(JobStatus.CANCELLED, poll(lateDependent, host))
         run(30_000, busy = false)
-        for (id in listOf(second, third, late)) {
+        for (id in listOf(second, third, lateDependent)) {
             assertEquals(JobStatus.CANCELLED, poll(id))
             assertEquals(0, rules.startsOf(id))
         }
     }
 
     @Test
-    fun `cancelling a dependent leaves the jobs before it alone`() = worlds {
+    fun `cancelling a dependent does not cancel its prerequisites`() = forEachWorld {
         val first = stage(1) { it.copy(estimateS = 10.0) }
         val second = stage(2, listOf(first))
         val third = stage(3, listOf(second))
         assertEquals(200, cancel(second))
-        finish(listOf(first, second, third))
+        runUntilFinal(listOf(first, second, third))
         assertEquals(listOf(JobStatus.DONE, JobStatus.CANCELLED, JobStatus.CANCELLED), listOf(first, second, third).map { poll(it) })
     }
 
     @Test
-    fun `cancelled or done, the jobs after it follow, also when both come at the same moment`() = worlds {
+    fun `dependents end as their prerequisite does, also if it is cancelled as it completes`() = forEachWorld {
         val stages = (1..5).map { number ->
             stage(2 * number) to
                 stage(2 * number + 1, listOf(JobId("j-" + "${2 * number}".padStart(6, '0'))))
         }
         cancelsAtEnd(60_000)
         run(60_000, busy = false)
-        finish(stages.flatMap { listOf(it.first, it.second) })
+        runUntilFinal(stages.flatMap { listOf(it.first, it.second) })
         for ((first, second) in stages) {
             if (poll(first) == JobStatus.CANCELLED) assertEquals(JobStatus.CANCELLED, poll(second), "$second after $first")
         }
@@ -92,7 +93,7 @@
     }
 
     @Test
-    fun `a dependent submitted on another node just as its prerequisite ends runs soon`() = worlds {
+    fun `a dependent submitted on another node just as its prerequisite ends runs soon`() = forEachWorld {
         val first = stage(1)
         runUntil(60_000) { rules.startsOf(first) == 2 }
         runUntil(60_000) { rules.runningOf(first) == 0 }
@@ -101,31 +102,31 @@
     }
 
     @Test
-    fun `a new leader that has not read what became of a prerequisite lets its dependents wait`() = worlds {
+    fun `a new leader lets dependents wait until it has read the outcome of their prerequisites`() = forEachWorld {
         val first = stage(1)
-        finish(listOf(first))
+        runUntilFinal(listOf(first))
         val running = stage(2) { it.copy(estimateS = 40.0) }
         val second = stage(3, listOf(first, running))
         val third = stage(4, listOf(second))
         repeat(4) {
             run(random.nextLong(1000, 6000), busy = false)
-            leader().crash(random.nextLong(50, 3000))
+            leaderHost().crash(random.nextLong(50, 3000))
             runUntil(30_000) { hosts.any { it.controller?.leaderTerm() != null } }
         }
-        finish(listOf(running, second, third), mostMs = 240_000)
+        runUntilFinal(listOf(running, second, third), timeoutMs = 240_000)
         assertEquals(JobStatus.DONE, poll(third))
     }
 
     @Test
-    fun `the first answers after a long outage already tell what was cancelled with another`() = worlds {
+    fun `the first answers after a long outage report the dependents of a cancelled job as cancelled`() = forEachWorld {
         val first = stage(1) { it.copy(estimateS = 300.0) }
         val second = stage(2, listOf(first))
         val third = stage(3, listOf(second))
         run(5000, busy = false)
-        // The leader learns nothing of the cancellation, so nobody writes what follows from it.
-        leader().faults.storeRefusedUntil = time.now + 3000
-        leader().faults.peersCutUntil = time.now + 60_000
-        assertEquals(200, cancel(first, hosts.first { it !== leader() }))
+        // The leader does not learn of the cancellation, so no node writes that the dependents are cancelled as well.
+        leaderHost().faults.storeRefusedUntil = time.now + 3000
+        leaderHost().faults.peersCutUntil = time.now + 60_000
+        assertEquals(200, cancel(first, hosts.first { it !== leaderHost() }))
         store.outage(World.CANCEL_MS + 10_000)
         run(World.CANCEL_MS + 10_000, busy = false)
         for (host in hosts) for (id in listOf(third, second)) poll(id, host)?.let { assertEquals(JobStatus.CANCELLED, it) }
@@ -134,28 +135,28 @@
     }
 
     @Test
-    fun `jobs that can never run are refused at once, and a known one is known whatever it names`() = worlds {
+    fun `jobs that can never run are rejected, and a resubmitted job is accepted whatever prerequisites it names`() = forEachWorld {
         val first = stage(1)
         val service = accept(plainJob(2) { it.copy(shape = Shape.SERVICE, tasks = 1) })
-        // A node that does not know the machine types, or who reads what, answers 503 until it does.
+        // A node answers 503 until it knows the machine types and which formats the other nodes read.
         runUntil(20_000) { hosts.all { host -> host.controller?.let { it.formats.isCurrent && it.users.isReady() } == true } }
-        fun status(number: Int, needs: List<JobId>) = submit(plainJob(number) { it.copy(prerequisites = needs) })
-        assertEquals(422, status(3, listOf(JobId("j-777777"))))
-        assertEquals(422, status(4, listOf(first, JobId("j-000004"))))
-        assertEquals(422, status(5, listOf(first, service)))
-        assertEquals(200, status(1, listOf(JobId("j-777777"))))
-        assertEquals(201, status(6, listOf(first, first)))
+        fun submitWith(number: Int, prerequisites: List<JobId>) = submit(plainJob(number) { it.copy(prerequisites = prerequisites) })
+        assertEquals(422, submitWith(3, listOf(JobId("j-777777"))))
+        assertEquals(422, submitWith(4, listOf(first, JobId("j-000004"))))
+        assertEquals(422, submitWith(5, listOf(first, service)))
+        assertEquals(200, submitWith(1, listOf(JobId("j-777777"))))
+        assertEquals(201, submitWith(6, listOf(first, first)))
         assertNull(rules.beganAfterMs(JobId("j-000003")))
     }
 
     @Test
-    fun `a list of thousands of names is kept in parts and counts as a whole`() = worlds {
-        val named = (1..150).map { number -> accept(plainJob(number) { it.copy(tasks = 1, cpus = 0.1, estimateS = 1.0) }) }
-        val last = stage(900, named)
+    fun `a long list of prerequisites is stored in parts and counts as a whole`() = forEachWorld {
+        val prerequisites = (1..150).map { number -> accept(plainJob(number) { it.copy(tasks = 1, cpus = 0.1, estimateS = 1.0) }) }
+        val last = stage(900, prerequisites)
         assertTrue(store.largestValue < 2 * 1024, "a value of ${store.largestValue} bytes")
         assertEquals(JobStatus.PENDING, poll(last))
-        leader().crash(100)
-        finish(named + last, mostMs = 400_000)
+        leaderHost().crash(100)
+        runUntilFinal(prerequisites + last, timeoutMs = 400_000)
         assertEquals(JobStatus.DONE, poll(last))
     }
 }
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -15,31 +15,31 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** One kind of failure at a time: the rules hold, and the work gets done. The rules are checked after each step. */
+/** One kind of failure at a time: the jobs must complete. The rules are checked after each step of the simulation. */
 class RecoveryTest {
     private fun World.expectDone(ids: Collection<JobId>, withinMs: Long) {
         run(withinMs, busy = false)
         assertEquals(emptyList<JobId>(), ids.filter { poll(it) != JobStatus.DONE })
     }
 
-    private fun World.leader() = hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
+    private fun World.leaderTerm() = hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
 
     @Test
-    fun `a poisoned job is backed off and preempts nobody, while others get done`() {
+    fun `a job that fails on every machine is backed off and preempts nothing, and other jobs complete`() {
         val world = World(21, quietNetwork = true)
-        val doomed = world.plainJob(1) { it.copy(tasks = 8, urgency = Urgency.PRODUCTION) }
-        world.poisoned += doomed.id
-        world.accept(doomed)
+        val failingJob = world.plainJob(1) { it.copy(tasks = 8, urgency = Urgency.PRODUCTION) }
+        world.poisoned += failingJob.id
+        world.accept(failingJob)
         world.run(40_000, busy = false)
         val starts = world.rules.started
-        val good = (2..5).map { world.accept(world.plainJob(it)) }
-        world.expectDone(good, 40_000)
-        assertTrue(world.rules.started - starts < 16 + 12, "${world.rules.started - starts} starts: the doomed job is not backed off")
+        val otherJobs = (2..5).map { world.accept(world.plainJob(it)) }
+        world.expectDone(otherJobs, 40_000)
+        assertTrue(world.rules.started - starts < 16 + 12, "${world.rules.started - starts} starts: the failing job is not backed off")
         assertEquals(
             JobStatus.CANCELLED,
             world.run {
-                cancel(doomed.id)
-                poll(doomed.id)
+                cancel(failingJob.id)
+                poll(failingJob.id)
             },
         )
     }
@@ -49,24 +49,24 @@
         val world = World(22, quietNetwork = true)
         val first = (1..2).map { world.accept(world.plainJob(it)) }
         world.expectDone(first, 30_000)
-        val sick = world.cloud.workers.first { it.alive }.apply { sick = true }
+        val failingWorker = world.cloud.workers.first { it.alive }.apply { sick = true }
         world.expectDone((3..12).map { world.accept(world.plainJob(it)) }, 90_000)
-        assertTrue(!sick.alive, "the failing machine is still rented")
+        assertTrue(!failingWorker.alive, "the failing machine is still rented")
     }
 
     @Test
     fun `a slow machine is quarantined and scaled in, and its tasks get done elsewhere`() {
         val world = World(32, quietNetwork = true)
         world.expectDone((1..3).map { world.accept(world.plainJob(it)) }, 30_000)
-        val slow = world.cloud.workers.first { it.alive }.apply { slowTimes = 20 }
-        // Longer than the others, so that the job knows what its tasks take elsewhere.
+        val slowWorker = world.cloud.workers.first { it.alive }.apply { slowTimes = 20 }
+        // These jobs have more tasks than the first ones, so that the run time of tasks on other machines is known for each job.
         val jobs = (4..9).map { world.accept(world.plainJob(it) { spec -> spec.copy(tasks = 8) }) }
         world.expectDone(jobs, 90_000)
-        assertTrue(!slow.alive, "the slow machine is still rented")
+        assertTrue(!slowWorker.alive, "the slow machine is still rented")
     }
 
     @Test
-    fun `a wave of spot losses without notice is made good`() {
+    fun `jobs complete although all spot machines are lost at once without notice`() {
         val world = World(23)
         val jobs = (1..6).map { world.accept(world.plainJob(it) { spec -> spec.copy(estimateS = 8.0) }) }
         world.run(12_000, busy = false)
@@ -75,7 +75,7 @@
     }
 
     @Test
-    fun `a burst beyond all limits is worked off`() {
+    fun `a burst of jobs beyond all limits completes`() {
         val world = World(24)
         val jobs = (1..40).map { world.accept(world.plainJob(it) { spec -> spec.copy(team = world.teams.keys.random(world.random)) }) }
         world.expectDone(jobs, 200_000)
@@ -93,10 +93,10 @@
     }
 
     @Test
-    fun `an outage of the state service shorter than the grace kills no task`() {
+    fun `an outage of the state service shorter than the grace period kills no task`() {
         val world = World(26, quietNetwork = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
-        // One machine in twenty never boots, and is replaced only after a while.
+        // One machine in twenty never boots and is replaced only after its boot timeout, so the start of all four tasks may take long.
         repeat(60) { if (world.rules.started < 4) world.run(1000, busy = false) }
         val started = world.rules.started
         assertEquals(4, started)
@@ -108,14 +108,15 @@
 
     @Test
     fun `a cut-off leader scales nothing in when it comes back`() {
-        // Its cluster state showed every worker silent, and it once deleted all of them before it learned that it led no more.
+        // In the cluster state of a leader that was partitioned, every worker is silent. Such a leader once deleted all machines before
+        // it learned that it was no longer the leader.
         val world = World(27, quietNetwork = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(20_000, busy = false)
         val busy = world.cloud.workers.count { it.busy }
-        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
-        leading.faults.storeCutUntil = world.time.now + 30_000
-        leading.faults.workersCutUntil = world.time.now + 30_000
+        val leaderHost = world.hosts.first { it.controller?.leaderTerm() != null }
+        leaderHost.faults.storeCutUntil = world.time.now + 30_000
+        leaderHost.faults.workersCutUntil = world.time.now + 30_000
         world.run(45_000, busy = false)
         assertEquals(busy, world.cloud.workers.count { it.busy })
         assertEquals(4, world.rules.started)
@@ -124,30 +125,32 @@
 
     @Test
     fun `a leader that no worker reaches resigns`() {
+        // The leader still holds its lease in the store, but the leases of its workers would expire.
         val world = World(28, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 90.0, tasks = 4, cpus = 4.0, types = listOf(TypeId("s"))) })
         world.run(20_000, busy = false)
-        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
-        leading.faults.workersCutUntil = world.time.now + 60_000
+        val leaderHost = world.hosts.first { it.controller?.leaderTerm() != null }
+        leaderHost.faults.workersCutUntil = world.time.now + 60_000
         world.run(25_000, busy = false)
-        assertEquals(null, leading.controller?.leaderTerm())
+        assertEquals(null, leaderHost.controller?.leaderTerm())
         assertNotNull(world.hosts.firstNotNullOfOrNull { it.controller?.leaderTerm() })
     }
 
     @Test
-    fun `a job cancelled before its placement is in the store is finished`() {
-        // What was only intended of a cancelled job is not written, and once stayed for ever and held the limit.
+    fun `a job cancelled before its assignments are in the store is removed from the cluster state`() {
+        // An assignment that is not yet in the journal when its job is cancelled is never written. Such assignments once stayed in the
+        // cluster state forever and counted against the limit of their team.
         val world = World(29, quietNetwork = true)
         world.expectDone(listOf(world.accept(world.plainJob(1))), 30_000)
         val id = world.accept(world.plainJob(2))
-        val leading = world.hosts.first { it.controller?.leaderTerm() != null }.controller!!
-        leading.leaderWork.watchJobs(0)
-        leading.leaderWork.runSchedulingCycle()
-        assertTrue(world.leader().cluster.jobs.getValue(id).live.values.all { it.phase == Phase.INTENDED })
+        val leaderController = world.hosts.first { it.controller?.leaderTerm() != null }.controller!!
+        leaderController.leaderWork.watchJobs(0)
+        leaderController.leaderWork.runSchedulingCycle()
+        assertTrue(world.leaderTerm().cluster.jobs.getValue(id).live.values.all { it.phase == Phase.INTENDED })
         assertEquals(200, world.cancel(id))
         world.run(5000, busy = false)
-        assertEquals(null, world.leader().cluster.jobs[id])
-        assertEquals(0.0, world.leader().cluster.assignments.usageOf(TeamId("red")).cpus, 1e-9)
+        assertEquals(null, world.leaderTerm().cluster.jobs[id])
+        assertEquals(0.0, world.leaderTerm().cluster.assignments.usageOf(TeamId("red")).cpus, 1e-9)
     }
 
     @Test
@@ -180,57 +183,58 @@
 
     @Test
     fun `a leader that falls behind leaves users to the others while both serve`() {
-        // At the grown size it answered submissions too late, while the others were idle.
+        // In a larger cluster, an overloaded leader answered submissions too late while the other nodes were idle.
         val world = World(33, quietNetwork = true)
         world.run(15_000, busy = false)
-        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
+        val leaderHost = world.hosts.first { it.controller?.leaderTerm() != null }
         fun isReady() = world.hosts.map { it.controller?.users?.isReady() ?: false }
         assertEquals(listOf(true, true, true), isReady())
-        repeat(200) { leading.controller!!.recordWakeLag(200) }
+        repeat(200) { leaderHost.controller!!.recordWakeLag(200) }
         world.run(3000, busy = false)
-        assertEquals(world.hosts.map { it !== leading }, isReady())
-        world.hosts.first { it !== leading }.crash(10_000)
+        assertEquals(world.hosts.map { it !== leaderHost }, isReady())
+        world.hosts.first { it !== leaderHost }.crash(10_000)
         world.run(8000, busy = false)
-        assertTrue(leading.controller!!.users.isReady(), "one node alone is not enough for all users")
+        assertTrue(leaderHost.controller!!.users.isReady(), "a leader that falls behind left one node alone to serve all users")
     }
 
     @Test
-    fun `a starved job gets a task, with urgent work all around it`() {
+    fun `a job of normal urgency starts although urgent jobs keep arriving`() {
         val world = World(34, quietNetwork = true)
         val free = TeamId("free")
-        val big = world.plainJob(1) {
+        val largeJob = world.plainJob(1) {
             it.copy(team = free, tasks = 3, cpus = 16.0, memoryGb = 32.0, types = listOf(TypeId("l")), estimateS = 5.0)
         }
         val jobs = ArrayList<JobId>()
         var number = 10
-        fun flood() = repeat(12) {
+        fun submitUrgentJobs() = repeat(12) {
             val small = world.plainJob(number++) {
                 it.copy(team = free, urgency = Urgency.HIGH, tasks = 30, cpus = 1.0, memoryGb = 2.0, estimateS = 8.0)
             }
             jobs += world.accept(small)
         }
-        flood()
+        submitUrgentJobs()
         world.run(20_000, busy = false)
-        world.accept(big)
+        world.accept(largeJob)
         repeat(24) {
-            flood()
+            submitUrgentJobs()
             world.run(10_000, busy = false)
         }
-        val began = world.rules.beganAfterMs(big.id)
-        assertTrue(began != null && began < 240_000, "began after $began ms")
+        val startedAfterMs = world.rules.beganAfterMs(largeJob.id)
+        assertTrue(startedAfterMs != null && startedAfterMs < 240_000, "started after $startedAfterMs ms")
     }
 
     @Test
     fun `an unreached machine gets no more work and is scaled in, and its tasks run elsewhere`() {
+        // The machine's heartbeats arrive at the leader, but responses and commands do not arrive at the machine.
         val world = World(35, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(15_000, busy = false)
-        val deaf = world.cloud.workers.first { it.busy }.apply { deafUntil = world.time.now + 120_000 }
+        val unreachedWorker = world.cloud.workers.first { it.busy }.apply { deafUntil = world.time.now + 120_000 }
         world.run(12_000, busy = false)
         val since = world.time.now
         val jobs = (2..9).map { world.accept(world.plainJob(it)) }
         world.run(40_000, busy = false)
-        assertTrue(!deaf.alive, "still rented ${world.time.now - since} ms later")
+        assertTrue(!unreachedWorker.alive, "still rented ${world.time.now - since} ms later")
         world.expectDone(jobs, 60_000)
     }
 
@@ -241,39 +245,42 @@
         world.run(30_000, busy = false)
         val started = world.rules.started
         assertEquals(4, started)
-        val short = world.cloud.workers.first { it.busy }.apply { deafUntil = world.time.now + 2500 }
+        val unreachedWorker = world.cloud.workers.first { it.busy }.apply { deafUntil = world.time.now + 2500 }
         world.run(20_000, busy = false)
-        assertTrue(short.alive && short.busy, "scaled in or drained after two seconds")
+        assertTrue(unreachedWorker.alive && unreachedWorker.busy, "scaled in or drained although it was unreached for 2.5 s only")
         assertEquals(started, world.rules.started, "its tasks were started again")
     }
 
     @Test
     fun `a node that cannot send to any worker resigns and scales nothing in`() {
+        // Heartbeats arrive, but no response or command reaches any worker. A leader that took this for a fault of the machines would scale
+        // all of them in.
         val world = World(37, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
-        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
+        val leaderHost = world.hosts.first { it.controller?.leaderTerm() != null }
         val machines = world.cloud.workers.filter { it.alive }
         assertTrue(machines.size >= 3)
-        leading.faults.sendsNothingUntil = world.time.now + 40_000
+        leaderHost.faults.sendsNothingUntil = world.time.now + 40_000
         world.run(14_000, busy = false)
-        assertEquals(null, leading.controller?.leaderTerm(), "still leads")
-        assertTrue(machines.all { it.alive }, "machines were scaled in for the node's fault")
+        assertEquals(null, leaderHost.controller?.leaderTerm(), "still leads")
+        assertTrue(machines.all { it.alive }, "machines were scaled in although the fault is the node's")
     }
 
     @Test
-    fun `a leader cut off with its workers loses them to its successor long before its grace is over`() {
+    fun `a leader partitioned together with its workers loses them to its successor within its grace period`() {
         val world = World(38, quietNetwork = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(20_000, busy = false)
         val started = world.rules.started
-        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
-        leading.faults.storeCutUntil = world.time.now + 40_000
-        leading.faults.peersCutUntil = world.time.now + 40_000
-        // The lease expires, the successor waits a moment and announces itself to the workers: well before the grace of 13 s.
+        val leaderHost = world.hosts.first { it.controller?.leaderTerm() != null }
+        leaderHost.faults.storeCutUntil = world.time.now + 40_000
+        leaderHost.faults.peersCutUntil = world.time.now + 40_000
+        // Within 9 s the leader's lease expires and the successor announces itself to the workers, well before the end of the old leader's
+        // grace period of 13 s.
         world.run(9000, busy = false)
         val successor = world.hosts.mapNotNull { it.controller?.leaderTerm() }.maxBy { it.leaderLease.token }
-        assertTrue(successor !== leading.controller?.leaderTerm())
+        assertTrue(successor !== leaderHost.controller?.leaderTerm())
         assertTrue(
             successor.cluster.machines.values.filter {
                 it.live.isNotEmpty()
@@ -285,7 +292,7 @@
     }
 
     @Test
-    fun `nodes back within a fraction of a second, twice in a row and all at once, start nothing twice`() {
+    fun `nodes that all restart within a fraction of a second, several times in a row, start no task twice`() {
         for (seed in 40L..44L) {
             val world = World(seed, quietNetwork = true)
             val job = world.accept(world.plainJob(1) { it.copy(estimateS = 30.0) })
@@ -300,7 +307,7 @@
     }
 
     @Test
-    fun `a job is served by the other nodes while one is kept from the state service and all peers`() {
+    fun `jobs are served by the other nodes while one is partitioned from the state service and all peers`() {
         val world = World(39, quietNetwork = true)
         val job = world.accept(world.plainJob(1) { it.copy(estimateS = 90.0) })
         world.run(10_000, busy = false)
@@ -317,65 +324,69 @@
 
     @Test
     fun `a leader just elected does not take its own slow responses for unreached workers`() {
-        // After a crash of all nodes a cold leader responded later than workers wait, and resigned: all began once more.
+        // After a crash of all nodes, a leader that had just started responded to heartbeats only after the workers' timeout. It took the
+        // workers for unreached and resigned, so that recovery started again with another leader.
         val world = World(45, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 16, cpus = 2.0, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
         val former = world.hosts.first { it.controller?.leaderTerm() != null }
         former.crash(60_000)
         while (world.hosts.none { it.controller?.leaderTerm() != null }) world.run(200, busy = false)
-        val leading = world.hosts.first { it.controller?.leaderTerm() != null }
-        val leaderTerm = leading.controller!!.leaderTerm()
-        leading.faults.sendsNothingUntil = world.time.now + 8000
+        val leaderHost = world.hosts.first { it.controller?.leaderTerm() != null }
+        val leaderTerm = leaderHost.controller!!.leaderTerm()
+        leaderHost.faults.sendsNothingUntil = world.time.now + 8000
         world.run(13_000, busy = false)
-        assertTrue(leaderTerm === leading.controller!!.leaderTerm(), "resigned")
+        assertTrue(leaderTerm === leaderHost.controller!!.leaderTerm(), "resigned")
     }
 
     @Test
     fun `a machine that hung beyond its lease is used again and not scaled in`() = (1L..20L).forEach { seed ->
-        // Scaled in at once, a hundred hanging machines were replaced, which takes a boot, a fetch and a minute's pay.
+        // When hung machines were scaled in as soon as their leases had expired, a hundred of them were replaced at once. Each
+        // replacement takes a boot, a fetch of images and the price of one minute.
         val world = World(seed, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 8, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
-        val hung = world.cloud.workers.first { it.busy }.apply { hangUntil = world.time.now + World.LEASE_MS + 3000 }
+        val hungWorker = world.cloud.workers.first { it.busy }.apply { hangUntil = world.time.now + World.LEASE_MS + 3000 }
         world.run(World.LEASE_MS + 2500, busy = false)
-        assertEquals(MachineState.EXPIRED, world.leader().cluster.machines.getValue(hung.id).state, "seed $seed")
-        // What ran there may have found capacity elsewhere, so there has to be work for every machine.
+        assertEquals(MachineState.EXPIRED, world.leaderTerm().cluster.machines.getValue(hungWorker.id).state, "seed $seed")
+        // The lost tasks may run on other machines by now, so this job has enough tasks to occupy every machine.
         world.accept(world.plainJob(2) { it.copy(tasks = 400, estimateS = 90.0, team = TeamId("free")) })
         world.run(6000, busy = false)
-        assertTrue(hung.alive && hung.busy, "seed $seed: scaled in, or left idle")
-        hung.hangUntil = world.time.now + 60_000
+        assertTrue(hungWorker.alive && hungWorker.busy, "seed $seed: scaled in, or left idle")
+        hungWorker.hangUntil = world.time.now + 60_000
         world.run(3 * World.LEASE_MS, busy = false)
-        assertTrue(!hung.alive, "seed $seed: kept for good")
+        assertTrue(!hungWorker.alive, "seed $seed: kept for good")
     }
 
     @Test
     fun `commands are not sent to machines that are silent`() = (45L..50L).forEach { seed ->
-        // Each occupied a delivery thread until its deadline, and with a part of the machines cut all other commands waited behind them.
+        // A request to a partitioned machine occupied a delivery thread until it timed out. With a fifth of the machines partitioned, the
+        // commands to all other machines were delayed.
         val world = World(seed, quietNetwork = true, perOffer = 30)
-        // A heartbeat from before the cut that arrives only now is news, so the machine would not count as silent.
+        // If a heartbeat from before the partition arrived during it, its machine would not count as silent.
         world.network.delaysHeartbeats = false
         world.accept(world.plainJob(1) { it.copy(tasks = 120, estimateS = 30.0, team = TeamId("free"), spotAllowed = false) })
         world.run(30_000, busy = false)
-        val cut = world.cloud.workers.filter { it.alive }.take(20).onEach { it.cutUntil = world.time.now + 60_000 }
+        val partitionedWorkers = world.cloud.workers.filter { it.alive }.take(20).onEach { it.cutUntil = world.time.now + 60_000 }
         world.run(6500, busy = false)
         val before = world.network.commandsLost
         val id = world.accept(world.plainJob(2) { it.copy(tasks = 40, team = TeamId("free")) })
         world.run(4000, busy = false)
         world.cancel(id)
         world.run(2000, busy = false)
-        assertTrue(cut.all { it.alive })
+        assertTrue(partitionedWorkers.all { it.alive })
         assertEquals(before, world.network.commandsLost)
     }
 
     @Test
-    fun `a node that stands still for leases in the middle of anything breaks no rule and loses no job`() {
+    fun `a process that pauses for up to four lease durations in the middle of a step loses no job`() {
+        // The process then continues with state from before the pause, when another node may have become leader.
         for (seed in 50L..61L) {
             val world = World(seed)
             val jobs = (1..4).map { world.accept(world.plainJob(it) { spec -> spec.copy(estimateS = 12.0) }) }
             repeat(5) {
-                val leading = world.hosts.firstOrNull { it.controller?.leaderTerm() != null }
-                (leading ?: world.hosts.first()).faults.pauseAtNextCallMs = world.random.nextLong(200, 4 * World.LEASE_MS)
+                val leaderHost = world.hosts.firstOrNull { it.controller?.leaderTerm() != null }
+                (leaderHost ?: world.hosts.first()).faults.pauseAtNextCallMs = world.random.nextLong(200, 4 * World.LEASE_MS)
                 world.run(world.random.nextLong(1000, 12_000), busy = false)
             }
             world.rules.quietSince = world.time.now + 4 * World.LEASE_MS
@@ -384,7 +395,7 @@
     }
 
     @Test
-    fun `a zone cut off from all else loses no job, with controllers and work on either side`() {
+    fun `a partitioned zone loses no job, with controllers and tasks on either side`() {
         for (seed in 70L..75L) {
             val world = World(seed, quietNetwork = true)
             val jobs = (1..6).map { number ->
@@ -399,6 +410,7 @@
 
     @Test
     fun `an attempt that was stopped is not forgotten, since its start may come once more`() {
+        // A duplicate of a start command runs an attempt again if the worker has forgotten it, even long after the job was cancelled.
         val world = World(48, quietNetwork = true)
         val id = world.accept(world.plainJob(1) { it.copy(estimateS = 60.0) })
         world.run(15_000, busy = false)
--- a/src/test/kotlin/mountmast/coordination/controller/RulesUnderFailureTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RulesUnderFailureTest.kt
@@ -5,33 +5,33 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Random days in virtual time. A failing seed is printed; run it again with `-Dmountmast.seed=N`. */
+/** Simulates random days in virtual time. A failure names its seed; `-Dmountmast.seed=N` runs that seed alone. */
 class RulesUnderFailureTest {
-    /** `-Dmountmast.days=N` plays more days than the build does. */
+    /** The seeds 1 to [count], or 1 to N with `-Dmountmast.days=N`, or only N with `-Dmountmast.seed=N`. */
     private fun seeds(count: Int): LongRange = System.getProperty("mountmast.seed")?.toLong()?.let { it..it }
         ?: 1L..(System.getProperty("mountmast.days")?.toLong() ?: count.toLong())
 
-    private fun day(seed: Long, quiet: Boolean, failures: Int) {
-        val world = World(seed, quiet)
+    private fun simulateDay(seed: Long, isQuiet: Boolean, failures: Int) {
+        val world = World(seed, isQuiet)
         try {
             world.run(20_000, busy = true)
             repeat(failures) {
-                // Most rules that were seen broken broke when two failures met.
+                // Most violations of rules that were found needed two overlapping failures.
                 world.fail()
                 world.run(world.random.nextLong(50, 3000), busy = true)
                 world.fail()
                 world.run(world.random.nextLong(2000, 20_000), busy = true)
             }
-            // No failure that was drawn lasts longer; after it every job has its answer soon.
+            // No injected failure lasts longer than this; from then on every job must be answered within the time that the rules allow.
             world.rules.quietSince = world.time.now + LONGEST_FAILURE_MS
-            // Replicas never end, and may hold all that their team is allowed to borrow.
+            // Tasks of services never end and may use all resources that their team may borrow, so that its other jobs would never start.
             world.cancelServices()
             world.run(200_000, busy = false)
-            // A slow machine that only ever ran one job's tasks is not noticed, and takes several times as long.
+            // A slow machine that has run tasks of only one job is not detected, and its tasks take several times as long.
             repeat(8) { if (world.unfinished().any { world.poll(it)?.isFinal != true }) world.run(50_000, busy = false) }
             world.jobs.keys.forEach { world.poll(it) }
-            assertTrue(world.rules.started > 0, "nothing_ran")
-            assertEquals(emptyList<Any>(), world.unfinished().filter { world.poll(it)?.isFinal != true }, "jobs that never got done")
+            assertTrue(world.rules.started > 0, "no task was started")
+            assertEquals(emptyList<Any>(), world.unfinished().filter { world.poll(it)?.isFinal != true }, "jobs that never completed")
             assertTrue(world.store.largestValue < 2 * 1024, "a value of ${world.store.largestValue} bytes")
         } catch (e: Throwable) {
             throw AssertionError("seed $seed at ${world.time.now} ms: ${e.message}", e)
@@ -39,10 +39,10 @@
     }
 
     @Test
-    fun `a quiet day keeps the rules and gets all work done`() = seeds(10).forEach { day(it, quiet = true, failures = 0) }
+    fun `a quiet day keeps the rules and gets all work done`() = seeds(10).forEach { simulateDay(it, isQuiet = true, failures = 0) }
 
     @Test
-    fun `failures of every kind, alone and together, break no rule`() = seeds(60).forEach { day(it, quiet = false, failures = 8) }
+    fun `failures of every kind, alone and together, break no rule`() = seeds(60).forEach { simulateDay(it, isQuiet = false, failures = 8) }
 
     private companion object {
         const val LONGEST_FAILURE_MS = 2 * World.CANCEL_MS + 5000
--- a/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
@@ -16,22 +16,22 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Nodes of the version in production and of this one work side by side and on each other's data, in virtual time. A model of
- * production's reading and writing stands for its nodes; it fails where it meets what production would misread. The rules are
- * checked after each step.
+ * Nodes of the production version and of the current one run at the same time and on each other's data, in virtual time. A model of how
+ * the production version reads and writes stands in for its nodes; it throws on data that the production version would misread.
+ * The rules are checked after each step of the simulation.
  */
 class UpgradeTest {
-    private fun worlds(seeds: LongRange, quiet: Boolean = true, limits: FallingLimits = FallingLimits(), act: World.() -> Unit) =
+    private fun forEachWorld(seeds: LongRange, isQuiet: Boolean = true, limits: FallingLimits = FallingLimits(), test: World.() -> Unit) =
         seeds.forEach { seed ->
-            val world = World(seed, quietNetwork = quiet, perOffer = 8, limits = limits, version = NodeVersion.PRODUCTION)
+            val world = World(seed, quietNetwork = isQuiet, perOffer = 8, limits = limits, version = NodeVersion.PRODUCTION)
             try {
-                world.act()
+                world.test()
             } catch (e: Throwable) {
                 throw AssertionError("seed $seed at ${world.time.now} ms: ${e.message}", e)
             }
         }
 
-    private fun World.leading(): ControllerHost? = hosts.filter { it.controller?.leaderTerm() != null }
+    private fun World.leaderHost(): ControllerHost? = hosts.filter { it.controller?.leaderTerm() != null }
         .maxByOrNull { checkNotNull(it.controller?.leaderTerm()).leaderLease.token.number }
 
     private fun ControllerHost.upgrade(downMs: Long = 2000) {
@@ -41,29 +41,31 @@
 
     private fun World.areAllCurrent() = hosts.all { it.controller?.formats?.isCurrent == true }
 
-    private fun World.runUntil(mostMs: Long, what: String, reached: () -> Boolean) {
-        val until = time.now + mostMs
-        while (!reached()) {
-            assertTrue(time.now < until, "$what: not within $mostMs ms")
+    private fun World.runUntil(timeoutMs: Long, what: String, condition: () -> Boolean) {
+        val until = time.now + timeoutMs
+        while (!condition()) {
+            assertTrue(time.now < until, "$what: not within $timeoutMs ms")
             run(100, busy = false)
         }
     }
 
-    /** All of [ids] end; on busy days users cancel some of them. */
-    private fun World.finish(ids: Collection<JobId>, mostMs: Long = 200_000, isBusy: Boolean = false) =
-        runUntil(mostMs, "all over") { ids.all { id -> poll(id).let { it == JobStatus.DONE || (isBusy && it == JobStatus.CANCELLED) } } }
+    /** Runs until all jobs in [ids] are done, or cancelled if [isBusy], since users cancel some of them on busy days. */
+    private fun World.runUntilFinal(ids: Collection<JobId>, timeoutMs: Long = 200_000, isBusy: Boolean = false) =
+        runUntil(timeoutMs, "jobs final") {
+            ids.all { id -> poll(id).let { it == JobStatus.DONE || (isBusy && it == JobStatus.CANCELLED) } }
+        }
 
-    /** Jobs whose numbers random ones never take. */
+    /** Accepts jobs whose numbers are above those of the randomly drawn jobs. */
     private fun World.longJobs(numbers: IntRange, runS: Double) = numbers.map { number ->
-        accept(plainJob(FIRST_NUMBER + number) { it.copy(team = TeamId("free"), cpus = 1.0, memoryGb = 2.0, estimateS = runS) })
+        accept(plainJob(FIRST_JOB_NUMBER + number) { it.copy(team = TeamId("free"), cpus = 1.0, memoryGb = 2.0, estimateS = runS) })
     }
 
-    /** So small that the forms which only this version reads would be used, if they were agreed on. */
-    private val smallValues = FallingLimits(StateLimits(80.0, 30.0, 1.0, 8))
+    /** Limits so small that formats that only the current version reads would be used once all nodes have agreed on them. */
+    private val smallValueLimits = FallingLimits(StateLimits(80.0, 30.0, 1.0, 8))
 
     @Test
-    fun `nodes are exchanged one by one with the cluster full, and no task is lost or started again`() =
-        worlds(1L..8L, limits = smallValues) {
+    fun `nodes are upgraded one by one with the cluster full, and no task is lost or started again`() =
+        forEachWorld(1L..8L, limits = smallValueLimits) {
             val jobs = longJobs(1..12, runS = 60.0)
             runUntil(60_000, "all tasks run") { jobs.sumOf { rules.runningOf(it) } == 48 }
             for (host in hosts) {
@@ -71,13 +73,13 @@
                 run(7000, busy = false)
                 assertEquals(hosts.last().version == NodeVersion.CURRENT, host === hosts.last())
             }
-            runUntil(15_000, "agreement") { areAllCurrent() }
-            finish(jobs)
+            runUntil(15_000, "all nodes current") { areAllCurrent() }
+            runUntilFinal(jobs)
             assertEquals(48, jobs.sumOf { rules.startsOf(it) }, "tasks were started again")
         }
 
     @Test
-    fun `no new form is written, and nothing new accepted, while a node of production is left`() = worlds(11L..14L) {
+    fun `no new format is written and no prerequisites are accepted while a production node is left`() = forEachWorld(11L..14L) {
         val first = longJobs(1..1, runS = 30.0).single()
         hosts.take(2).forEach {
             it.upgrade()
@@ -85,61 +87,60 @@
         }
         run(20_000, busy = false)
         assertFalse(hosts.any { it.version == NodeVersion.CURRENT && checkNotNull(it.controller).formats.isCurrent })
-        val dependent = plainJob(FIRST_NUMBER + 2) { it.copy(prerequisites = listOf(first)) }
+        val dependent = plainJob(FIRST_JOB_NUMBER + 2) { it.copy(prerequisites = listOf(first)) }
         for (host in hosts.take(2)) {
             val body = WireJson.encodeToString(dependent)
             val refused = checkNotNull(host.controller).users.submit(body, isForwarded = false)
             assertEquals(503 to true, refused.status to (refused.retryAfterS > 0))
         }
         hosts.last().upgrade()
-        runUntil(30_000, "agreement") { areAllCurrent() }
+        runUntil(30_000, "all nodes current") { areAllCurrent() }
         accept(dependent)
-        finish(listOf(first, dependent.id))
+        runUntilFinal(listOf(first, dependent.id))
     }
 
     @Test
-    fun `leaders of either version succeed one another, in mid-term and back, on each other's data`() =
-        worlds(21L..28L, limits = smallValues) {
-            val jobs = longJobs(1..10, runS = 25.0)
-            run(15_000, busy = false)
-            hosts[(seed % 3).toInt()].upgrade()
-            val led = HashSet<NodeVersion>()
-            repeat(8) { round ->
-                // More starts at once than a value holds, which would be compressed if that were agreed on.
-                submit(plainJob(FIRST_NUMBER + 100 + round) { it.copy(team = TeamId("free"), tasks = 40, cpus = 0.1, memoryGb = 0.1) })
-                run(random.nextLong(3000, 9000), busy = true)
-                val leader = leading() ?: return@repeat
-                led += leader.version
-                // One of the other version shall follow.
-                hosts.filter { it.version == leader.version }.forEach { it.crash(if (it === leader) 9000 else 4000) }
-            }
-            runUntil(30_000, "a leader") { leading() != null }
-            assertEquals(NodeVersion.entries.toSet(), led, "versions that led")
-            finish(jobs, isBusy = true)
-            hosts.forEach {
-                it.upgrade()
-                run(6000, busy = true)
-            }
-            runUntil(30_000, "agreement") { areAllCurrent() }
-            finish(jobs, isBusy = true)
+    fun `leaders of both versions succeed one another on each other's data`() = forEachWorld(21L..28L, limits = smallValueLimits) {
+        val jobs = longJobs(1..10, runS = 25.0)
+        run(15_000, busy = false)
+        hosts[(seed % 3).toInt()].upgrade()
+        val leaderVersions = HashSet<NodeVersion>()
+        repeat(8) { round ->
+            // More starts at once than fit into one value; they would be compressed if all nodes had agreed on that format.
+            submit(plainJob(FIRST_JOB_NUMBER + 100 + round) { it.copy(team = TeamId("free"), tasks = 40, cpus = 0.1, memoryGb = 0.1) })
+            run(random.nextLong(3000, 9000), busy = true)
+            val leader = leaderHost() ?: return@repeat
+            leaderVersions += leader.version
+            // All nodes of the leader's version crash, so that the next leader is of the other version.
+            hosts.filter { it.version == leader.version }.forEach { it.crash(if (it === leader) 9000 else 4000) }
         }
+        runUntil(30_000, "a leader") { leaderHost() != null }
+        assertEquals(NodeVersion.entries.toSet(), leaderVersions, "versions of the leaders")
+        runUntilFinal(jobs, isBusy = true)
+        hosts.forEach {
+            it.upgrade()
+            run(6000, busy = true)
+        }
+        runUntil(30_000, "all nodes current") { areAllCurrent() }
+        runUntilFinal(jobs, isBusy = true)
+    }
 
     @Test
-    fun `requests forwarded between versions arrive and are answered whole`() = worlds(31L..33L) {
+    fun `requests forwarded between versions and their responses arrive unchanged`() = forEachWorld(31L..33L) {
         val job = longJobs(1..1, runS = 60.0).single()
         hosts[0].upgrade()
         run(8000, busy = false)
-        for (cut in hosts) {
-            cut.faults.storeRefusedUntil = time.now + 6000
+        for (host in hosts) {
+            host.faults.storeRefusedUntil = time.now + 6000
             run(4000, busy = false)
-            assertEquals(200, checkNotNull(cut.controller).users.status(job.text, isForwarded = false).status, "${cut.name}")
+            assertEquals(200, checkNotNull(host.controller).users.status(job.text, isForwarded = false).status, "${host.name}")
             run(6000, busy = false)
         }
-        finish(listOf(job))
+        runUntilFinal(listOf(job))
     }
 
     @Test
-    fun `a process that ends before its turn comes back old, leads, and is exchanged later`() = worlds(41L..46L) {
+    fun `a node that crashes before its upgrade restarts with the production version and may lead`() = forEachWorld(41L..46L) {
         val jobs = longJobs(1..8, runS = 20.0)
         run(12_000, busy = false)
         hosts[0].upgrade()
@@ -153,21 +154,21 @@
             it.upgrade()
             run(5000, busy = true)
         }
-        runUntil(40_000, "agreement") { areAllCurrent() }
-        finish(jobs, isBusy = true)
+        runUntil(40_000, "all nodes current") { areAllCurrent() }
+        runUntilFinal(jobs, isBusy = true)
     }
 
     private fun World.runUntilLeader(): ControllerHost {
-        runUntil(30_000, "a leader") { leading() != null }
-        return checkNotNull(leading())
+        runUntil(30_000, "a leader") { leaderHost() != null }
+        return checkNotNull(leaderHost())
     }
 
     @Test
-    fun `cancellations, an outage, a cut, late writes and a crash of the node being exchanged meet the upgrade`() {
-        worlds(51L..70L, quiet = false) {
+    fun `cancellations, an outage, a partition, late writes and node crashes during the upgrade break no rule`() {
+        forEachWorld(51L..70L, isQuiet = false) {
             run(20_000, busy = true)
             for (host in hosts.shuffled(random)) {
-                disturb(host)
+                injectFailure(host)
                 run(random.nextLong(200, 4000), busy = true)
                 host.upgrade(random.nextLong(200, 4000))
                 run(random.nextLong(2000, 9000), busy = true)
@@ -175,11 +176,11 @@
                 fail()
                 run(random.nextLong(2000, 9000), busy = true)
             }
-            settle()
+            checkRecovery()
         }
     }
 
-    private fun World.disturb(host: ControllerHost) {
+    private fun World.injectFailure(host: ControllerHost) {
         when (random.nextInt(6)) {
             0 -> store.outage(random.nextLong(2000, 20_000))
             1 -> faultInjector.refusedThenOut(random.nextLong(500, 3000), random.nextLong(3000, World.CANCEL_MS))
@@ -190,21 +191,21 @@
         }
     }
 
-    /** After all troubles every job gets done, and every node learns that all are current. */
-    private fun World.settle() {
+    /** Checks that, after all failures, every node learns that all nodes are current and every job completes. */
+    private fun World.checkRecovery() {
         rules.quietSince = time.now + 2 * World.CANCEL_MS + 5000
         cancelServices()
         run(100_000, busy = false)
-        runUntil(60_000, "agreement") { areAllCurrent() }
+        runUntil(60_000, "all nodes current") { areAllCurrent() }
         repeat(12) { if (unfinished().any { poll(it)?.isFinal != true }) run(50_000, busy = false) }
-        assertTrue(rules.started > 0, "nothing_ran")
-        assertEquals(emptyList<JobId>(), unfinished().filter { poll(it)?.isFinal != true }, "jobs that never got done")
+        assertTrue(rules.started > 0, "no task was started")
+        assertEquals(emptyList<JobId>(), unfinished().filter { poll(it)?.isFinal != true }, "jobs that never completed")
     }
 
     @Test
-    fun `what production wrote at its limits stays readable when they fall after the exchange`() {
+    fun `values that production wrote at its limits stay readable when the limits fall after the upgrade`() {
         val limits = FallingLimits(StateLimits(80.0, 40.0, 8.0, 16), StateLimits(80.0, 21.0, 2.0, 5), fallsAtMs = 60_000)
-        worlds(81L..86L, limits = limits) {
+        forEachWorld(81L..86L, limits = limits) {
             val jobs = longJobs(1..14, runS = 70.0)
             run(25_000, busy = true)
             hosts.forEach {
@@ -212,32 +213,32 @@
                 run(5000, busy = true)
             }
             run(30_000, busy = true)
-            runUntil(30_000, "agreement") { areAllCurrent() }
-            leading()?.crash(500)
+            runUntil(30_000, "all nodes current") { areAllCurrent() }
+            leaderHost()?.crash(500)
             run(20_000, busy = true)
             assertEquals(0, store.tooLarge, "transactions refused as too large")
-            finish(jobs, isBusy = true)
+            runUntilFinal(jobs, isBusy = true)
         }
     }
 
     @Test
-    fun `two processes at a time are exchanged in the middle of a pipeline that was accepted before`() = worlds(91L..96L) {
+    fun `two processes at a time restart while a pipeline runs that was accepted before`() = forEachWorld(91L..96L) {
         hosts.forEach {
             it.upgrade(300)
             run(4000, busy = false)
         }
-        runUntil(30_000, "agreement") { areAllCurrent() }
+        runUntil(30_000, "all nodes current") { areAllCurrent() }
         val first = longJobs(1..1, runS = 15.0).single()
-        val second = accept(plainJob(FIRST_NUMBER + 2) { it.copy(prerequisites = listOf(first)) })
-        val third = accept(plainJob(FIRST_NUMBER + 3) { it.copy(prerequisites = listOf(second)) })
+        val second = accept(plainJob(FIRST_JOB_NUMBER + 2) { it.copy(prerequisites = listOf(first)) })
+        val third = accept(plainJob(FIRST_JOB_NUMBER + 3) { it.copy(prerequisites = listOf(second)) })
         repeat(3) {
             hosts.shuffled(random).take(2).forEach { it.crash(random.nextLong(200, 3000)) }
             run(6000, busy = false)
         }
-        finish(listOf(first, second, third))
+        runUntilFinal(listOf(first, second, third))
     }
 
     private companion object {
-        const val FIRST_NUMBER = 5000
+        const val FIRST_JOB_NUMBER = 5000
     }
 }
