--- a/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
@@ -116,7 +116,7 @@
         }
 
     @Test
-    fun `jobs complete after all controllers are down for longer than a lease`() = withRunningJobs(jobs = 3, {
+    fun `jobs complete after all controllers were down for longer than a lease`() = withRunningJobs(jobs = 3, {
         it.copy(estimateS = 15.0)
     }) {
         world.hosts.forEach { it.crash(3 * World.LEASE_MS) }
@@ -269,7 +269,7 @@
 
     @Test
     fun `workers that reach no controller get no more work, though direct commands reach them`() = withRunningJobs(jobs = 2) {
-        // Such a worker loses all of its tasks when its lease expires.
+        // A worker whose heartbeats reach no controller loses all of its tasks when its lease expires.
         val isolatedWorkers = world.cloud.workers.filter { it.busy }.onEach { it.muteUntil = world.time.now + 60_000 }
         cancelAndConfirm(jobs.first())
         world.run(3 * World.LEASE_MS, busy = false)
--- a/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
@@ -46,7 +46,7 @@
         val last = stage(4, middle)
         runUntilFinal(listOf(first, last) + middle)
         (middle + first + last).forEach { assertEquals(JobStatus.DONE, poll(it)) }
-        // Four jobs of a few seconds each; the last would start later than this if each waited for a periodic timer.
+        // Each of the four jobs takes a few seconds. If each waited for a periodic timer, the last one would start after the limit of 45 s.
         assertTrue(checkNotNull(rules.beganAfterMs(last)) < 45_000, "the last job started after ${rules.beganAfterMs(last)} ms")
     }
 
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -59,7 +59,7 @@
         val world = World(32, quietNetwork = true)
         world.expectDone((1..3).map { world.accept(world.plainJob(it)) }, 30_000)
         val slowWorker = world.cloud.workers.first { it.alive }.apply { slowTimes = 20 }
-        // These jobs have more tasks than the first ones, so that the run time of tasks on other machines is known for each job.
+        // Each of these jobs has enough tasks that their run time on other machines is known.
         val jobs = (4..9).map { world.accept(world.plainJob(it) { spec -> spec.copy(tasks = 8) }) }
         world.expectDone(jobs, 90_000)
         assertTrue(!slowWorker.alive, "the slow machine is still rented")
@@ -125,7 +125,7 @@
 
     @Test
     fun `a leader that no worker reaches resigns`() {
-        // The leader still holds its lease in the store, but the leases of its workers would expire.
+        // The leader still holds its lease in the store, but no heartbeat reaches it, so that the leases of all workers would expire.
         val world = World(28, quietNetwork = true)
         world.accept(world.plainJob(1) { it.copy(estimateS = 90.0, tasks = 4, cpus = 4.0, types = listOf(TypeId("s"))) })
         world.run(20_000, busy = false)
@@ -380,7 +380,7 @@
 
     @Test
     fun `a process that pauses for up to four lease durations in the middle of a step loses no job`() {
-        // The process then continues with state from before the pause, when another node may have become leader.
+        // After the pause the process continues with its state from before it, although another node may have become leader.
         for (seed in 50L..61L) {
             val world = World(seed)
             val jobs = (1..4).map { world.accept(world.plainJob(it) { spec -> spec.copy(estimateS = 12.0) }) }
--- a/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
@@ -60,7 +60,7 @@
         accept(plainJob(FIRST_JOB_NUMBER + number) { it.copy(team = TeamId("free"), cpus = 1.0, memoryGb = 2.0, estimateS = runS) })
     }
 
-    /** Limits so small that formats that only the current version reads would be used once all nodes have agreed on them. */
+    /** Limits so low that nodes would write the formats that only the current version reads, if all nodes had agreed on them. */
     private val smallValueLimits = FallingLimits(StateLimits(80.0, 30.0, 1.0, 8))
 
     @Test
