--- a/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
@@ -135,7 +135,10 @@
         val started = world.invariants.startCount
         delayedHeartbeats.forEach { successor.controller!!.onHeartbeat(it) }
         world.run(10_000, busy = false)
-        assertTrue(world.invariants.startCount - started <= 4, "${world.invariants.startCount - started} tasks started after the delayed heartbeats")
+        assertTrue(
+            world.invariants.startCount - started <= 4,
+            "${world.invariants.startCount - started} tasks started after the delayed heartbeats",
+        )
         jobs.forEach { assertEquals(4, runningOf(it)) }
     }
 
--- a/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/PipelinesTest.kt
@@ -23,8 +23,11 @@
         }
     }
 
-    private fun SimulatedCluster.stage(number: Int, prerequisites: List<JobId> = emptyList(), change: (JobSpec) -> JobSpec = { it }): JobId =
-        accept(plainJob(number) { change(it.copy(estimateS = 2.0, tasks = 2, prerequisites = prerequisites)) })
+    private fun SimulatedCluster.stage(
+        number: Int,
+        prerequisites: List<JobId> = emptyList(),
+        change: (JobSpec) -> JobSpec = { it },
+    ): JobId = accept(plainJob(number) { change(it.copy(estimateS = 2.0, tasks = 2, prerequisites = prerequisites)) })
 
     private fun SimulatedCluster.leaderHost() = hosts.first { it.controller?.leaderTerm() != null }
 
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -250,7 +250,10 @@
         assertEquals(4, started)
         val unreachedWorker = world.cloud.workers.first { it.hasRunningTasks }.apply { inboundCutUntil = world.time.now + 2500 }
         world.run(20_000, busy = false)
-        assertTrue(unreachedWorker.isAlive && unreachedWorker.hasRunningTasks, "scaled in or drained although it was unreached for 2.5 s only")
+        assertTrue(
+            unreachedWorker.isAlive && unreachedWorker.hasRunningTasks,
+            "scaled in or drained although it was unreached for 2.5 s only",
+        )
         assertEquals(started, world.invariants.startCount, "its tasks were started again")
     }
 
@@ -349,7 +352,9 @@
         val world = SimulatedCluster(seed, isNetworkReliable = true)
         world.accept(world.plainJob(1) { it.copy(tasks = 8, estimateS = 90.0, team = TeamId("free")) })
         world.run(20_000, busy = false)
-        val hungWorker = world.cloud.workers.first { it.hasRunningTasks }.apply { hangUntil = world.time.now + SimulatedCluster.LEASE_MS + 3000 }
+        val hungWorker = world.cloud.workers.first { it.hasRunningTasks }.apply {
+            hangUntil = world.time.now + SimulatedCluster.LEASE_MS + 3000
+        }
         world.run(SimulatedCluster.LEASE_MS + 2500, busy = false)
         assertEquals(MachineState.EXPIRED, world.leaderTerm().cluster.machines.getValue(hungWorker.id).state, "seed $seed")
         // The lost tasks may run on other machines by now, so this job has enough tasks to occupy every machine.
--- a/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/UpgradeTest.kt
@@ -21,21 +21,25 @@
  * The rules are checked after each step of the simulation.
  */
 class UpgradeTest {
-    private fun forEachWorld(seeds: LongRange, isQuiet: Boolean = true, limits: FallingLimits = FallingLimits(), test: SimulatedCluster.() -> Unit) =
-        seeds.forEach { seed ->
-            val world = SimulatedCluster(
-                seed,
-                isNetworkReliable = isQuiet,
-                machinesPerOffering = 8,
-                limits = limits,
-                version = NodeVersion.PRODUCTION,
-            )
-            try {
-                world.test()
-            } catch (e: Throwable) {
-                throw AssertionError("seed $seed at ${world.time.now} ms: ${e.message}", e)
-            }
+    private fun forEachWorld(
+        seeds: LongRange,
+        isQuiet: Boolean = true,
+        limits: FallingLimits = FallingLimits(),
+        test: SimulatedCluster.() -> Unit,
+    ) = seeds.forEach { seed ->
+        val world = SimulatedCluster(
+            seed,
+            isNetworkReliable = isQuiet,
+            machinesPerOffering = 8,
+            limits = limits,
+            version = NodeVersion.PRODUCTION,
+        )
+        try {
+            world.test()
+        } catch (e: Throwable) {
+            throw AssertionError("seed $seed at ${world.time.now} ms: ${e.message}", e)
         }
+    }
 
     private fun SimulatedCluster.leaderHost(): ControllerHost? = hosts.filter { it.controller?.leaderTerm() != null }
         .maxByOrNull { checkNotNull(it.controller?.leaderTerm()).leaderLease.token.number }
--- a/src/test/kotlin/mountmast/soak/SoakRun.kt
+++ b/src/test/kotlin/mountmast/soak/SoakRun.kt
@@ -28,7 +28,8 @@
     val rules = InvariantChecker(SoakDeployment.teams, SoakDeployment.CANCELLATION_MS)
     private val random = Random(seed)
     private val executor = Executors.newCachedThreadPool { task -> Thread(null, task, "soak", STACK_BYTES).apply { isDaemon = true } }
-    private val store = SimulatedStateStore(clock.time, retainedChanges = 10_000, FallingLimits(SoakDeployment.limits), pageSize = STORE_PAGE_SIZE)
+    private val store =
+        SimulatedStateStore(clock.time, retainedChanges = 10_000, FallingLimits(SoakDeployment.limits), pageSize = STORE_PAGE_SIZE)
     private val users = SoakUsers(this, Random(seed + 1))
     val cloud: SimulatedCloud = SimulatedCloud(clock.time, random, SoakDeployment.types, size.machinesPerOffering) { id, request ->
         SimulatedWorker(
@@ -102,7 +103,8 @@
     fun summary(): String = clock.runLocked {
         val alive = cloud.workers.count { it.isAlive }
         val accepted = users.accepted.distinct().size
-        "${schedule.size} faults, $accepted jobs accepted, ${rules.startCount} task starts, $alive of ${cloud.rentedCount} rented machines alive"
+        "${schedule.size} faults, $accepted jobs accepted, ${rules.startCount} task starts, " +
+            "$alive of ${cloud.rentedCount} rented machines alive"
     }
 
     private fun now() = clock.runLocked { clock.time.now }
