--- a/src/main/kotlin/mountmast/CommandLineTool.kt
+++ b/src/main/kotlin/mountmast/CommandLineTool.kt
@@ -11,9 +11,9 @@
 /**
  * Parses a command line and executes it.
  *
- * @property serve runs a node until the process ends; throws an [IOException] if one of the node's addresses cannot be bound
+ * @property runNode runs a node until the process ends; throws an [IOException] if one of the node's addresses cannot be bound
  */
-internal class CommandLineTool(private val serve: (Settings, OperatorSettings) -> Unit) {
+internal class CommandLineTool(private val runNode: (Settings, OperatorSettings) -> Unit) {
     /** Executes the command line [args], prints its result and returns its [ExitCode]. */
     fun run(args: Array<String>): Int {
         // The platform starts a node with `--config FILE` alone, which needs no parser. The JVM's class-data archive cannot hold
@@ -37,18 +37,18 @@
     }
 
     private fun serveOrCheck(parsed: ParseResult): Int {
-        val config = parsed.matchedOptionValue<String?>(CONFIG, null)
+        val configFile = parsed.matchedOptionValue<String?>(CONFIG, null)
             ?: return printUsageError("$CONFIG FILE or a command is needed; see --help")
-        val tuning = parsed.matchedOptionValue<String?>(CommandLineSyntax.TUNING, null)
-        return serveOrCheck(config, tuning, parsed.hasMatchedOption(CommandLineSyntax.CHECK))
+        val tuningFile = parsed.matchedOptionValue<String?>(CommandLineSyntax.TUNING, null)
+        return serveOrCheck(configFile, tuningFile, parsed.hasMatchedOption(CommandLineSyntax.CHECK))
     }
 
-    private fun serveOrCheck(config: String, tuning: String?, checkOnly: Boolean): Int {
+    private fun serveOrCheck(configFile: String, tuningFile: String?, checkOnly: Boolean): Int {
         val settings: Settings
         val operatorSettings: OperatorSettings
         try {
-            settings = Settings.read(File(config))
-            operatorSettings = readOperatorSettings(tuning, settings)
+            settings = Settings.read(File(configFile))
+            operatorSettings = readOperatorSettings(tuningFile, settings)
         } catch (e: InvalidSettingsException) {
             return printUsageError(e.message.orEmpty())
         }
@@ -57,16 +57,18 @@
         return ExitCode.DONE
     }
 
-    private fun readOperatorSettings(tuning: String?, settings: Settings): OperatorSettings {
-        if (tuning == null) return OperatorSettings()
-        val operatorSettings = OperatorSettings.read(tuning) { File(tuning).inputStream() }
-        val unknown = operatorSettings.scheduling.guaranteedFromByTeam.keys - settings.teams.keys
-        if (unknown.isNotEmpty()) throw InvalidSettingsException("$tuning: <guaranteed-from> names an unknown team ${unknown.first()}")
+    private fun readOperatorSettings(tuningFile: String?, settings: Settings): OperatorSettings {
+        if (tuningFile == null) return OperatorSettings()
+        val operatorSettings = OperatorSettings.read(tuningFile) { File(tuningFile).inputStream() }
+        val unknownTeams = operatorSettings.scheduling.guaranteedFromByTeam.keys - settings.teams.keys
+        if (unknownTeams.isNotEmpty()) {
+            throw InvalidSettingsException("$tuningFile: <guaranteed-from> names an unknown team ${unknownTeams.first()}")
+        }
         return operatorSettings
     }
 
     private fun serveUntilEnd(settings: Settings, operatorSettings: OperatorSettings): Int = try {
-        serve(settings, operatorSettings)
+        runNode(settings, operatorSettings)
         ExitCode.DONE
     } catch (e: IOException) {
         printFailure("cannot serve on ${settings.serveOn} and ${settings.peerListen}: ${e.message}")
--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -34,14 +34,14 @@
 /**
  * Starts a node and returns; the node serves on threads of its own.
  *
- * @throws java.io.IOException if one of its addresses cannot be bound.
+ * @throws java.io.IOException if one of the node's addresses cannot be bound.
  */
 internal fun start(settings: Settings, operatorSettings: OperatorSettings) {
     // By default the JDK's HTTP client sends a failed POST again by itself, and the JDK's HTTP server delays small answers.
     System.setProperty("sun.net.http.retryPost", "false")
     System.setProperty("sun.net.httpserver.nodelay", "true")
-    // Seconds within which a request must have been read: one that never arrives whole must not hold one of the few threads that read
-    // requests. Heartbeats may wait in a queue before their body is read.
+    // Seconds within which a request must have been read: a request that never arrives whole must not hold one of the few threads that
+    // read requests. The limit is longer than heartbeats may wait in their queue, as their bodies are read only after that wait.
     System.setProperty("sun.net.httpserver.maxReqTime", "10")
     val connectionBudget = ConnectionBudget.of(settings.maxConnections)
     System.setProperty("sun.net.httpserver.maxIdleConnections", connectionBudget.maxIdle.toString())
--- a/src/main/kotlin/mountmast/NodeClient.kt
+++ b/src/main/kotlin/mountmast/NodeClient.kt
@@ -10,7 +10,7 @@
 internal class NodeClient {
     /**
      * Sends [command] (`submit`, `status` or `cancel`) to the node at [address] (`HOST:PORT`). [argument] is the file of the job for
-     * `submit`, with `-` for standard input, and the job's id for the others. Returns the [ExitCode].
+     * `submit`, with `-` for standard input, and the job's id for `status` and `cancel`. Returns the [ExitCode].
      */
     fun run(command: String, argument: String, address: String): Int {
         val node = parseAddress(address) ?: return printUsageError("--node: not HOST:PORT")
--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -33,7 +33,8 @@
 
 /**
  * Loads the classes that a serving node loads, so that the JVM can write them to its class-data archive when the process ends. The
- * build runs it once. It serves on loopback for some seconds; the addresses of the cloud and the state service lead to no such service.
+ * build runs the warm-up once. The node serves on loopback for some seconds. The settings name its own peer address for the cloud and the
+ * state service, so that calls to either of them fail.
  */
 internal object WarmUp {
     /** The only command-line argument of the process that writes the class-data archive. */
@@ -81,10 +82,10 @@
      */
     private fun sendPeerRequests(port: Int) {
         val address = InetSocketAddress("127.0.0.1", port)
-        val member = Member(NodeId("warm-1"), Zone("z"), address)
+        val otherNode = Member(NodeId("warm-1"), Zone("z"), address)
         val peers = HttpPeerClient()
-        checkNotNull(peers.exchangeHeartbeats(member, PeerHeartbeat("warm-1", 0, serves = true, leads = false))) { "no peer heartbeat" }
-        peers.forward(member, ForwardedRequest("GET", "/v1/jobs/j-1", ""))
+        checkNotNull(peers.exchangeHeartbeats(otherNode, PeerHeartbeat("warm-1", 0, serves = true, leads = false))) { "no peer heartbeat" }
+        peers.forward(otherNode, ForwardedRequest("GET", "/v1/jobs/j-1", ""))
         val command = WorkerCommand(CommandType.START, "j-1/0", Attempt(1u))
         HttpWorkerClient().send("127.0.0.1:$port", CommandRequest(FencingToken(1u), WorkerIncarnation(1u), listOf(command)))
     }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/Autoscaler.kt
@@ -16,7 +16,7 @@
     context: AutoscalingContext,
     cloud: Cloud,
     private val clock: Clock,
-    /** The prefix of the ids of scale-out requests; no other process and no other term ever uses the same prefix. */
+    /** The prefix of the ids of scale-out requests; no other process and no other leader's term ever uses the same prefix. */
     requestPrefix: String,
     policy: AutoscalingPolicy,
     timing: LeaseTiming,
@@ -24,8 +24,8 @@
     cloudRatePerS: Double,
 ) {
     /**
-     * How many calls to the cloud scale in may make in a round, and scale out likewise. A round takes place about once a second, so this
-     * follows from the rate that the cloud accepts.
+     * The number of calls to the cloud that scale in may make in a round at most, and that scale out may make as well. A round takes place
+     * about once a second, so the number follows from the calls per second that the cloud accepts.
      */
     private val callsPerRound = maxOf(1, (cloudRatePerS * Cloud.RATE_SHARE).toInt())
     private val history = OfferingHistory(context.cluster)
--- a/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
@@ -12,7 +12,7 @@
     val lock: ReentrantLock
     val cluster: ClusterState
 
-    /** Wakes the thread that writes the journal; used after a change that has to be stored. */
+    /** Wakes the thread that writes the journal, after a change that has to be stored. */
     val signals: TermSignals
 
     /** The machine types to write to the store, or null if the store holds the current ones. */
@@ -21,9 +21,9 @@
     /** The open tasks that found no machine in the last scheduling cycle. */
     val unplacedTasks: List<UnplacedTasks>
 
-    /** For how long a worker may be unreachable before its machine is scaled in, in milliseconds. */
+    /** For how long a machine may be unreachable before it is scaled in, in milliseconds. */
     val unreachableTimeoutMs: Long
 
-    /** Whether so many workers are unreachable that the fault must lie with this node. */
+    /** Whether so many machines are unreachable that the fault must lie with this node. */
     fun areMostUnreached(): Boolean
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Returns the machine as [listed], with the state, the lease renewal and the assignments of [known], the entry of the same machine
-     * while only its name was known, if there is one.
+     * Returns the machine as [listed], with the state, the lease renewal and the assignments of [known]. [known] is the entry that the
+     * machine had while only its id was known, or null if it had none.
      */
     private fun createMachine(listed: ListedMachine, known: Machine?, now: MonotonicTime): Machine {
         val machine = Machine(listed.id, listed.type, listed.zone, listed.spot, known?.state ?: MachineState.BOOTING)
@@ -94,8 +94,8 @@
         const val MS_PER_S = 1000
 
         /**
-         * The list is read at most once in this time for each of its pages: a page is a call to the cloud, for which scale out and scale in
-         * have to wait.
+         * The shortest time between two reads of the list of machines for each of its pages, in milliseconds. Each page is a call to the
+         * cloud, and scale out and scale in wait until the calls are done.
          */
         const val LIST_INTERVAL_MS_PER_PAGE = 1000L
     }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
@@ -6,14 +6,17 @@
 import mountmast.protocol.MonotonicTime
 
 /**
- * Counts the recent failures of each [MachineOffering]: spot machines that were lost, and machines that did not boot in time. The
- * counts decay with each round. Guarded by the lock of [AutoscalingContext].
+ * Counts the recent failures of each [MachineOffering]: lost spot machines, which are to be reclaimed or whose lease expired, and machines
+ * that did not boot in time. The counts decay with each round. Guarded by the lock of [AutoscalingContext].
  */
 internal class OfferingHistory(private val cluster: ClusterState) {
     private val spotLosses = HashMap<MachineOffering, Double>()
     private val failedBoots = HashMap<MachineOffering, Double>()
 
-    /** Counts [machine], which is about to be scaled in, if it is a lost spot machine or did not boot in time. */
+    /**
+     * Counts [machine], which is about to be scaled in, as a failure of its offering if it did not boot in time, or if it is a spot
+     * machine that is to be reclaimed or whose lease expired.
+     */
     fun recordScaleIn(machine: Machine) {
         val offering = machine.offering() ?: return
         if (machine.state == MachineState.BOOTING && !machine.isListedFailed) failedBoots.merge(offering, 1.0, Double::plus)
@@ -35,7 +38,7 @@
 
     /**
      * Whether [machine], which is booting, was rented longer ago than machines of its type mostly take to boot. Another machine may be
-     * requested for the tasks that wait for it; if [machine] still comes up, it is used. False if its type is not known.
+     * requested for the tasks that wait for [machine]; if [machine] still comes up, it is used. False if its type is not known.
      */
     fun isBootOverdue(machine: Machine, now: MonotonicTime): Boolean {
         val type = cluster.types[machine.type] ?: return false
@@ -66,11 +69,11 @@
         const val DECAY_PER_ROUND = 0.99
         const val PRICE_INCREASE_PER_LOSS = 0.1
 
-        /** How many times the boot time that the cloud states a boot may take; machines mostly boot within 1.5 times that time. */
+        /** A boot is overdue after this multiple of the boot time that the cloud states; machines mostly boot within 1.5 times it. */
         const val OVERDUE_BOOT_FACTOR = 2.0
         const val OVERDUE_BOOT_MARGIN_MS = 5000L
 
-        /** Fewer machines that are overdue or did not boot are no reason to avoid their offering. */
+        /** An offering with fewer machines than this that are overdue or did not boot is not avoided. */
         const val MIN_OVERDUE_MACHINES = 3
         const val RECENT_RENTAL_MS = 300_000L
     }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleIn.kt
@@ -21,7 +21,7 @@
     private val clock: Clock,
     private val rules: ScaleInRules,
     private val history: OfferingHistory,
-    /** The number of calls to the cloud that a round may make at most. */
+    /** The number of deletion calls to the cloud that a round may make at most. */
     private val callsPerRound: Int,
 ) {
     private val cluster get() = context.cluster
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
@@ -42,8 +42,9 @@
         val type = context.cluster.types[machine.type] ?: return false
         return machine.isListedFailed ||
             when (machine.state) {
-                // A machine that hung or was partitioned is kept for one more lease duration: it comes back with its images sooner
-                // than another machine boots. A failed machine is soon listed as failed, and is not billed.
+                // A machine is kept for one lease duration after its lease has expired. If it only hung or was partitioned, it comes
+                // back with its images sooner than another machine boots. If it failed, keeping it costs nothing: the cloud soon lists
+                // it as failed and does not bill it.
                 MachineState.EXPIRED -> now - machine.expiredAt > timing.leaseExpiryMs
                 MachineState.SILENT -> false
                 MachineState.BOOTING -> hasBootTimedOut(machine, type, now)
@@ -58,8 +59,8 @@
     }
 
     /**
-     * Whether the worker of [machine] has been unreachable for too long. The deletion of the machine then releases its tasks. False while
-     * most workers are unreachable, as the fault does not lie with the machines then.
+     * Whether [machine] has been unreachable for too long. The deletion of the machine then releases its tasks. False while most
+     * machines are unreachable, as the fault lies with this node then.
      */
     private fun isUnreachableTooLong(machine: Machine, now: MonotonicTime): Boolean {
         val since = machine.unreachableSince ?: return false
@@ -86,13 +87,13 @@
         const val MS_PER_S = 1000
 
         /**
-         * A machine is scaled in if it does not boot within this multiple of the boot time that the cloud states, plus the margin; some
-         * machines take several times the stated time.
+         * A machine is scaled in if it does not boot within this multiple of the boot time that the cloud states, plus
+         * [BOOT_TIMEOUT_MARGIN_MS]; some machines take several times the stated time.
          */
         const val BOOT_TIMEOUT_FACTOR = 4
         const val BOOT_TIMEOUT_MARGIN_MS = 15_000L
 
-        /** A machine rented less than this ago is not scaled in as idle: as a minute is billed at least, that would save nothing. */
+        /** A machine rented less than this ago is not scaled in as idle: at least one minute is billed, so nothing would be saved. */
         const val MIN_RENTAL_MS = 55_000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOut.kt
@@ -25,7 +25,7 @@
     policy: AutoscalingPolicy,
     timing: LeaseTiming,
     history: OfferingHistory,
-    /** The prefix of the ids of requests. */
+    /** The prefix of the ids of scale-out requests. */
     private val requestPrefix: String,
     /** The number of calls to the cloud that a round may make at most. */
     callsPerRound: Int,
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
@@ -16,7 +16,7 @@
     private val timing: LeaseTiming,
     private val history: OfferingHistory,
     private val backoff: OfferingBackoff,
-    /** The number of machines that can be requested in a round at most. */
+    /** The number of machines that a round can request at most. */
     private val maxMachinesPerRound: Int,
 ) {
     private val cluster get() = context.cluster
@@ -120,7 +120,10 @@
         /** Of the offerings that cost at most this many times the lowest price per task, the one with the smallest machines is chosen. */
         const val NEARLY_CHEAPEST_FACTOR = 1.2
 
-        /** Added to the time within which any worker sends a heartbeat, as a node that has just become leader may still be slow. */
+        /**
+         * Added to the silence timeout when the first heartbeat of a running worker is awaited, in milliseconds: a node that has just
+         * become leader may still be slow to process heartbeats.
+         */
         const val SLOW_NODE_MARGIN_MS = 2000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ZoneBudget.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ZoneBudget.kt
@@ -5,8 +5,8 @@
 import mountmast.protocol.Zone
 
 /**
- * How many more of a job's tasks each zone may hold. Scale out has to respect this: otherwise, for a job whose tasks must run in the
- * zone of its first tasks, it requests machines in a cheaper zone, where the job cannot use them. Not thread-safe.
+ * How many more of a job's tasks each zone may hold. Scale out has to respect this budget. If all tasks of a job must run in one zone,
+ * scale out would otherwise request machines in a cheaper zone, where the job cannot use them. Not thread-safe.
  */
 internal class ZoneBudget(private val spec: JobSpec) {
     private val tasksPerZone = HashMap<Zone, Int>()
@@ -18,9 +18,9 @@
         else -> Int.MAX_VALUE
     }
 
-    /** Counts [tasks] further tasks in [zone]. */
-    fun consume(zone: Zone, tasks: Int) {
-        if (tasks > 0) tasksPerZone.merge(zone, tasks, Int::plus)
+    /** Counts [taskCount] further tasks in [zone]. */
+    fun consume(zone: Zone, taskCount: Int) {
+        if (taskCount > 0) tasksPerZone.merge(zone, taskCount, Int::plus)
     }
 
     companion object {
--- a/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
@@ -40,7 +40,7 @@
         return Assurance(smoothed, guaranteedTasks)
     }
 
-    /** A job that fails on every machine has no claim: other tasks would be preempted for tasks that fail anyway. */
+    /** A job that fails on every machine has no claim on the guarantee: other tasks would be preempted for tasks that fail anyway. */
     private fun isGuaranteed(job: JobView, quota: TeamQuota) =
         quota.hasGuarantee && job.spec.urgency <= policy.guaranteeThreshold(job.spec.team) && !job.isPoisoned
 
--- a/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/JobPriorities.kt
@@ -4,8 +4,8 @@
 import mountmast.protocol.TeamQuota
 
 /**
- * The orders in which the tasks of jobs are placed, and the conditions of the exceptions to the order and the bounds that [Scheduler]
- * describes. Immutable.
+ * The orders in which the tasks of jobs are placed, and the conditions under which [Scheduler] makes exceptions to its regular order and
+ * to the bound on borrowing. Immutable.
  */
 internal class JobPriorities(private val snapshot: ClusterSnapshot, private val policy: SchedulingPolicy, assurance: Assurance) {
     /**
@@ -38,8 +38,8 @@
     private fun slackS(job: JobView): Double = if (hasGuarantee(job)) 0.0 else job.timing.slackS
 
     /**
-     * Whether no task of the job was placed for more than [LONGEST_WAIT_S] although tasks of the job may start. Some restrictions are
-     * lifted for such a job.
+     * Whether no task of the job was placed for more than [LONGEST_WAIT_S] although tasks of the job may start. The bound on borrowing
+     * and the exclusion of machines after failures are lifted for a job that has waited too long.
      */
     fun hasWaitedTooLong(job: JobView): Boolean = job.timing.waitedS > LONGEST_WAIT_S && job.mayStart
 
@@ -64,7 +64,10 @@
         /** A job that is late by more than this share of its estimated run time is unlikely to meet its deadline. */
         const val UNLIKELY_OVERRUN_SHARE = 0.5
 
-        /** A job without a start for longer than this, in seconds, gets one ahead of all others; users expect a start within 90 s. */
+        /**
+         * If no task of a job has been placed for longer than this, in seconds, restrictions on placing the job's tasks are lifted. A job
+         * that waits 90 s while a machine with enough free capacity exists counts as a failure of the service.
+         */
         const val LONGEST_WAIT_S = 70.0
     }
 }
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
@@ -13,7 +13,7 @@
     /** The reservations made in this cycle. */
     val reservations: List<MachineReservation> get() = plannedReservations
 
-    /** Whether machines may be reserved for one more job in this cycle. */
+    /** Whether this cycle may still reserve machines for one more job. */
     fun mayReserveForAnother(): Boolean = reservingJobCount < MAX_JOBS_PER_CYCLE
 
     /**
@@ -69,7 +69,7 @@
         /** Only machines on which the capacity becomes free within this time, in seconds, are reserved. */
         const val RESERVATION_HORIZON_S = 20.0
 
-        /** No more machines are reserved here once this share of the usable machines is reserved, those for preemptions included. */
+        /** No more machines are reserved once this share of all machines is reserved, including the machines reserved by preemptions. */
         const val MAX_RESERVED_SHARE = 0.3
         const val MAX_JOBS_PER_CYCLE = 2
     }
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineView.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineView.kt
@@ -60,7 +60,7 @@
     var reservedFor: JobId? = reservedFor
         private set
 
-    /** The group that the machine is in now, or null while it is in no index. */
+    /** The group of [MachineIndex] that the machine is in now, or null while it is in no index. */
     internal var group: MachineGroup? = null
 
     /** Whether a plan has changed the free capacity or the reservation; if so, the next cycle has to replace this view. */
@@ -72,7 +72,10 @@
     val assignedTasks: List<AssignedTask>
         get() = cachedAssignedTasks ?: findAssignedTasks().also { cachedAssignedTasks = it }
 
-    /** Discards the cached [assignedTasks] at the beginning of a cycle, as the remaining run times have changed since the previous one. */
+    /**
+     * Discards the cached [assignedTasks] at the beginning of a cycle, as the [AssignedTask.remainingS] that they hold is as of the
+     * previous cycle.
+     */
     fun invalidateAssignedTasks() {
         cachedAssignedTasks = null
     }
--- a/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
@@ -31,14 +31,16 @@
 
     /**
      * Places up to [wanted] tasks of [job], as long as the team's usage including them stays within the team's limit and satisfies
-     * [isWithinBound]. Returns how many of the tasks so allowed found no free capacity; 0 if the cycle reaches its limit of starts.
+     * [isWithinBound]. Returns how many of the tasks that the limit and the bound allow found no free capacity; 0 if the cycle reaches
+     * its limit of starts.
      */
     fun place(job: JobView, wanted: Int, isWithinBound: (Resources) -> Boolean): Int =
         placeAllowed(job, allowedCount(job, wanted, isWithinBound), ignoresReservations = false)
 
     /**
-     * Places one task of [job], even on a machine that is reserved for another job, as part of a reserved machine is idle until that
-     * job's tasks start. Returns 1 if the team's limit allows the task and no machine has free capacity for it, else 0.
+     * Places one task of [job] if the team's limit allows it, even on a machine that is reserved for another job. Free capacity of a
+     * reserved machine is idle until the tasks of the job that it is reserved for start. Returns the number of tasks, 0 or 1, that the
+     * limit allows but for which no machine has free capacity.
      */
     fun placeOnAnyMachine(job: JobView): Int = placeAllowed(job, allowedCount(job, 1) { true }, ignoresReservations = true)
 
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Puts back [machine], which was polled and got a task, and has free capacity for another task of the job. */
+    /** Puts [machine] back into the queue: it was polled, got a task, and has free capacity for another task of the job. */
     fun requeue(machine: MachineView) {
         movedMachines += machine
         val group = checkNotNull(machine.group)
@@ -57,7 +57,7 @@
         movedMachines += machine
     }
 
-    /** A sorted run: machines with the same score in the order of their ids. [head] is null until the first machine is determined. */
+    /** A sorted run: machines with the same score in the order of their ids. [head] is null until its first machine is determined. */
     private inner class SortedRun(val score: Double, var head: MachineView? = null, private val next: (MachineView?) -> MachineView?) :
         Comparable<SortedRun> {
         /** Sets [head] to the next machine that is allowed and got no task of this job, or to null after the last one. */
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementConstraints.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementConstraints.kt
@@ -16,9 +16,9 @@
     }
 
     /**
-     * Whether tasks of [job] may run on [machine]: its kind is allowed, the machine is neither reserved for another job (unless
+     * Whether tasks of [job] may run on [machine]: the machine's kind is allowed, the machine is neither reserved for another job (unless
      * [ignoresReservations]) nor excluded after a failure (unless the job has waited too long), and the zone holds fewer tasks of the
-     * job than it may.
+     * job than the job's limit for each zone.
      */
     fun allows(job: JobView, machine: MachineView, ignoresReservations: Boolean): Boolean =
         allowsKind(job, machine.kind) && allowsMachine(job, machine, ignoresReservations) && isBelowZoneLimit(job, machine.zone)
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementScore.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementScore.kt
@@ -7,7 +7,7 @@
 
     /**
      * Added to the score of on-demand machines for jobs with long slack that allow spot machines, and to the score of spot machines for
-     * jobs with short slack that save no checkpoints: a reclaimed spot machine would cost those all of their progress.
+     * jobs with short slack that save no checkpoints: tasks without checkpoints lose all of their progress with a reclaimed machine.
      */
     private const val SPOT_MISMATCH_PENALTY = 0.5
 
--- a/src/main/kotlin/mountmast/coordination/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PreemptionPlanner.kt
@@ -9,8 +9,8 @@
 import mountmast.protocol.Zone
 
 /**
- * Reserves machines for tasks that found no free capacity, by preempting all tasks on those machines. The paper calls this eviction
- * (Eq. 3 to 5). Not thread-safe: one for each cycle.
+ * Reserves machines for tasks that found no free capacity, by preempting all tasks on those machines. The paper calls preemption
+ * "eviction" (Eq. 3 to 5). Not thread-safe: one for each cycle.
  */
 internal class PreemptionPlanner(
     private val snapshot: ClusterSnapshot,
@@ -25,8 +25,8 @@
     val preemptions: List<Preemption> get() = plannedPreemptions
 
     /**
-     * How many machines this cycle may preempt. Grows with the number of machines: a large cluster meets its guarantees as fast as a
-     * small one only if a cycle may preempt as large a share of its machines.
+     * The number of machines on which this cycle may preempt the tasks. It grows with the number of machines: a large cluster meets its
+     * guarantees as fast as a small one only if a cycle may preempt the tasks of as large a share of its machines.
      */
     private val maxPreemptions = maxOf(policy.preemptionsPerCycle, snapshot.machines.size / MACHINES_PER_PREEMPTION)
 
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Returns the demand of [job], or null if more than that decides which machines may be preempted: the zones of the job's other tasks
-     * or the machines excluded after failures.
+     * Returns the demand of [job], or null if more than a [Demand] holds decides which machines may be preempted: the zones of the job's
+     * other tasks or the machines excluded after failures.
      */
     private fun demand(job: JobView, isGuaranteed: Boolean): Demand? {
         val spec = job.spec
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Returns the cost of preempting all tasks of [machine] (Φ in Eq. 4 of the paper). It is the higher, the more tasks there are, the
-     * less run time remains to them, and the more often they were preempted before.
+     * Returns the cost of preempting all tasks of [machine] (Φ in Eq. 4 of the paper). The cost rises with the number of tasks and with
+     * the number of their earlier preemptions, and falls with their remaining run time.
      */
     private fun cost(machine: MachineView): Double {
         val victims = machine.assignedTasks
@@ -131,7 +131,7 @@
     }
 
     private companion object {
-        /** A cycle may preempt one in this many machines if that is more than [SchedulingPolicy.preemptionsPerCycle]. */
+        /** A cycle may preempt the tasks of one in this many machines if that is more than [SchedulingPolicy.preemptionsPerCycle]. */
         const val MACHINES_PER_PREEMPTION = 250
     }
 }
--- a/src/main/kotlin/mountmast/coordination/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Scheduler.kt
@@ -24,7 +24,7 @@
         private val preemptions = PreemptionPlanner(snapshot, policy, assurance, placement, constraints)
         private val reservations = MachineReservations(snapshot, constraints)
         private val unplaced = ArrayList<UnplacedTasks>()
-        private val jobsWithUnplacedGuaranteed = HashSet<JobId>()
+        private val jobsWithUnplacedGuaranteedTasks = HashSet<JobId>()
 
         fun plan(): SchedulingPlan {
             val open = snapshot.jobs.filter { it.tasks.openCount > 0 }
@@ -56,14 +56,14 @@
             val blockedCount = placement.place(job, wanted) { true }
             if (blockedCount <= 0) return
             unplaced += UnplacedTasks(job.spec.id, blockedCount, isGuaranteed = true)
-            jobsWithUnplacedGuaranteed += job.spec.id
+            jobsWithUnplacedGuaranteedTasks += job.spec.id
             preemptions.preemptFor(job, blockedCount, isGuaranteed = true)
         }
 
         private fun placeBorrowed(job: JobView) {
             val quota = snapshot.quotas[job.spec.team] ?: return
             val wanted = job.tasks.openCount - placement.startedCount(job)
-            if (!job.mayStart || wanted <= 0 || job.spec.id in jobsWithUnplacedGuaranteed) return
+            if (!job.mayStart || wanted <= 0 || job.spec.id in jobsWithUnplacedGuaranteedTasks) return
             // A job that fails on every machine runs one task at a time.
             val attemptedCount = if (job.isPoisoned) minOf(wanted, maxOf(0, 1 - job.tasks.assignedCount)) else wanted
             val blockedCount = placement.place(job, attemptedCount) { priorities.mayBorrow(quota, it) }
--- a/src/main/kotlin/mountmast/coordination/scheduling/SchedulingPolicy.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/SchedulingPolicy.kt
@@ -4,8 +4,8 @@
 import mountmast.protocol.Urgency
 
 /**
- * The scheduling parameters λ, η, α and β that the paper leaves open, and the limits of a scheduling cycle. Each property is set by
- * one XML element in the operators' file, so the properties are not grouped.
+ * The scheduling parameters λ, η, α and β, and the limits of a scheduling cycle. The paper cited in docs/design.md ("the paper") leaves
+ * the values of these parameters open. Each property is set by one XML element in the operators' file, so the properties are not grouped.
  */
 data class SchedulingPolicy(
     /** λ of the paper: the weight of a team's current degree of assurance against the previous smoothed degree, from 0 to 1. */
@@ -18,11 +18,11 @@
     val fragmentationWeight: Double = 0.3,
     /** The lowest urgency at which a team's guarantee covers the team's jobs. */
     val guaranteedFrom: Urgency = Urgency.NORMAL,
-    /** The lowest urgency of covered jobs for teams to which [guaranteedFrom] does not apply. */
+    /** Replaces [guaranteedFrom] for some teams: the lowest urgency at which the guarantee of such a team covers the team's jobs. */
     val guaranteedFromByTeam: Map<TeamId, Urgency> = emptyMap(),
     /** The longest time between two scheduling cycles, in milliseconds. */
     val cycleMs: Long = 1000,
-    /** On how many machines a cycle may preempt the tasks; more in a large cluster, see [PreemptionPlanner]. */
+    /** The number of machines on which a cycle may preempt the tasks; larger in a large cluster, see [PreemptionPlanner]. */
     val preemptionsPerCycle: Int = 4,
     /** The number of tasks that a cycle may start at most. */
     val startsPerCycle: Int = 2000,
--- a/src/main/kotlin/mountmast/protocol/Ids.kt
+++ b/src/main/kotlin/mountmast/protocol/Ids.kt
@@ -98,7 +98,7 @@
     override fun toString() = text
 }
 
-/** Name of a request to the cloud for machines. No two requests have the same name, so that the cloud can tell a repeated one. */
+/** Name of a request to the cloud for machines. No two requests have the same name, so that the cloud recognizes a repeated one. */
 @Serializable
 @JvmInline
 value class RentalRequestId(val text: String) {
--- a/src/main/kotlin/mountmast/protocol/Settings.kt
+++ b/src/main/kotlin/mountmast/protocol/Settings.kt
@@ -21,13 +21,13 @@
     /** Whether the team is guaranteed any virtual processors or GPUs. */
     val hasGuarantee: Boolean get() = cpus > 0 || gpus > 0
 
-    /** Whether [use], all that the team's tasks take, is within the team's limit. */
-    fun limitAllows(use: Resources) = (cpusMax <= 0 || use.cpus <= cpusMax + Resources.EPSILON) &&
-        (gpusMax <= 0 || use.gpus <= gpusMax + Resources.EPSILON)
+    /** Whether [usage], all that the team's tasks take, is within the team's limit. */
+    fun limitAllows(usage: Resources) = (cpusMax <= 0 || usage.cpus <= cpusMax + Resources.EPSILON) &&
+        (gpusMax <= 0 || usage.gpus <= gpusMax + Resources.EPSILON)
 
-    /** Whether [use], all that the team's tasks take, is within [times] the team's guarantee. */
-    fun guaranteeCovers(use: Resources, times: Double = 1.0) =
-        use.cpus <= cpus * times + Resources.EPSILON && use.gpus <= gpus * times + Resources.EPSILON
+    /** Whether [usage], all that the team's tasks take, is within [times] the team's guarantee. */
+    fun guaranteeCovers(usage: Resources, times: Double = 1.0) =
+        usage.cpus <= cpus * times + Resources.EPSILON && usage.gpus <= gpus * times + Resources.EPSILON
 }
 
 /** Another controller node of the deployment; [endpoint] is the address at which it takes messages of its peers. */
@@ -43,11 +43,11 @@
  * @property members the other controller nodes
  * @property cloud address of the cloud's API
  * @property state address of the state service
- * @property clockOffMs bound on the difference of any node's time of day from the true time, in milliseconds
+ * @property clockOffMs bound on the difference of any node's wall clock from the true time, in milliseconds
  * @property heartbeatIntervalS seconds between two heartbeats of a worker
  * @property leaseS seconds for which an answered heartbeat renews a worker's lease
  * @property cancelS seconds after a confirmed cancellation within which all tasks of the job must have ended
- * @property stateLimits limits of the state service: for each the lower of the one in force and the one announced
+ * @property stateLimits limits of the state service; each is the lower of the limit in force and the announced one
  * @property cloudRps requests per second that the cloud accepts
  * @property listLagS seconds by which the cloud's list of machines may be out of date
  * @property maxConnections the largest number of connections that this node may have open
--- a/src/main/kotlin/mountmast/protocol/SettingsReader.kt
+++ b/src/main/kotlin/mountmast/protocol/SettingsReader.kt
@@ -5,11 +5,11 @@
     fun read(): Settings {
         val node = NodeId(toml.string("node"))
         val members = toml.tables("members").map { Member(NodeId(it.string("node")), it.zone(), it.address("endpoint")) }
-        checkNodes(members.map { it.node } + node)
+        checkNodeNames(members.map { it.node } + node)
         val teams = teams()
-        val heartbeatS = toml.positive("deployment.workers.report_s")
+        val heartbeatIntervalS = toml.positive("deployment.workers.report_s")
         val leaseS = toml.positive("deployment.workers.lease_s")
-        if (leaseS <= heartbeatS) throw InvalidSettingsException("deployment.workers.lease_s: not longer than report_s")
+        if (leaseS <= heartbeatIntervalS) throw InvalidSettingsException("deployment.workers.lease_s: not longer than report_s")
         return Settings(
             node = node,
             zone = toml.zone(),
@@ -20,7 +20,7 @@
             state = toml.address("endpoints.state"),
             teams = teams,
             clockOffMs = if (toml.has(CLOCK_OFF)) toml.amount(CLOCK_OFF) else DEFAULT_CLOCK_OFF_MS,
-            heartbeatIntervalS = heartbeatS,
+            heartbeatIntervalS = heartbeatIntervalS,
             leaseS = leaseS,
             cancelS = toml.positive("deployment.workers.cancel_s"),
             stateLimits = stateLimits(),
@@ -30,7 +30,7 @@
         )
     }
 
-    private fun checkNodes(names: List<NodeId>) {
+    private fun checkNodeNames(names: List<NodeId>) {
         if (names.toSet().size != names.size) throw InvalidSettingsException("members: a node is named twice")
         val size = toml.whole("deployment.size", 1, MAX_NODES)
         if (size != names.size) throw InvalidSettingsException("deployment.size: $size, but members name ${names.size} nodes")
@@ -84,9 +84,9 @@
     }
 
     private fun TomlTable.zone(): Zone {
-        val name = string("site")
+        val zoneName = string("site")
         return try {
-            Zone(name)
+            Zone(zoneName)
         } catch (e: IllegalArgumentException) {
             throw InvalidSettingsException("${prefix}site: not a zone's name")
         }
--- a/src/main/kotlin/mountmast/protocol/StateLimits.kt
+++ b/src/main/kotlin/mountmast/protocol/StateLimits.kt
@@ -18,7 +18,7 @@
      */
     val valueBytes: Int get() = (valueKb * BYTES_PER_KB * MAX_FILL_RATIO).toInt()
 
-    /** Returns the lower of the two values of each limit, these and those of [other]. */
+    /** Returns limits of which each is the lower of this object's limit and that of [other]. */
     fun lowerOf(other: StateLimits) = StateLimits(
         requestsPerSecond = minOf(requestsPerSecond, other.requestsPerSecond),
         writesPerSecond = minOf(writesPerSecond, other.writesPerSecond),
--- a/src/main/kotlin/mountmast/protocol/Time.kt
+++ b/src/main/kotlin/mountmast/protocol/Time.kt
@@ -10,7 +10,10 @@
     operator fun minus(other: MonotonicTime): Long = ms - other.ms
 }
 
-/** A time of day in milliseconds since 1970 UTC. Clocks of two nodes may differ by twice [Settings.clockOffMs]. */
+/**
+ * A wall-clock time in milliseconds since the Unix epoch. Each node's clock is off by at most [Settings.clockOffMs], so the clocks of two
+ * nodes may differ by twice that.
+ */
 @Serializable
 @JvmInline
 value class WallTime(val ms: Long) : Comparable<WallTime> {
@@ -22,7 +25,7 @@
     /** Returns the current reading of the monotonic clock. */
     fun now(): MonotonicTime
 
-    /** Returns the current time of day. */
+    /** Returns the current wall-clock time. */
     fun wall(): WallTime
 }
 
--- a/src/main/kotlin/mountmast/protocol/TomlTable.kt
+++ b/src/main/kotlin/mountmast/protocol/TomlTable.kt
@@ -68,7 +68,7 @@
 
     private fun required(path: String): Any = table.get<Any?>(path) ?: throw invalid(path, "missing")
 
-    private fun invalid(path: String, why: String) = InvalidSettingsException("$prefix$path: $why")
+    private fun invalid(path: String, reason: String) = InvalidSettingsException("$prefix$path: $reason")
 
     private companion object {
         const val MAX_PORT = 65_535
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -25,11 +25,11 @@
 private val log = LoggerFactory.getLogger("mountmast.store")
 
 /**
- * Client of the state service over HTTP. It limits its requests and writes to this node's share of the service's two rates: a call
- * that would have to wait too long for its share fails before anything is sent. Thread-safe.
+ * Client of the state service over HTTP. It limits its requests and writes to this node's share of the service's request rate and write
+ * rate. A call that would have to wait too long to stay within that share fails before anything is sent. Thread-safe.
  *
  * @property address address of the state service
- * @property nodes number of controller nodes that share the rates
+ * @property nodes number of controller nodes that share the state service's rates
  */
 class HttpStateStore(
     private val address: InetSocketAddress,
@@ -39,10 +39,10 @@
     metrics: Metrics = Metrics(),
 ) : StateStore {
     private val callDurations = metrics.timing(MetricNames.STORE_CALLS)
-    private val failures = metrics.counter(MetricNames.STORE_FAILURES)
+    private val failureCounter = metrics.counter(MetricNames.STORE_FAILURES)
 
-    private val requests = RateLimiter.create(limits.requestsPerSecond / nodes)
-    private val writes = TokenBucket(limits.writesPerSecond / nodes, System::nanoTime)
+    private val requestLimiter = RateLimiter.create(limits.requestsPerSecond / nodes)
+    private val writeBucket = TokenBucket(limits.writesPerSecond / nodes, System::nanoTime)
     private val rejectedKeys = ConcurrentHashMap.newKeySet<String>()
 
     @Volatile
@@ -55,11 +55,11 @@
         get() = wasLastCallAnswered || System.nanoTime() - lastAnswerNanos < REACHABLE_AFTER_ANSWER_NANOS
 
     override fun setRole(leader: Boolean) {
-        requests.rate = StoreRateQuota.requests(limits, nodes, leader)
-        writes.setRate(StoreRateQuota.writes(limits, nodes, leader))
+        requestLimiter.rate = StoreRateQuota.requests(limits, nodes, leader)
+        writeBucket.setRate(StoreRateQuota.writes(limits, nodes, leader))
     }
 
-    override fun writeBudget(): WriteBudget = writes.budget()
+    override fun writeBudget(): WriteBudget = writeBucket.budget()
 
     override fun get(key: String): Entry? {
         val reply = call("GET", "/store/$key", null)
@@ -80,7 +80,7 @@
 
     override fun commit(transaction: Transaction): TransactionResult {
         awaitWriteQuota(transaction.writes.size)
-        val body = CommitBody(
+        val requestBody = CommitBody(
             transaction.compares.map { CompareBody(it.key, it.modRevision) },
             transaction.writes.map { write ->
                 when (write) {
@@ -89,7 +89,7 @@
                 }
             },
         )
-        val reply = call("POST", "/commit", WireJson.encodeToString(body))
+        val reply = call("POST", "/commit", WireJson.encodeToString(requestBody))
         return when {
             reply.isOk -> TransactionResult.Committed(decode<RevisionBody>(reply).revision)
             reply.status == 409 -> TransactionResult.CompareFailed(decode<CompareFailedBody>(reply).failed)
@@ -134,20 +134,20 @@
      * Waits up to [waitMs] milliseconds for the answer. Throws [StoreException] if this node's share of the request rate is used up, or
      * if no answer arrives.
      */
-    private fun call(method: String, path: String, body: String?, waitMs: Int = ANSWER_TIMEOUT_MS): Reply {
+    private fun call(method: String, path: String, requestBody: String?, waitMs: Int = ANSWER_TIMEOUT_MS): Reply {
         val startedNanos = System.nanoTime()
-        if (!requests.tryAcquire(MAX_RATE_WAIT_MS, TimeUnit.MILLISECONDS)) throw rateExceeded()
+        if (!requestLimiter.tryAcquire(MAX_RATE_WAIT_MS, TimeUnit.MILLISECONDS)) throw rateExceeded()
         try {
             val admittedNanos = System.nanoTime()
-            val reply = caller.call(address, method, path, body?.encodeToByteArray(), waitMs)
+            val reply = caller.call(address, method, path, requestBody?.encodeToByteArray(), waitMs)
             if (waitMs == ANSWER_TIMEOUT_MS) recordDuration("$method $path", startedNanos, admittedNanos)
             // A status below 500 shows that the service is reachable; it answers 429 to requests above its rates.
             wasLastCallAnswered = reply.status < 500
-            if (wasLastCallAnswered) lastAnswerNanos = System.nanoTime() else failures.add()
+            if (wasLastCallAnswered) lastAnswerNanos = System.nanoTime() else failureCounter.add()
             return reply
         } catch (e: NoAnswerException) {
             wasLastCallAnswered = false
-            failures.add()
+            failureCounter.add()
             throw if (e.mayBeCarriedOut) StoreTimeoutException("$path: ${e.message}") else StoreUnavailableException("$path: ${e.message}")
         }
     }
@@ -163,13 +163,16 @@
 
     /** Waits until [count] changes are within this node's share of the write rate. */
     private fun awaitWriteQuota(count: Int) {
-        val waitMs = writes.take(count, MAX_RATE_WAIT_MS) ?: throw rateExceeded()
+        val waitMs = writeBucket.take(count, MAX_RATE_WAIT_MS) ?: throw rateExceeded()
         if (waitMs > 0) Thread.sleep(waitMs)
     }
 
-    private fun rateExceeded() = StoreUnavailableException("over this node's share of the rate")
+    private fun rateExceeded() = StoreUnavailableException("not sent: the call exceeds this node's share of the state service's rates")
 
-    /** Returns the exception for a rejected [transaction]. Logs each key once, since users may send a request any number of times. */
+    /**
+     * Returns the exception for a rejected [transaction]. Logs only one rejection for each largest key, since users may send the same
+     * request any number of times.
+     */
     private fun rejection(transaction: Transaction, reply: Reply): StoreRequestRejectedException {
         val rejected = StoreRequestRejectedException.of(transaction, reply.text.take(MAX_ANSWER_CHARS))
         if (rejectedKeys.size >= MAX_REJECTED_KEYS) rejectedKeys.clear()
--- a/src/main/kotlin/mountmast/storage/JournalText.kt
+++ b/src/main/kotlin/mountmast/storage/JournalText.kt
@@ -8,7 +8,7 @@
 import mountmast.protocol.Zone
 import java.util.BitSet
 
-/** How an attempt at a task ended. [mark] begins the journal's entry for it, and is part of the contract between versions. */
+/** How an attempt at a task ended. [mark] begins the journal's entry for this end, and is part of the contract between versions. */
 enum class TaskEnd(val mark: Char) {
     /** The task is done. */
     DONE('!'),
@@ -44,7 +44,7 @@
  * machines and zones never contain (see [MachineId]). Not thread-safe.
  *
  * The marks, the separators and the order of an entry's fields are part of the contract between versions. A version skips entries
- * whose mark it does not know, so their changes are lost to it.
+ * whose mark it does not know, so it misses the changes in them.
  */
 class JournalText {
     private val text = StringBuilder()
@@ -90,14 +90,14 @@
          * [IllegalArgumentException] if an entry names a machine or zone that is not a valid [MachineId] or [Zone].
          */
         fun read(text: String, reader: JournalReader): Int {
-            var unreadable = 0
+            var unreadableCount = 0
             var from = 0
             while (from < text.length) {
                 val to = text.indexOf(ENTRY_END, from).let { if (it < 0) text.length else it }
-                if (to > from && !readEntry(text[from], text.substring(from + 1, to), reader)) unreadable++
+                if (to > from && !readEntry(text[from], text.substring(from + 1, to), reader)) unreadableCount++
                 from = to + 1
             }
-            return unreadable
+            return unreadableCount
         }
 
         /** Returns false if the entry is malformed or its mark is unknown. */
@@ -158,7 +158,7 @@
 
     /**
      * Sets the bits that [text] names in [set]. Returns false if [text] is malformed or names an index outside 0 until [size]; the ranges
-     * before that are set even so.
+     * before the faulty one are set even so.
      */
     fun decodeInto(text: String, set: BitSet, size: Int): Boolean {
         for (part in text.split(',')) {
--- a/src/main/kotlin/mountmast/storage/Records.kt
+++ b/src/main/kotlin/mountmast/storage/Records.kt
@@ -223,6 +223,9 @@
  */
 const val FORMAT_VERSION = 2
 
-/** States that every node of the deployment reads the forms of [version]. Written once that is known; the version is never lowered. */
+/**
+ * States that every node of the deployment reads the forms of [version]. Written once every node is known to do so; [version] is never
+ * lowered.
+ */
 @Serializable
 data class FormatRecord(@SerialName("v") val version: Int)
--- a/src/main/kotlin/mountmast/storage/StateStore.kt
+++ b/src/main/kotlin/mountmast/storage/StateStore.kt
@@ -73,7 +73,8 @@
     /** Returns every entry whose key begins with [prefix], and the revision from which a watch returns all later changes. */
     fun listAll(prefix: String): Pair<List<Entry>, Revision> {
         val entries = ArrayList<Entry>()
-        // The revision of the first page: a watch returns changes made between two pages once more, rather than missing them.
+        // The revision at the read of the first page. A watch from this revision returns changes that were made while further pages were
+        // read, even if those pages show them already, rather than missing some.
         var from: Revision? = null
         while (true) {
             val page = list(prefix, entries.lastOrNull()?.key)
--- a/src/main/kotlin/mountmast/storage/StoreException.kt
+++ b/src/main/kotlin/mountmast/storage/StoreException.kt
@@ -11,7 +11,7 @@
 /** No readable answer arrived: the request may have been executed, or may still be. */
 class StoreTimeoutException(message: String) : StoreException(message)
 
-/** The lease of the state service that a call named has expired, and the keys attached to the lease have been deleted. */
+/** A transaction refers to a lease of the state service that has expired. The keys attached to the lease have been deleted. */
 class StoreLeaseExpiredException(storeLease: StoreLeaseId) : StoreException("lease $storeLease of the state service has expired")
 
 /**
--- a/src/main/kotlin/mountmast/storage/TokenBucket.kt
+++ b/src/main/kotlin/mountmast/storage/TokenBucket.kt
@@ -18,9 +18,9 @@
 /** Divides the rates of the state service among the controller nodes. */
 object StoreRateQuota {
     /**
-     * Returns how many changes per second one of [nodes] nodes may write; [isLeader] tells whether it is the leader. The leader gets the
-     * larger share of the writes, and the other nodes together that of the requests, since they answer more users. The shares of all
-     * nodes together stay within the rates.
+     * Returns how many changes (puts and deletes) per second one of [nodes] nodes may write; [isLeader] tells whether it is the leader.
+     * The leader gets the larger share of the write rate in [limits]. The other nodes together get the larger share of the request rate,
+     * since they answer more users. The shares of all nodes together stay below each rate.
      */
     fun writes(limits: StateLimits, nodes: Int, isLeader: Boolean) = limits.writesPerSecond * share(nodes, isLeader, LEADER_WRITE_SHARE)
 
@@ -37,7 +37,10 @@
     private const val LEADER_REQUEST_SHARE = 0.4
     private const val LEADER_WRITE_SHARE = 0.6
 
-    /** Keeps all nodes together below the rates: their clocks drift, and two nodes may use the leader's share while the leader changes. */
+    /**
+     * Keeps all nodes together below the state service's rates: the nodes' clocks drift, and two nodes may use the leader's share while
+     * the leader changes.
+     */
     private const val SAFETY_FACTOR = 0.9
 }
 
@@ -96,7 +99,7 @@
         const val NANOS_PER_S = 1e9
         const val MS_PER_S = 1000
 
-        /** Enough for the two changes that finish a job, beside the reserve. */
+        /** The lowest capacity of a bucket, in permits: besides the reserve, it holds the permits for the two changes that finish a job. */
         const val MIN_CAPACITY = 3.0
         const val RESERVED_SHARE = 0.25
         const val SCARCE_SHARE = 0.6
--- a/src/main/kotlin/mountmast/storage/TypesForm.kt
+++ b/src/main/kotlin/mountmast/storage/TypesForm.kt
@@ -30,9 +30,9 @@
     fun whole(types: MachineTypes) = Write.Put(Keys.TYPES, WireJson.encodeToJsonElement(TypesRecord(types.types)))
 
     /**
-     * Returns the machine types that [store] holds, or null if there are none or if the stored parts do not belong together, as while
+     * Returns the machine types that [store] holds, or null if there are none or if the stored parts belong to different lists, as while
      * another node writes them.
-     * Throws [StoreException] if the state service fails, and [IllegalArgumentException] if they cannot be decoded.
+     * Throws [StoreException] if the state service fails, and [IllegalArgumentException] if the types cannot be decoded.
      */
     fun read(store: StateStore): MachineTypes? {
         val head = store.get(Keys.TYPES)?.let { WireJson.decodeFromJsonElement<TypesRecord>(it.value) } ?: return null
--- a/src/main/kotlin/mountmast/transport/Admission.kt
+++ b/src/main/kotlin/mountmast/transport/Admission.kt
@@ -29,5 +29,5 @@
     }
 }
 
-/** The limits on users' requests: separate ones, so that a flood of submissions does not block polls of a job's status. */
-class AdmissionLimits(val submissions: AdmissionLimit, val polls: AdmissionLimit)
+/** The limits on users' requests. Submissions and polls have a limit each, so that a flood of submissions does not block polls. */
+class AdmissionLimits(val submissionLimit: AdmissionLimit, val pollLimit: AdmissionLimit)
--- a/src/main/kotlin/mountmast/transport/BoundedServer.kt
+++ b/src/main/kotlin/mountmast/transport/BoundedServer.kt
@@ -21,14 +21,14 @@
 /**
  * Runs an http4k handler on the JDK's HTTP server. http4k's own `SunHttp` binds every address and has an unbounded thread pool; this
  * server binds one address and bounds its threads and waiting requests. A request that exceeds the bound of its bulkhead is answered
- * with 503 and `Retry-After: 1` at once; one that exceeds the bound of the server is refused by closing its connection.
+ * with 503 and `Retry-After: 1` at once. A request that exceeds the bound of the server is refused by closing its connection.
  *
  * @property address address to bind
- * @property name name of the server's threads; those of bulkheads have the suffix `-lane`
- * @property threads number of threads that read requests, and answer those to paths without a bulkhead. If bulkheads cover all paths,
- *   few threads are enough and more do harm: on a node short of processor time each competes with the threads that answer requests or
- *   renew a lease.
- * @property maxWaiting maximum number of requests that wait for one of these threads
+ * @property name name of the server's threads; the names of bulkheads' threads have the suffix `-lane`
+ * @property threads number of threads that read requests, and answer requests to paths without a bulkhead. If bulkheads cover all
+ *   paths, few threads are enough, and more do harm: on a node short of processor time they compete with the threads that answer
+ *   requests or renew a lease.
+ * @property maxWaiting maximum number of requests that wait for one of the [threads]
  * @property bulkheads bulkheads, each with a thread pool of its own, by path prefix
  */
 class BoundedServer(
@@ -87,7 +87,7 @@
                 if (bulkhead.isWorthAnswering(waitedMs)) answer(exchange, handler) else refuse(exchange, bulkhead)
             }
         } catch (e: RejectedExecutionException) {
-            log.debug("request refused, as its bulkhead takes no more: {}", e.message)
+            log.debug("request refused, as its bulkhead takes no more requests: {}", e.message)
             refuse(exchange, bulkhead)
         }
     }
@@ -124,7 +124,7 @@
     }
 
     companion object {
-        /** Number of threads that read the requests of users and workers; bulkheads answer them. */
+        /** Number of threads that read the requests of users and workers; the threads of bulkheads answer the requests. */
         const val PUBLIC_READER_THREADS = 4
         private const val ANY_PATH = "/"
         private const val MIN_BACKLOG = 128
--- a/src/main/kotlin/mountmast/transport/Cloud.kt
+++ b/src/main/kotlin/mountmast/transport/Cloud.kt
@@ -45,7 +45,10 @@
         const val MAX_PER_DELETION = 100
         const val MAX_PER_PAGE = 500
 
-        /** Share of the cloud's rate limit that a node uses: only the leader calls, but a leader that was just replaced may still do so. */
+        /**
+         * Share of the cloud's rate limit that a node uses. Only the leader calls the cloud, but a leader that was just replaced may
+         * still call it.
+         */
         const val RATE_SHARE = 0.8
     }
 }
--- a/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
+++ b/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
@@ -2,13 +2,16 @@
 
 /**
  * Division of a node's connections into inbound and outbound ones. Every worker and many users keep a connection open to the leader, so
- * most are for inbound requests. The others are reserved for peers, the state service, the cloud and commands to workers, so that a
- * flood of inbound requests never keeps a leader from renewing its lease.
+ * most connections are inbound. The outbound connections are reserved for peers, the state service, the cloud and commands to workers,
+ * so that a flood of inbound requests never keeps a leader from renewing its lease.
  */
 data class ConnectionBudget(
     /** Maximum number of inbound connections; further ones are closed at once. */
     val maxInbound: Int,
-    /** Maximum number of inbound connections kept open between requests: workers whose connection is closed only connect again. */
+    /**
+     * Maximum number of inbound connections kept open between requests. As high as [maxInbound], since a worker whose connection is
+     * closed only connects again.
+     */
     val maxIdle: Int,
     /** Maximum number of requests, other than heartbeats, that wait for a thread. */
     val maxWaitingRequests: Int,
--- a/src/main/kotlin/mountmast/transport/HttpMessages.kt
+++ b/src/main/kotlin/mountmast/transport/HttpMessages.kt
@@ -18,10 +18,10 @@
 /** Maximum size of the body of a user's or worker's request, in bytes. */
 const val MAX_BODY_BYTES = 64 * 1024
 
-/** Maximum size of the body of a request between nodes, in bytes: that of a forwarded request with its envelope. */
+/** Maximum size of the body of a request between nodes, in bytes: enough for a forwarded user's request and its envelope. */
 private const val MAX_PEER_BODY_BYTES = 4 * MAX_BODY_BYTES
 
-/** Duration from which on a request counts as slow: half of what users at large sites wait for a submission. */
+/** Duration from which on a request counts as slow: half of the time that users at large sites wait for a submission. */
 internal const val SLOW_REQUEST_MS = 100
 internal const val NANOS_PER_MS = 1_000_000L
 
--- a/src/main/kotlin/mountmast/transport/Metrics.kt
+++ b/src/main/kotlin/mountmast/transport/Metrics.kt
@@ -15,26 +15,26 @@
     fun add(count: Long = 1) = sum.add(count)
 }
 
-/** Metric of durations: their number, their sum, and the longest since it was last read. Thread-safe and lock-free. */
+/** Metric of durations: their number, their sum, and the longest one since the longest was last read. Thread-safe and lock-free. */
 class Timing {
-    private val recorded = LongAdder()
+    private val recordedCount = LongAdder()
     private val sum = LongAdder()
     private val longest = AtomicLong()
 
     /** Number of recorded durations. */
-    val count: Long get() = recorded.sum()
+    val count: Long get() = recordedCount.sum()
 
     /** Sum of all recorded durations in milliseconds. */
     val sumMs: Long get() = sum.sum()
 
     /** Records a duration of [ms] milliseconds. */
     fun record(ms: Long) {
-        recorded.add(1)
+        recordedCount.add(1)
         sum.add(ms)
         if (ms > longest.get()) longest.accumulateAndGet(ms, ::maxOf)
     }
 
-    /** Returns the longest duration recorded since the previous call in milliseconds, or 0 if none was recorded. */
+    /** Returns the longest duration recorded since the previous call in milliseconds, or 0 if none was recordedCount. */
     fun readAndResetLongestMs(): Long = longest.getAndSet(0)
 }
 
--- a/src/main/kotlin/mountmast/transport/QueueMetrics.kt
+++ b/src/main/kotlin/mountmast/transport/QueueMetrics.kt
@@ -9,7 +9,7 @@
  */
 class QueueMetrics(val wait: Timing, val refused: Counter, val registerQueueSize: (() -> Int) -> Unit) {
     companion object {
-        /** Metrics that are recorded but not exposed. */
+        /** Metrics that are recorded, but that `GET /metrics` does not return. */
         val NONE = QueueMetrics(Timing(), Counter()) {}
     }
 }
--- a/src/main/kotlin/mountmast/transport/RequestBulkhead.kt
+++ b/src/main/kotlin/mountmast/transport/RequestBulkhead.kt
@@ -1,7 +1,7 @@
 package mountmast.transport
 
 /**
- * A bulkhead for the requests to paths with one prefix: they have threads and a queue of their own, so that hundreds of these requests
+ * A bulkhead for the requests to paths with one prefix. These requests have threads and a queue of their own, so that hundreds of them
  * at once neither occupy all threads nor compete for the processor with every other request.
  *
  * A request that has waited for [maxWaitMs] is refused without being handled: its sender is about to give up, and the processor time
@@ -30,13 +30,17 @@
         /** Heartbeats are answered from memory, under the lock of the cluster state: more threads would only contend for that lock. */
         private const val HEARTBEAT_THREADS = 4
 
-        /** Workers wait 4 seconds for the answer to a heartbeat; the other second is for the network, and for reading and answering it. */
+        /**
+         * Heartbeats that have waited for this long are refused. Workers wait 4 seconds for the answer; the remaining second is for the
+         * network, and for reading and answering the heartbeat.
+         */
         private const val MAX_HEARTBEAT_WAIT_MS = 3000L
 
         /**
-         * Only bounds the memory: what limits waiting heartbeats is how long they wait, not their number. Each worker has one heartbeat
-         * in flight, and a worker whose heartbeat was refused sends the next one sooner than one that got an answer, and a refusal costs
-         * hardly less than an answer (docs/incidents/4000-machines.md, HeartbeatOverloadTest).
+         * Bounds only the memory that waiting heartbeats take; [MAX_HEARTBEAT_WAIT_MS] limits how long they wait. A lower number would
+         * refuse heartbeats to no avail. Each worker has one heartbeat in flight. A worker whose heartbeat was refused sends the next one
+         * sooner than a worker that got an answer, and a refusal costs hardly less than an answer
+         * (docs/incidents/4000-machines.md, HeartbeatOverloadTest).
          */
         private const val MAX_HEARTBEATS_WAITING = 16_384
 
@@ -44,7 +48,7 @@
         fun forHeartbeats(metrics: QueueMetrics = QueueMetrics.NONE) =
             RequestBulkhead(HEARTBEAT_PATH, HEARTBEAT_THREADS, MAX_HEARTBEATS_WAITING, metrics, MAX_HEARTBEAT_WAIT_MS)
 
-        /** Returns the bulkhead for all requests that no bulkhead with a longer prefix takes. */
+        /** Returns the default bulkhead: it takes the requests to all paths that no bulkhead with a longer path prefix takes. */
         fun forOthers(threads: Int, maxWaiting: Int, metrics: QueueMetrics = QueueMetrics.NONE) =
             RequestBulkhead("/", threads, maxWaiting, metrics)
     }
--- a/src/main/kotlin/mountmast/transport/Routes.kt
+++ b/src/main/kotlin/mountmast/transport/Routes.kt
@@ -51,13 +51,13 @@
         path == METRICS_PATH -> request.requireMethod(Method.GET) { text(metrics.render()) }
         path == JOBS_PATH -> request.requireMethod(Method.POST) {
             val body = request.readBoundedBody() ?: return@requireMethod json(400, errorBody("body: over 64 KiB"))
-            admission.submissions.admit { users.submit(body, isForwarded = false) }.toResponse()
+            admission.submissionLimit.admit { users.submit(body, isForwarded = false) }.toResponse()
         }
         path.startsWith("$JOBS_PATH/") && path.endsWith(CANCEL_SUFFIX) -> request.requireMethod(Method.POST) {
             users.cancel(path.removePrefix("$JOBS_PATH/").removeSuffix(CANCEL_SUFFIX), isForwarded = false).toResponse()
         }
         path.startsWith("$JOBS_PATH/") -> request.requireMethod(Method.GET) {
-            admission.polls.admit { users.status(path.removePrefix("$JOBS_PATH/"), isForwarded = false) }.toResponse()
+            admission.pollLimit.admit { users.status(path.removePrefix("$JOBS_PATH/"), isForwarded = false) }.toResponse()
         }
         else -> json(404, errorBody("no such path"))
     }
--- a/src/main/kotlin/mountmast/transport/WorkerClient.kt
+++ b/src/main/kotlin/mountmast/transport/WorkerClient.kt
@@ -18,7 +18,7 @@
     /** The request never left this node. */
     data object NotSent : CommandOutcome
 
-    /** The commands may have been executed, may be executed later, or may never be. */
+    /** The worker sent no answer or an unexpected one: it may have executed the commands, may execute them later, or may never do so. */
     data object Unknown : CommandOutcome
 }
 
