--- a/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
@@ -10,8 +10,8 @@
  * that did not boot in time. The counts decay with each round. Guarded by the lock of [AutoscalingContext].
  */
 internal class OfferingHistory(private val cluster: ClusterState) {
-    private val spotLosses = HashMap<MachineOffering, Double>()
-    private val failedBoots = HashMap<MachineOffering, Double>()
+    private val spotLossCounts = HashMap<MachineOffering, Double>()
+    private val failedBootCounts = HashMap<MachineOffering, Double>()
 
     /**
      * Counts [machine], which is about to be scaled in, as a failure of its offering if it did not boot in time, or if it is a spot
@@ -19,22 +19,22 @@
      */
     fun recordScaleIn(machine: Machine) {
         val offering = machine.offering() ?: return
-        if (machine.state == MachineState.BOOTING && !machine.isListedFailed) failedBoots.merge(offering, 1.0, Double::plus)
+        if (machine.state == MachineState.BOOTING && !machine.isListedFailed) failedBootCounts.merge(offering, 1.0, Double::plus)
         if (machine.spot &&
             (machine.state == MachineState.EXPIRED || machine.isReclaimNoticed)
         ) {
-            spotLosses.merge(offering, 1.0, Double::plus)
+            spotLossCounts.merge(offering, 1.0, Double::plus)
         }
     }
 
     /** Lowers the counts by the decay of one round; called once in each round. */
     fun decayCounts() {
-        spotLosses.replaceAll { _, count -> count * DECAY_PER_ROUND }
-        failedBoots.replaceAll { _, count -> count * DECAY_PER_ROUND }
+        spotLossCounts.replaceAll { _, count -> count * DECAY_PER_ROUND }
+        failedBootCounts.replaceAll { _, count -> count * DECAY_PER_ROUND }
     }
 
     /** Returns the factor, at least 1, by which recent losses of spot machines make [offering] count as more expensive than its price. */
-    fun priceFactor(offering: MachineOffering): Double = 1 + (spotLosses[offering] ?: 0.0) * PRICE_INCREASE_PER_LOSS
+    fun priceFactor(offering: MachineOffering): Double = 1 + (spotLossCounts[offering] ?: 0.0) * PRICE_INCREASE_PER_LOSS
 
     /**
      * Whether [machine], which is booting, was rented longer ago than machines of its type mostly take to boot. Another machine may be
@@ -51,7 +51,7 @@
      * offerings are available. A few machines that do not boot, among many that do, say nothing about their offering.
      */
     fun overdueOfferings(now: MonotonicTime): Set<MachineOffering> {
-        val overdueCounts = HashMap<MachineOffering, Double>(failedBoots)
+        val overdueCounts = HashMap<MachineOffering, Double>(failedBootCounts)
         val bootedCounts = HashMap<MachineOffering, Int>()
         for (machine in cluster.machines.values) {
             val offering = machine.offering() ?: continue
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
@@ -35,7 +35,7 @@
     private inner class Round(private val now: MonotonicTime, private val overdueOfferings: Set<MachineOffering>) {
         val machinesToRequest = LinkedHashMap<MachineOffering, Int>()
         private var machineCount = 0
-        private val expected = ExpectedMachines().apply { expectedOfferings().forEach { add(it.offering, it.type.capacity) } }
+        private val expectedMachines = ExpectedMachines().apply { expectedOfferings().forEach { add(it.offering, it.type.capacity) } }
 
         private fun expectedOfferings(): List<TypedOffering> {
             // If no other offering is available, or several offerings are overdue, further machines would likely be overdue as well.
@@ -51,13 +51,13 @@
         /** Reserves capacity for [count] tasks of [job] on expected machines, then on machines that it adds to [machinesToRequest]. */
         fun coverTasks(job: Job, count: Int) {
             val zones = ZoneBudget.of(job)
-            var remainingTasks = count - expected.reserve(job, count, zones)
+            var remainingTasks = count - expectedMachines.reserve(job, count, zones)
             while (remainingTasks > 0 && machineCount < maxMachinesPerRound) {
                 val best = bestOffering(job, remainingTasks, zones) ?: return
                 machinesToRequest.merge(best.offering, 1, Int::plus)
                 machineCount++
-                expected.add(best.offering, best.type.capacity)
-                val reserved = expected.reserveOn(best.offering, best.type.capacity, job, remainingTasks, zones)
+                expectedMachines.add(best.offering, best.type.capacity)
+                val reserved = expectedMachines.reserveOn(best.offering, best.type.capacity, job, remainingTasks, zones)
                 if (reserved == 0) return
                 remainingTasks -= reserved
             }
--- a/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/AssuranceAssessment.kt
@@ -50,17 +50,17 @@
 
 /** Divides one team's guarantee among its jobs, in the order of the calls of [cover]. */
 private class GuaranteeCoverage(private val quota: TeamQuota) {
-    private var claimed = Resources.NONE
-    private var allocated = Resources.NONE
-    private var demanded = Resources.NONE
+    private var claimedResources = Resources.NONE
+    private var allocatedResources = Resources.NONE
+    private var demandedResources = Resources.NONE
 
     /** Claims for [job] what earlier jobs left of the guarantee; returns how many unfinished tasks of [job] that covers. */
     fun cover(job: JobView): Int {
-        val unclaimed = Resources(quota.cpus - claimed.cpus, quota.gpus - claimed.gpus, Double.MAX_VALUE)
+        val unclaimed = Resources(quota.cpus - claimedResources.cpus, quota.gpus - claimedResources.gpus, Double.MAX_VALUE)
         val covered = job.spec.perTask.copy(memoryGb = 0.0).instancesWithin(unclaimed, job.tasks.unfinishedCount)
-        claimed += job.spec.perTask * covered
-        demanded += job.spec.perTask * job.tasks.unfinishedCount
-        allocated += job.spec.perTask * minOf(covered, job.tasks.assignedCount)
+        claimedResources += job.spec.perTask * covered
+        demandedResources += job.spec.perTask * job.tasks.unfinishedCount
+        allocatedResources += job.spec.perTask * minOf(covered, job.tasks.assignedCount)
         return covered
     }
 
@@ -69,8 +69,8 @@
      * machines, divided by the guarantee or by the jobs' demand, whichever is less. The lower of the ratios for CPUs and GPUs counts.
      */
     fun degree(): Double {
-        val cpuDegree = ratio(allocated.cpus, minOf(quota.cpus, demanded.cpus))
-        val gpuDegree = ratio(allocated.gpus, minOf(quota.gpus, demanded.gpus))
+        val cpuDegree = ratio(allocatedResources.cpus, minOf(quota.cpus, demandedResources.cpus))
+        val gpuDegree = ratio(allocatedResources.gpus, minOf(quota.gpus, demandedResources.gpus))
         return minOf(cpuDegree, gpuDegree)
     }
 
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
@@ -26,7 +26,7 @@
         val maxMachines = (snapshot.machines.size * MAX_RESERVED_SHARE).toInt() - snapshot.index.reservedCount
         if (remaining <= 0 || maxMachines <= 0) return
         reservingJobCount++
-        for (machine in soonestFreeFor(job, maxMachines)) {
+        for (machine in findSoonestFree(job, maxMachines)) {
             if (remaining <= 0) break
             snapshot.index.reserve(machine, job.spec.id)
             plannedReservations += MachineReservation(machine.id, job.spec.id)
@@ -38,7 +38,7 @@
      * Returns up to [maxMachines] machines that have free capacity for a task of [job] within [RESERVATION_HORIZON_S], the machine on
      * which the capacity is free soonest first.
      */
-    private fun soonestFreeFor(job: JobView, maxMachines: Int): List<MachineView> {
+    private fun findSoonestFree(job: JobView, maxMachines: Int): List<MachineView> {
         val isEligible = constraints.eligibleWhenEmpty(job)
         return snapshot.machines
             .filter { it.reservedFor == null && isEligible(it) }
--- a/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
@@ -45,7 +45,7 @@
     fun placeOnAnyMachine(job: JobView): Int = placeAllowed(job, allowedCount(job, 1) { true }, ignoresReservations = true)
 
     private fun placeAllowed(job: JobView, allowed: Int, ignoresReservations: Boolean): Int {
-        val candidates = (if (allowed == 0) null else candidates(job, ignoresReservations)) ?: return allowed
+        val candidates = (if (allowed == 0) null else findCandidates(job, ignoresReservations)) ?: return allowed
         var placed = 0
         while (placed < allowed) {
             if (startedCount >= policy.startsPerCycle) return 0
@@ -85,7 +85,7 @@
      * Returns the machines with free capacity for a task of [job], the best first; null if the tasks of [job] must run in a single zone
      * and no zone has a machine that they may use.
      */
-    private fun candidates(job: JobView, ignoresReservations: Boolean): PlacementCandidates? {
+    private fun findCandidates(job: JobView, ignoresReservations: Boolean): PlacementCandidates? {
         val requiredZone = if (job.spec.singleZone) constraints.requiredZone(job, ignoresReservations) ?: return null else null
         val groups = snapshot.index.groups.filter {
             (requiredZone == null || it.kind.zone == requiredZone) && constraints.allowsKind(job, it.kind)
--- a/src/main/kotlin/mountmast/coordination/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Scheduler.kt
@@ -21,9 +21,9 @@
         private val priorities = JobPriorities(snapshot, policy, assurance)
         private val constraints = PlacementConstraints(snapshot, priorities)
         private val placement = Placement(snapshot, policy, constraints)
-        private val preemptions = PreemptionPlanner(snapshot, policy, assurance, placement, constraints)
-        private val reservations = MachineReservations(snapshot, constraints)
-        private val unplaced = ArrayList<UnplacedTasks>()
+        private val preemptionPlanner = PreemptionPlanner(snapshot, policy, assurance, placement, constraints)
+        private val machineReservations = MachineReservations(snapshot, constraints)
+        private val unplacedTasks = ArrayList<UnplacedTasks>()
         private val jobsWithUnplacedGuaranteedTasks = HashSet<JobId>()
 
         fun plan(): SchedulingPlan {
@@ -34,7 +34,13 @@
             // Jobs without a restriction to lift are left out: another search for free capacity would find nothing more for them.
             val longWaiting = open.filter { priorities.hasWaitedTooLong(it) && priorities.hasLiftableRestrictions(it) }
             for (job in longWaiting.sortedBy { it.timing.queuedAt }) placeLongWaiting(job)
-            return SchedulingPlan(placement.starts(), preemptions.preemptions, reservations.reservations, unplaced, assurance.degrees)
+            return SchedulingPlan(
+                placement.starts(),
+                preemptionPlanner.preemptions,
+                machineReservations.reservations,
+                unplacedTasks,
+                assurance.degrees,
+            )
         }
 
         /**
@@ -46,7 +52,7 @@
         private fun placeStarved(job: JobView) {
             val quota = snapshot.quotas[job.spec.team] ?: return
             val isBlocked = placement.place(job, 1) { priorities.mayBorrow(quota, it) } > 0
-            if (isBlocked && placement.placeOnAnyMachine(job) > 0) reservations.reserveFor(job, 1)
+            if (isBlocked && placement.placeOnAnyMachine(job) > 0) machineReservations.reserveFor(job, 1)
         }
 
         private fun placeGuaranteed(job: JobView) {
@@ -55,9 +61,9 @@
             if (wanted <= 0 || !job.mayStart) return
             val blockedCount = placement.place(job, wanted) { true }
             if (blockedCount <= 0) return
-            unplaced += UnplacedTasks(job.spec.id, blockedCount, isGuaranteed = true)
+            unplacedTasks += UnplacedTasks(job.spec.id, blockedCount, isGuaranteed = true)
             jobsWithUnplacedGuaranteedTasks += job.spec.id
-            preemptions.preemptFor(job, blockedCount, isGuaranteed = true)
+            preemptionPlanner.preemptFor(job, blockedCount, isGuaranteed = true)
         }
 
         private fun placeBorrowed(job: JobView) {
@@ -68,7 +74,7 @@
             val attemptedCount = if (job.isPoisoned) minOf(wanted, maxOf(0, 1 - job.tasks.assignedCount)) else wanted
             val blockedCount = placement.place(job, attemptedCount) { priorities.mayBorrow(quota, it) }
             if (blockedCount <= 0) return
-            unplaced += UnplacedTasks(job.spec.id, blockedCount, isGuaranteed = false)
+            unplacedTasks += UnplacedTasks(job.spec.id, blockedCount, isGuaranteed = false)
             if (!quota.hasGuarantee && !job.isPoisoned) claimWithoutGuarantee(job, blockedCount)
         }
 
@@ -79,8 +85,10 @@
          */
         private fun claimWithoutGuarantee(job: JobView, blockedCount: Int) {
             val mayPreempt = job.spec.urgency < Urgency.NORMAL && job.timing.waitedS >= PREEMPTION_DELAY_S
-            if (mayPreempt) preemptions.preemptFor(job, blockedCount, isGuaranteed = false)
-            if (reservations.mayReserveForAnother() && !priorities.isDeadlineUnlikely(job)) reservations.reserveFor(job, blockedCount)
+            if (mayPreempt) preemptionPlanner.preemptFor(job, blockedCount, isGuaranteed = false)
+            if (machineReservations.mayReserveForAnother() && !priorities.isDeadlineUnlikely(job)) {
+                machineReservations.reserveFor(job, blockedCount)
+            }
         }
 
         /**
--- a/src/main/kotlin/mountmast/protocol/SettingsReader.kt
+++ b/src/main/kotlin/mountmast/protocol/SettingsReader.kt
@@ -6,7 +6,7 @@
         val node = NodeId(toml.string("node"))
         val members = toml.tables("members").map { Member(NodeId(it.string("node")), it.zone(), it.address("endpoint")) }
         checkNodeNames(members.map { it.node } + node)
-        val teams = teams()
+        val teams = readTeams()
         val heartbeatIntervalS = toml.positive("deployment.workers.report_s")
         val leaseS = toml.positive("deployment.workers.lease_s")
         if (leaseS <= heartbeatIntervalS) throw InvalidSettingsException("deployment.workers.lease_s: not longer than report_s")
@@ -23,7 +23,7 @@
             heartbeatIntervalS = heartbeatIntervalS,
             leaseS = leaseS,
             cancelS = toml.positive("deployment.workers.cancel_s"),
-            stateLimits = stateLimits(),
+            stateLimits = readStateLimits(),
             cloudRps = toml.positive("deployment.cloud.rps"),
             listLagS = toml.amount("deployment.cloud.list_lag_s"),
             maxConnections = toml.whole("deployment.resources.max_connections", MIN_CONNECTIONS, MAX_CONNECTIONS),
@@ -36,14 +36,14 @@
         if (size != names.size) throw InvalidSettingsException("deployment.size: $size, but members name ${names.size} nodes")
     }
 
-    private fun teams(): Map<TeamId, TeamQuota> {
-        val teams = toml.tables("deployment.teams").map(::quota)
+    private fun readTeams(): Map<TeamId, TeamQuota> {
+        val teams = toml.tables("deployment.teams").map(::readQuota)
         if (teams.isEmpty()) throw InvalidSettingsException("deployment.teams: missing")
         if (teams.distinctBy { it.id }.size != teams.size) throw InvalidSettingsException("deployment.teams: a team is named twice")
         return teams.associateBy { it.id }
     }
 
-    private fun quota(team: TomlTable): TeamQuota {
+    private fun readQuota(team: TomlTable): TeamQuota {
         val quota = TeamQuota(
             TeamId(team.string("name")),
             cpus = team.amount("cpus"),
@@ -60,14 +60,14 @@
      * Returns the limits of the state service. The announced limits in the table `deployment.state.next` come into force without
      * notice, so those that are lower apply from the start.
      */
-    private fun stateLimits(): StateLimits {
-        val current = stateLimits("deployment.state")
+    private fun readStateLimits(): StateLimits {
+        val current = readStateLimits("deployment.state")
         val hasNext = toml.has("deployment.state.next")
-        return if (hasNext) current.lowerOf(stateLimits("deployment.state.next", current)) else current
+        return if (hasNext) current.lowerOf(readStateLimits("deployment.state.next", current)) else current
     }
 
     /** Returns the limits in the table at [path]. A limit that the table lacks is taken from [defaults]; without them it is an error. */
-    private fun stateLimits(path: String, defaults: StateLimits? = null): StateLimits {
+    private fun readStateLimits(path: String, defaults: StateLimits? = null): StateLimits {
         if (!toml.isTable(path)) throw InvalidSettingsException("$path: not a table")
 
         fun <T> field(name: String, default: T?, read: (String) -> T): T =
--- a/src/main/kotlin/mountmast/storage/TextCodec.kt
+++ b/src/main/kotlin/mountmast/storage/TextCodec.kt
@@ -63,7 +63,7 @@
         val available = limitBytes - ENVELOPE_BYTES
         val plainEnd = plainEnd(text, from, available)
         if (compact && plainEnd < text.length) packCompact(text, from, available)?.let { if (it.end > plainEnd) return it }
-        return packed(text, from, plainEnd, null)
+        return createPiece(text, from, plainEnd, null)
     }
 
     /**
@@ -80,7 +80,7 @@
             val end = entryBoundary(text, from, maximum)
             val compressed = deflate(text.substring(from, end))
             val fits = compressed.length <= available
-            if (fits) best = packed(text, from, end, compressed)
+            if (fits) best = createPiece(text, from, end, compressed)
             val isFull = end == text.length || maximum == MAX_PIECE_CHARS || compressed.length >= available * MIN_FILL_RATIO
             val isSingleEntry = end == entryBoundary(text, from, 0)
             // A piece that fits is enlarged at most once; a piece that does not fit is shrunk until it does.
@@ -91,7 +91,7 @@
         }
     }
 
-    private fun packed(text: String, from: Int, end: Int, compressed: String?): PackedText {
+    private fun createPiece(text: String, from: Int, end: Int, compressed: String?): PackedText {
         val raw = text.substring(from, end)
         return PackedText(if (compressed == null) raw else "", compressed, end, raw.count { it == ENTRY_END })
     }
--- a/src/main/kotlin/mountmast/transport/Cloud.kt
+++ b/src/main/kotlin/mountmast/transport/Cloud.kt
@@ -55,7 +55,7 @@
 
 /** Calls the cloud over HTTP, at most [Cloud.RATE_SHARE] of [ratePerS] calls per second; [ratePerS] is the cloud's rate limit. */
 class HttpCloud(private val address: InetSocketAddress, ratePerS: Double, private val caller: HttpCaller = HttpCaller()) : Cloud {
-    private val limiter = RateLimiter.create(ratePerS * Cloud.RATE_SHARE)
+    private val rateLimiter = RateLimiter.create(ratePerS * Cloud.RATE_SHARE)
 
     override fun machineTypes(): List<MachineType> = decode<MachineTypes>(callOrThrow("GET", "/machine_types", null)).types
 
@@ -84,7 +84,9 @@
     }
 
     private fun call(method: String, path: String, body: String?): Reply {
-        if (!limiter.tryAcquire(RATE_WAIT_S, TimeUnit.SECONDS)) throw CloudException("$path: over the rate limit", mayBeCarriedOut = false)
+        if (!rateLimiter.tryAcquire(RATE_WAIT_S, TimeUnit.SECONDS)) {
+            throw CloudException("$path: not sent, over this node's share of the cloud's rate limit", mayBeCarriedOut = false)
+        }
         try {
             return caller.call(address, method, path, body?.encodeToByteArray(), TIMEOUT_MS)
         } catch (e: NoAnswerException) {
