--- a/src/main/kotlin/mountmast/CommandLineTool.kt
+++ b/src/main/kotlin/mountmast/CommandLineTool.kt
@@ -53,7 +53,7 @@
             return printUsageError(e.message.orEmpty())
         }
         if (!checkOnly) return serveUntilEnd(settings, operatorSettings)
-        println("settings are valid: ${settings.node} of ${settings.nodes} nodes, ${settings.teams.size} teams")
+        println("settings are valid: ${settings.node} of ${settings.nodeCount} nodes, ${settings.teams.size} teams")
         return ExitCode.DONE
     }
 
--- a/src/main/kotlin/mountmast/Main.kt
+++ b/src/main/kotlin/mountmast/Main.kt
@@ -44,13 +44,13 @@
     // read requests. The limit is longer than heartbeats may wait in their queue, as their bodies are read only after that wait.
     System.setProperty("sun.net.httpserver.maxReqTime", "10")
     val connectionBudget = ConnectionBudget.of(settings.maxConnections)
-    System.setProperty("sun.net.httpserver.maxIdleConnections", connectionBudget.maxIdle.toString())
+    System.setProperty("sun.net.httpserver.maxIdleConnections", connectionBudget.maxIdleConnections.toString())
     // Seconds after which an idle connection is closed.
     System.setProperty("sun.net.httpserver.idleInterval", "60")
-    System.setProperty("jdk.httpserver.maxConnections", connectionBudget.maxInbound.toString())
+    System.setProperty("jdk.httpserver.maxConnections", connectionBudget.maxInboundConnections.toString())
     val metrics = Metrics()
     val runId = SecureRandom().nextLong().toULong().toString(Character.MAX_RADIX)
-    val store = HttpStateStore(settings.state, settings.stateLimits, settings.nodes, metrics = metrics)
+    val store = HttpStateStore(settings.state, settings.stateLimits, settings.nodeCount, metrics = metrics)
     store.setRole(leader = false)
     val controller = Controller(
         settings,
--- a/src/main/kotlin/mountmast/coordination/controller/LocalPeerState.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LocalPeerState.kt
@@ -31,7 +31,7 @@
     override fun onPeerHeartbeat(peerHeartbeat: PeerHeartbeat) {
         formats.recordVersion(NodeId(peerHeartbeat.node), peerHeartbeat.formatVersion)
         election.observeToken(FencingToken(peerHeartbeat.token.toULong()))
-        val cancelled = peerHeartbeat.cancelled.mapNotNull(JobId::parse)
+        val cancelled = peerHeartbeat.cancelledJobs.mapNotNull(JobId::parse)
         if (cancelled.isEmpty()) return
         cancellations.receive(cancelled)
         leaderComponents.get()?.leaderTerm?.jobs?.cancelByBroadcast(cancelled)
--- a/src/main/kotlin/mountmast/coordination/controller/Node.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Node.kt
@@ -30,7 +30,7 @@
     fun start() {
         val connectionBudget = ConnectionBudget.of(settings.maxConnections)
         startServers(connectionBudget)
-        NodeLoops(controller, operatorSettings.scheduling.cycleMs, connectionBudget.deliveryThreads).createAll().forEach { it.start() }
+        NodeLoops(controller, operatorSettings.scheduling.cycleMs, connectionBudget.deliveryThreadCount).createAll().forEach { it.start() }
         log.info("node={} is serving on {}", settings.node, settings.serveOn)
     }
 
@@ -44,7 +44,15 @@
             RequestBulkhead.forOthers(USER_THREADS, connectionBudget.maxWaitingRequests, requestQueueMetrics()),
         )
         publicRoutes(controller.users, controller, admission, metrics)
-            .asServer(BoundedServer(settings.serveOn, "serve", BoundedServer.PUBLIC_READER_THREADS, connectionBudget.maxInbound, bulkheads))
+            .asServer(
+                BoundedServer(
+                    settings.serveOn,
+                    "serve",
+                    BoundedServer.PUBLIC_READER_THREADS,
+                    connectionBudget.maxInboundConnections,
+                    bulkheads,
+                ),
+            )
             .start()
         peerRoutes(controller.users, controller)
             .asServer(BoundedServer(settings.peerListen, "peer", PEER_THREADS, MAX_PEER_REQUESTS_WAITING)).start()
--- a/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
@@ -58,7 +58,7 @@
 
     private fun exchangeHeartbeatWith(member: Member) {
         val cancelled = cancellations.pendingFor(member.node)
-        val response = peers.exchangeHeartbeats(member, localNode.ownHeartbeat().copy(cancelled = cancelled.map { it.text })) ?: return
+        val response = peers.exchangeHeartbeats(member, localNode.ownHeartbeat().copy(cancelledJobs = cancelled.map { it.text })) ?: return
         cancellations.acknowledge(member.node, cancelled)
         recordHeartbeat(response)
     }
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalWriter.kt
@@ -41,7 +41,7 @@
             val record = JournalRecord(journal.nextRecordNumber + batch.journalRecords.size, piece.plain, piece.compressed)
             val slot = options.journalSize.slotOf(record.number)
             val addedCount = batch.journaledChanges.size
-            val changes = entries.changes.subList(addedCount, addedCount + piece.entries)
+            val changes = entries.changes.subList(addedCount, addedCount + piece.entryCount)
             batch.addJournalRecord(SlottedRecord(slot, record), journal.modRevisionOf(slot), changes)
             from = piece.end
         }
--- a/src/main/kotlin/mountmast/protocol/PeerMessages.kt
+++ b/src/main/kotlin/mountmast/protocol/PeerMessages.kt
@@ -14,7 +14,7 @@
  * @property token the highest fencing token that the sender has seen
  * @property serves whether the sender can serve users: it reaches the state service and knows the machine types
  * @property leads whether the sender is the leader, in the term of [token]
- * @property cancelled ids of jobs whose cancellation the sender committed; each is sent until the receiver has answered a heartbeat
+ * @property cancelledJobs ids of jobs whose cancellation the sender committed; each is sent until the receiver has answered a heartbeat
  *   that carried it
  * @property formatVersion version of the forms of stored records and sent messages that the sender reads; 0 from versions without this
  *   field
@@ -25,7 +25,7 @@
     @ProtoNumber(2) val token: Long,
     @ProtoNumber(3) val serves: Boolean,
     @ProtoNumber(4) val leads: Boolean,
-    @ProtoNumber(5) val cancelled: List<String> = emptyList(),
+    @ProtoNumber(5) val cancelledJobs: List<String> = emptyList(),
     @ProtoNumber(6) val formatVersion: Int = 0,
 )
 
--- a/src/main/kotlin/mountmast/protocol/Settings.kt
+++ b/src/main/kotlin/mountmast/protocol/Settings.kt
@@ -71,7 +71,7 @@
     val maxConnections: Int,
 ) {
     /** Number of controller nodes, this one included. */
-    val nodes: Int get() = members.size + 1
+    val nodeCount: Int get() = members.size + 1
 
     companion object {
         /** Reads and checks the settings in [file]. Throws [InvalidSettingsException] if it is unreadable or anything in it is invalid. */
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -29,20 +29,20 @@
  * rate. A call that would have to wait too long to stay within that share fails before anything is sent. Thread-safe.
  *
  * @property address address of the state service
- * @property nodes number of controller nodes that share the state service's rates
+ * @property nodeCount number of controller nodes that share the state service's rates
  */
 class HttpStateStore(
     private val address: InetSocketAddress,
     private val limits: StateLimits,
-    private val nodes: Int,
+    private val nodeCount: Int,
     private val caller: HttpCaller = HttpCaller(),
     metrics: Metrics = Metrics(),
 ) : StateStore {
     private val callDurations = metrics.timing(MetricNames.STORE_CALLS)
     private val failureCounter = metrics.counter(MetricNames.STORE_FAILURES)
 
-    private val requestLimiter = RateLimiter.create(limits.requestsPerSecond / nodes)
-    private val writeBucket = TokenBucket(limits.writesPerSecond / nodes, System::nanoTime)
+    private val requestLimiter = RateLimiter.create(limits.requestsPerSecond / nodeCount)
+    private val writeBucket = TokenBucket(limits.writesPerSecond / nodeCount, System::nanoTime)
     private val rejectedKeys = ConcurrentHashMap.newKeySet<String>()
 
     @Volatile
@@ -55,8 +55,8 @@
         get() = wasLastCallAnswered || System.nanoTime() - lastAnswerNanos < REACHABLE_AFTER_ANSWER_NANOS
 
     override fun setRole(leader: Boolean) {
-        requestLimiter.rate = StoreRateQuota.requests(limits, nodes, leader)
-        writeBucket.setRate(StoreRateQuota.writes(limits, nodes, leader))
+        requestLimiter.rate = StoreRateQuota.requests(limits, nodeCount, leader)
+        writeBucket.setRate(StoreRateQuota.writes(limits, nodeCount, leader))
     }
 
     override fun writeBudget(): WriteBudget = writeBucket.budget()
--- a/src/main/kotlin/mountmast/storage/TextCodec.kt
+++ b/src/main/kotlin/mountmast/storage/TextCodec.kt
@@ -15,9 +15,9 @@
  * @property plain the piece itself, or an empty string if the piece is compressed
  * @property compressed the piece in the compact form, or null if it is not compressed
  * @property end index in the longer text at which the piece ends, exclusive
- * @property entries number of entries in the piece
+ * @property entryCount number of entries in the piece
  */
-class PackedText(val plain: String, val compressed: String?, val end: Int, val entries: Int)
+class PackedText(val plain: String, val compressed: String?, val end: Int, val entryCount: Int)
 
 /**
  * Divides texts whose entries end with [ENTRY_END] into values of a limited size.
--- a/src/main/kotlin/mountmast/transport/BoundedServer.kt
+++ b/src/main/kotlin/mountmast/transport/BoundedServer.kt
@@ -25,16 +25,16 @@
  *
  * @property address address to bind
  * @property name name of the server's threads; the names of bulkheads' threads have the suffix `-lane`
- * @property threads number of threads that read requests, and answer requests to paths without a bulkhead. If bulkheads cover all
+ * @property threadCount number of threads that read requests, and answer requests to paths without a bulkhead. If bulkheads cover all
  *   paths, few threads are enough, and more do harm: on a node short of processor time they compete with the threads that answer
  *   requests or renew a lease.
- * @property maxWaiting maximum number of requests that wait for one of the [threads]
+ * @property maxWaiting maximum number of requests that wait for one of these threads
  * @property bulkheads bulkheads, each with a thread pool of its own, by path prefix
  */
 class BoundedServer(
     private val address: InetSocketAddress,
     private val name: String,
-    private val threads: Int,
+    private val threadCount: Int,
     private val maxWaiting: Int,
     private val bulkheads: List<RequestBulkhead> = emptyList(),
 ) : ServerConfig {
@@ -43,13 +43,13 @@
     override fun toServer(http: HttpHandler): Http4kServer {
         val server = HttpServer.create(address, maxOf(MIN_BACKLOG, maxWaiting))
         val handler = HttpExchangeHandler(http)
-        val pools = arrayListOf(createPool(name, threads, maxWaiting, QueueMetrics.NONE))
+        val pools = arrayListOf(createPool(name, threadCount, maxWaiting, QueueMetrics.NONE))
         server.executor = pools.first()
-        if (bulkheads.none { it.path == ANY_PATH }) server.createContext(ANY_PATH, handler)
+        if (bulkheads.none { it.pathPrefix == ANY_PATH }) server.createContext(ANY_PATH, handler)
         for (bulkhead in bulkheads) {
-            val pool = createPool("$name-lane", bulkhead.threads, bulkhead.maxWaiting, bulkhead.metrics)
+            val pool = createPool("$name-lane", bulkhead.threadCount, bulkhead.maxWaiting, bulkhead.metrics)
             pools += pool
-            server.createContext(bulkhead.path) { exchange -> enqueue(exchange, handler, pool, bulkhead) }
+            server.createContext(bulkhead.pathPrefix) { exchange -> enqueue(exchange, handler, pool, bulkhead) }
         }
         return object : Http4kServer {
             override fun start() = apply { server.start() }
@@ -62,10 +62,10 @@
         }
     }
 
-    private fun createPool(name: String, threads: Int, maxWaiting: Int, metrics: QueueMetrics): ThreadPoolExecutor {
+    private fun createPool(name: String, threadCount: Int, maxWaiting: Int, metrics: QueueMetrics): ThreadPoolExecutor {
         val pool = object : ThreadPoolExecutor(
-            threads,
-            threads,
+            threadCount,
+            threadCount,
             THREAD_IDLE_S,
             TimeUnit.SECONDS,
             LinkedBlockingQueue(maxWaiting),
@@ -93,7 +93,7 @@
     }
 
     private fun refuse(exchange: HttpExchange, bulkhead: RequestBulkhead) {
-        bulkhead.metrics.refused.add()
+        bulkhead.metrics.refusedRequests.add()
         try {
             exchange.responseHeaders.add("Retry-After", "1")
             exchange.sendResponseHeaders(HttpURLConnection.HTTP_UNAVAILABLE, NO_BODY)
@@ -117,7 +117,7 @@
         val queuedAt = System.nanoTime()
         return Runnable {
             val waitedMs = (System.nanoTime() - queuedAt) / NANOS_PER_MS
-            metrics.wait.record(waitedMs)
+            metrics.waitTiming.record(waitedMs)
             if (waitedMs >= SLOW_REQUEST_MS) log.debug("a request waited {} ms for a thread", waitedMs)
             task.run()
         }
--- a/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
+++ b/src/main/kotlin/mountmast/transport/ConnectionBudget.kt
@@ -7,16 +7,16 @@
  */
 data class ConnectionBudget(
     /** Maximum number of inbound connections; further ones are closed at once. */
-    val maxInbound: Int,
+    val maxInboundConnections: Int,
     /**
-     * Maximum number of inbound connections kept open between requests. As high as [maxInbound], since a worker whose connection is
-     * closed only connects again.
+     * Maximum number of inbound connections kept open between requests. As high as [maxInboundConnections], since a worker whose
+     * connection is closed only connects again.
      */
-    val maxIdle: Int,
+    val maxIdleConnections: Int,
     /** Maximum number of requests, other than heartbeats, that wait for a thread. */
     val maxWaitingRequests: Int,
     /** Number of threads that send commands to workers, each over one connection at a time. */
-    val deliveryThreads: Int,
+    val deliveryThreadCount: Int,
 ) {
     companion object {
         /** Divides [total] connections: the largest number that the node may have open. */
--- a/src/main/kotlin/mountmast/transport/RequestBulkhead.kt
+++ b/src/main/kotlin/mountmast/transport/RequestBulkhead.kt
@@ -7,15 +7,15 @@
  * A request that has waited for [maxWaitMs] is refused without being handled: its sender is about to give up, and the processor time
  * that it costs is better spent on requests that can still be answered in time.
  *
- * @property path prefix of the paths
- * @property threads number of threads that handle the requests
+ * @property pathPrefix prefix of the paths of the requests
+ * @property threadCount number of threads that handle the requests
  * @property maxWaiting maximum number of requests that wait for a thread
  * @property metrics metrics of the requests that wait
  * @property maxWaitMs milliseconds of waiting from which on a request is refused
  */
 class RequestBulkhead(
-    val path: String,
-    val threads: Int,
+    val pathPrefix: String,
+    val threadCount: Int,
     val maxWaiting: Int,
     val metrics: QueueMetrics = QueueMetrics.NONE,
     private val maxWaitMs: Long = Long.MAX_VALUE,
--- a/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
+++ b/src/test/kotlin/mountmast/contract/SerializedFormsTest.kt
@@ -348,7 +348,7 @@
         }
         server.start()
         try {
-            val store = HttpStateStore(server.address, StateLimits(1000.0, 1000.0, 2.0, 5), nodes = 1).apply { setRole(leader = true) }
+            val store = HttpStateStore(server.address, StateLimits(1000.0, 1000.0, 2.0, 5), nodeCount = 1).apply { setRole(leader = true) }
             val results = ArrayList<Any?>()
             fun exchange(answerName: String, answerStatus: Int = 200, call: () -> Any?) {
                 answer = calls[answerName]
--- a/src/test/kotlin/mountmast/coordination/membership/PeerMembershipTest.kt
+++ b/src/test/kotlin/mountmast/coordination/membership/PeerMembershipTest.kt
@@ -62,11 +62,11 @@
         val unanswered = RecordingPeers(response = null)
         cancellations.broadcast(job)
         repeat(2) { membership(unanswered).exchangeHeartbeats() }
-        assertEquals(listOf(listOf(job.text), listOf(job.text)), unanswered.heartbeats.map { it.cancelled })
+        assertEquals(listOf(listOf(job.text), listOf(job.text)), unanswered.heartbeats.map { it.cancelledJobs })
 
         val answered = RecordingPeers(heartbeat(serves = true))
         repeat(2) { membership(answered).exchangeHeartbeats() }
-        assertEquals(listOf(listOf(job.text), emptyList()), answered.heartbeats.map { it.cancelled })
+        assertEquals(listOf(listOf(job.text), emptyList()), answered.heartbeats.map { it.cancelledJobs })
     }
 
     @Test
--- a/src/test/kotlin/mountmast/protocol/SettingsTest.kt
+++ b/src/test/kotlin/mountmast/protocol/SettingsTest.kt
@@ -46,7 +46,7 @@
     @Test
     fun `settings are read from the platform's file and unknown fields are ignored`() {
         val settings = Settings.parse(good)
-        assertEquals(2, settings.nodes)
+        assertEquals(2, settings.nodeCount)
         assertEquals(8.0, settings.teams.getValue(TeamId("t")).cpusMax)
         assertEquals(8081, settings.members.single().endpoint.port)
     }
--- a/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
+++ b/src/test/kotlin/mountmast/storage/HttpStateStoreTest.kt
@@ -28,7 +28,7 @@
     }
 
     private fun store(writesPerSecond: Double) =
-        HttpStateStore(server.address, StateLimits(1000.0, writesPerSecond, 2.0, 5), nodes = 1).apply { setRole(leader = true) }
+        HttpStateStore(server.address, StateLimits(1000.0, writesPerSecond, 2.0, 5), nodeCount = 1).apply { setRole(leader = true) }
 
     private fun put(key: String, text: String, storeLease: StoreLeaseId? = null) = Write.Put(key, JsonPrimitive(text), storeLease)
 
--- a/src/test/kotlin/mountmast/storage/TextCodecTest.kt
+++ b/src/test/kotlin/mountmast/storage/TextCodecTest.kt
@@ -32,7 +32,7 @@
                     val text = starts(count)
                     val pieces = TextCodec.pack(text, limit, compact)
                     assertEquals(text, read(pieces))
-                    assertEquals(count, pieces.sumOf { it.entries })
+                    assertEquals(count, pieces.sumOf { it.entryCount })
                     assertTrue(pieces.all { sizeOf(it) <= limit }, "limit $limit, $count entries, compact $compact")
                     assertTrue(pieces.all { TextCodec.read(it.plain, it.compressed).endsWith(";") })
                 }
--- a/src/test/kotlin/mountmast/transport/BoundedServerTest.kt
+++ b/src/test/kotlin/mountmast/transport/BoundedServerTest.kt
@@ -59,7 +59,7 @@
         val entered = CountDownLatch(1)
         val release = CountDownLatch(1)
         var queued = { 0 }
-        val bulkhead = RequestBulkhead("/slow", threads = 1, maxWaiting = 2, QueueMetrics(Timing(), Counter()) { queued = it })
+        val bulkhead = RequestBulkhead("/slow", threadCount = 1, maxWaiting = 2, QueueMetrics(Timing(), Counter()) { queued = it })
         val server = { request: org.http4k.core.Request ->
             if (request.uri.path == "/slow") {
                 entered.countDown()
@@ -95,7 +95,7 @@
         val handled = AtomicInteger()
         var queued = { 0 }
         val metrics = QueueMetrics(Timing(), Counter()) { queued = it }
-        val bulkhead = RequestBulkhead("/slow", threads = 1, maxWaiting = 10, metrics, maxWaitMs = 300)
+        val bulkhead = RequestBulkhead("/slow", threadCount = 1, maxWaiting = 10, metrics, maxWaitMs = 300)
         val server = { _: org.http4k.core.Request ->
             handled.incrementAndGet()
             entered.countDown()
@@ -114,7 +114,7 @@
         (late + first).forEach { it.join() }
         assertEquals(listOf(200, 503, 503), answers.sorted())
         assertEquals(1, handled.get())
-        assertEquals(2, metrics.refused.value)
+        assertEquals(2, metrics.refusedRequests.value)
         assertEquals(200, HttpCaller().call(at, "GET", "/slow", null, 5000).status)
         server.stop()
     }
--- a/src/test/kotlin/mountmast/transport/HeartbeatLoad.kt
+++ b/src/test/kotlin/mountmast/transport/HeartbeatLoad.kt
@@ -95,7 +95,7 @@
     private fun startNextOperation() {
         if (isBusy || nowMicros < pausedUntil) return
         val reading = minOf(readerThreads, unread.size)
-        val answering = minOf(bulkhead.threads, queue.size)
+        val answering = minOf(bulkhead.threadCount, queue.size)
         if (reading + answering == 0) return
         if (random.nextInt(reading + answering) < reading) read(unread.removeFirst()) else answer(queue.removeFirst())
     }
