--- a/src/main/kotlin/mountmast/WarmUp.kt
+++ b/src/main/kotlin/mountmast/WarmUp.kt
@@ -34,7 +34,7 @@
 /**
  * Loads the classes that a serving node loads, so that the JVM can write them to its class-data archive when the process ends. The
  * build runs the warm-up once. The node serves on loopback for some seconds. The settings name its own peer address for the cloud and the
- * state service, so that calls to either of them fail.
+ * state service, so calls to either of them are answered with 404.
  */
 internal object WarmUp {
     /** The only command-line argument of the process that writes the class-data archive. */
