--- a/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
@@ -6,36 +6,39 @@
 import mountmast.protocol.MonotonicTime
 
 /**
- * Counts the recent failures of each [MachineOffering]: spot machines that were lost, and machines that did not boot in time. The
- * counts decay with each round. Guarded by the lock of [AutoscalingContext].
+ * Counts the recent failures of each [MachineOffering]: lost spot machines, which are to be reclaimed or whose lease expired, and machines
+ * that did not boot in time. The counts decay with each round. Guarded by the lock of [AutoscalingContext].
  */
 internal class OfferingHistory(private val cluster: ClusterState) {
-    private val spotLosses = HashMap<MachineOffering, Double>()
-    private val failedBoots = HashMap<MachineOffering, Double>()
+    private val spotLossCounts = HashMap<MachineOffering, Double>()
+    private val failedBootCounts = HashMap<MachineOffering, Double>()
 
-    /** Counts [machine], which is about to be scaled in, if it is a lost spot machine or did not boot in time. */
+    /**
+     * Counts [machine], which is about to be scaled in, as a failure of its offering if it did not boot in time, or if it is a spot
+     * machine that is to be reclaimed or whose lease expired.
+     */
     fun recordScaleIn(machine: Machine) {
         val offering = machine.offering() ?: return
-        if (machine.state == MachineState.BOOTING && !machine.isListedFailed) failedBoots.merge(offering, 1.0, Double::plus)
+        if (machine.state == MachineState.BOOTING && !machine.isListedFailed) failedBootCounts.merge(offering, 1.0, Double::plus)
         if (machine.spot &&
             (machine.state == MachineState.EXPIRED || machine.isReclaimNoticed)
         ) {
-            spotLosses.merge(offering, 1.0, Double::plus)
+            spotLossCounts.merge(offering, 1.0, Double::plus)
         }
     }
 
     /** Lowers the counts by the decay of one round; called once in each round. */
     fun decayCounts() {
-        spotLosses.replaceAll { _, count -> count * DECAY_PER_ROUND }
-        failedBoots.replaceAll { _, count -> count * DECAY_PER_ROUND }
+        spotLossCounts.replaceAll { _, count -> count * DECAY_PER_ROUND }
+        failedBootCounts.replaceAll { _, count -> count * DECAY_PER_ROUND }
     }
 
     /** Returns the factor, at least 1, by which recent losses of spot machines make [offering] count as more expensive than its price. */
-    fun priceFactor(offering: MachineOffering): Double = 1 + (spotLosses[offering] ?: 0.0) * PRICE_INCREASE_PER_LOSS
+    fun priceFactor(offering: MachineOffering): Double = 1 + (spotLossCounts[offering] ?: 0.0) * PRICE_INCREASE_PER_LOSS
 
     /**
      * Whether [machine], which is booting, was rented longer ago than machines of its type mostly take to boot. Another machine may be
-     * requested for the tasks that wait for it; if [machine] still comes up, it is used. False if its type is not known.
+     * requested for the tasks that wait for [machine]; if [machine] still comes up, it is used. False if its type is not known.
      */
     fun isBootOverdue(machine: Machine, now: MonotonicTime): Boolean {
         val type = cluster.types[machine.type] ?: return false
@@ -48,7 +51,7 @@
      * offerings are available. A few machines that do not boot, among many that do, say nothing about their offering.
      */
     fun overdueOfferings(now: MonotonicTime): Set<MachineOffering> {
-        val overdueCounts = HashMap<MachineOffering, Double>(failedBoots)
+        val overdueCounts = HashMap<MachineOffering, Double>(failedBootCounts)
         val bootedCounts = HashMap<MachineOffering, Int>()
         for (machine in cluster.machines.values) {
             val offering = machine.offering() ?: continue
@@ -66,11 +69,11 @@
         const val DECAY_PER_ROUND = 0.99
         const val PRICE_INCREASE_PER_LOSS = 0.1
 
-        /** How many times the boot time that the cloud states a boot may take; machines mostly boot within 1.5 times that time. */
+        /** A boot is overdue after this multiple of the boot time that the cloud states; machines mostly boot within 1.5 times it. */
         const val OVERDUE_BOOT_FACTOR = 2.0
         const val OVERDUE_BOOT_MARGIN_MS = 5000L
 
-        /** Fewer machines that are overdue or did not boot are no reason to avoid their offering. */
+        /** An offering with fewer machines than this that are overdue or did not boot is not avoided. */
         const val MIN_OVERDUE_MACHINES = 3
         const val RECENT_RENTAL_MS = 300_000L
     }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
@@ -16,7 +16,7 @@
     private val timing: LeaseTiming,
     private val history: OfferingHistory,
     private val backoff: OfferingBackoff,
-    /** The number of machines that can be requested in a round at most. */
+    /** The number of machines that a round can request at most. */
     private val maxMachinesPerRound: Int,
 ) {
     private val cluster get() = context.cluster
@@ -35,7 +35,7 @@
     private inner class Round(private val now: MonotonicTime, private val overdueOfferings: Set<MachineOffering>) {
         val machinesToRequest = LinkedHashMap<MachineOffering, Int>()
         private var machineCount = 0
-        private val expected = ExpectedMachines().apply { expectedOfferings().forEach { add(it.offering, it.type.capacity) } }
+        private val expectedMachines = ExpectedMachines().apply { expectedOfferings().forEach { add(it.offering, it.type.capacity) } }
 
         private fun expectedOfferings(): List<TypedOffering> {
             // If no other offering is available, or several offerings are overdue, further machines would likely be overdue as well.
@@ -51,13 +51,13 @@
         /** Reserves capacity for [count] tasks of [job] on expected machines, then on machines that it adds to [machinesToRequest]. */
         fun coverTasks(job: Job, count: Int) {
             val zones = ZoneBudget.of(job)
-            var remainingTasks = count - expected.reserve(job, count, zones)
+            var remainingTasks = count - expectedMachines.reserve(job, count, zones)
             while (remainingTasks > 0 && machineCount < maxMachinesPerRound) {
                 val best = bestOffering(job, remainingTasks, zones) ?: return
                 machinesToRequest.merge(best.offering, 1, Int::plus)
                 machineCount++
-                expected.add(best.offering, best.type.capacity)
-                val reserved = expected.reserveOn(best.offering, best.type.capacity, job, remainingTasks, zones)
+                expectedMachines.add(best.offering, best.type.capacity)
+                val reserved = expectedMachines.reserveOn(best.offering, best.type.capacity, job, remainingTasks, zones)
                 if (reserved == 0) return
                 remainingTasks -= reserved
             }
@@ -120,7 +120,10 @@
         /** Of the offerings that cost at most this many times the lowest price per task, the one with the smallest machines is chosen. */
         const val NEARLY_CHEAPEST_FACTOR = 1.2
 
-        /** Added to the time within which any worker sends a heartbeat, as a node that has just become leader may still be slow. */
+        /**
+         * Added to the silence timeout when the first heartbeat of a running worker is awaited, in milliseconds: a node that has just
+         * become leader may still be slow to process heartbeats.
+         */
         const val SLOW_NODE_MARGIN_MS = 2000L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/MachineReservations.kt
@@ -13,7 +13,7 @@
     /** The reservations made in this cycle. */
     val reservations: List<MachineReservation> get() = plannedReservations
 
-    /** Whether machines may be reserved for one more job in this cycle. */
+    /** Whether this cycle may still reserve machines for one more job. */
     fun mayReserveForAnother(): Boolean = reservingJobCount < MAX_JOBS_PER_CYCLE
 
     /**
@@ -26,7 +26,7 @@
         val maxMachines = (snapshot.machines.size * MAX_RESERVED_SHARE).toInt() - snapshot.index.reservedCount
         if (remaining <= 0 || maxMachines <= 0) return
         reservingJobCount++
-        for (machine in soonestFreeFor(job, maxMachines)) {
+        for (machine in findSoonestFree(job, maxMachines)) {
             if (remaining <= 0) break
             snapshot.index.reserve(machine, job.spec.id)
             plannedReservations += MachineReservation(machine.id, job.spec.id)
@@ -38,7 +38,7 @@
      * Returns up to [maxMachines] machines that have free capacity for a task of [job] within [RESERVATION_HORIZON_S], the machine on
      * which the capacity is free soonest first.
      */
-    private fun soonestFreeFor(job: JobView, maxMachines: Int): List<MachineView> {
+    private fun findSoonestFree(job: JobView, maxMachines: Int): List<MachineView> {
         val isEligible = constraints.eligibleWhenEmpty(job)
         return snapshot.machines
             .filter { it.reservedFor == null && isEligible(it) }
@@ -69,7 +69,7 @@
         /** Only machines on which the capacity becomes free within this time, in seconds, are reserved. */
         const val RESERVATION_HORIZON_S = 20.0
 
-        /** No more machines are reserved here once this share of the usable machines is reserved, those for preemptions included. */
+        /** No more machines are reserved once this share of all machines is reserved, including the machines reserved by preemptions. */
         const val MAX_RESERVED_SHARE = 0.3
         const val MAX_JOBS_PER_CYCLE = 2
     }
--- a/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/Placement.kt
@@ -31,19 +31,21 @@
 
     /**
      * Places up to [wanted] tasks of [job], as long as the team's usage including them stays within the team's limit and satisfies
-     * [isWithinBound]. Returns how many of the tasks so allowed found no free capacity; 0 if the cycle reaches its limit of starts.
+     * [isWithinBound]. Returns how many of the tasks that the limit and the bound allow found no free capacity; 0 if the cycle reaches
+     * its limit of starts.
      */
     fun place(job: JobView, wanted: Int, isWithinBound: (Resources) -> Boolean): Int =
         placeAllowed(job, allowedCount(job, wanted, isWithinBound), ignoresReservations = false)
 
     /**
-     * Places one task of [job], even on a machine that is reserved for another job, as part of a reserved machine is idle until that
-     * job's tasks start. Returns 1 if the team's limit allows the task and no machine has free capacity for it, else 0.
+     * Places one task of [job] if the team's limit allows it, even on a machine that is reserved for another job. Free capacity of a
+     * reserved machine is idle until the tasks of the job that it is reserved for start. Returns the number of tasks, 0 or 1, that the
+     * limit allows but for which no machine has free capacity.
      */
     fun placeOnAnyMachine(job: JobView): Int = placeAllowed(job, allowedCount(job, 1) { true }, ignoresReservations = true)
 
     private fun placeAllowed(job: JobView, allowed: Int, ignoresReservations: Boolean): Int {
-        val candidates = (if (allowed == 0) null else candidates(job, ignoresReservations)) ?: return allowed
+        val candidates = (if (allowed == 0) null else findCandidates(job, ignoresReservations)) ?: return allowed
         var placed = 0
         while (placed < allowed) {
             if (startedCount >= policy.startsPerCycle) return 0
@@ -83,7 +85,7 @@
      * Returns the machines with free capacity for a task of [job], the best first; null if the tasks of [job] must run in a single zone
      * and no zone has a machine that they may use.
      */
-    private fun candidates(job: JobView, ignoresReservations: Boolean): PlacementCandidates? {
+    private fun findCandidates(job: JobView, ignoresReservations: Boolean): PlacementCandidates? {
         val requiredZone = if (job.spec.singleZone) constraints.requiredZone(job, ignoresReservations) ?: return null else null
         val groups = snapshot.index.groups.filter {
             (requiredZone == null || it.kind.zone == requiredZone) && constraints.allowsKind(job, it.kind)
--- a/src/main/kotlin/mountmast/storage/TextCodec.kt
+++ b/src/main/kotlin/mountmast/storage/TextCodec.kt
@@ -15,9 +15,9 @@
  * @property plain the piece itself, or an empty string if the piece is compressed
  * @property compressed the piece in the compact form, or null if it is not compressed
  * @property end index in the longer text at which the piece ends, exclusive
- * @property entries number of entries in the piece
+ * @property entryCount number of entries in the piece
  */
-class PackedText(val plain: String, val compressed: String?, val end: Int, val entries: Int)
+class PackedText(val plain: String, val compressed: String?, val end: Int, val entryCount: Int)
 
 /**
  * Divides texts whose entries end with [ENTRY_END] into values of a limited size.
@@ -63,7 +63,7 @@
         val available = limitBytes - ENVELOPE_BYTES
         val plainEnd = plainEnd(text, from, available)
         if (compact && plainEnd < text.length) packCompact(text, from, available)?.let { if (it.end > plainEnd) return it }
-        return packed(text, from, plainEnd, null)
+        return createPiece(text, from, plainEnd, null)
     }
 
     /**
@@ -80,7 +80,7 @@
             val end = entryBoundary(text, from, maximum)
             val compressed = deflate(text.substring(from, end))
             val fits = compressed.length <= available
-            if (fits) best = packed(text, from, end, compressed)
+            if (fits) best = createPiece(text, from, end, compressed)
             val isFull = end == text.length || maximum == MAX_PIECE_CHARS || compressed.length >= available * MIN_FILL_RATIO
             val isSingleEntry = end == entryBoundary(text, from, 0)
             // A piece that fits is enlarged at most once; a piece that does not fit is shrunk until it does.
@@ -91,7 +91,7 @@
         }
     }
 
-    private fun packed(text: String, from: Int, end: Int, compressed: String?): PackedText {
+    private fun createPiece(text: String, from: Int, end: Int, compressed: String?): PackedText {
         val raw = text.substring(from, end)
         return PackedText(if (compressed == null) raw else "", compressed, end, raw.count { it == ENTRY_END })
     }
--- a/src/main/kotlin/mountmast/transport/BoundedServer.kt
+++ b/src/main/kotlin/mountmast/transport/BoundedServer.kt
@@ -21,20 +21,20 @@
 /**
  * Runs an http4k handler on the JDK's HTTP server. http4k's own `SunHttp` binds every address and has an unbounded thread pool; this
  * server binds one address and bounds its threads and waiting requests. A request that exceeds the bound of its bulkhead is answered
- * with 503 and `Retry-After: 1` at once; one that exceeds the bound of the server is refused by closing its connection.
+ * with 503 and `Retry-After: 1` at once. A request that exceeds the bound of the server is refused by closing its connection.
  *
  * @property address address to bind
- * @property name name of the server's threads; those of bulkheads have the suffix `-lane`
- * @property threads number of threads that read requests, and answer those to paths without a bulkhead. If bulkheads cover all paths,
- *   few threads are enough and more do harm: on a node short of processor time each competes with the threads that answer requests or
- *   renew a lease.
+ * @property name name of the server's threads; the names of bulkheads' threads have the suffix `-lane`
+ * @property threadCount number of threads that read requests, and answer requests to paths without a bulkhead. If bulkheads cover all
+ *   paths, few threads are enough, and more do harm: on a node short of processor time they compete with the threads that answer
+ *   requests or renew a lease.
  * @property maxWaiting maximum number of requests that wait for one of these threads
  * @property bulkheads bulkheads, each with a thread pool of its own, by path prefix
  */
 class BoundedServer(
     private val address: InetSocketAddress,
     private val name: String,
-    private val threads: Int,
+    private val threadCount: Int,
     private val maxWaiting: Int,
     private val bulkheads: List<RequestBulkhead> = emptyList(),
 ) : ServerConfig {
@@ -43,13 +43,13 @@
     override fun toServer(http: HttpHandler): Http4kServer {
         val server = HttpServer.create(address, maxOf(MIN_BACKLOG, maxWaiting))
         val handler = HttpExchangeHandler(http)
-        val pools = arrayListOf(createPool(name, threads, maxWaiting, QueueMetrics.NONE))
+        val pools = arrayListOf(createPool(name, threadCount, maxWaiting, QueueMetrics.NONE))
         server.executor = pools.first()
-        if (bulkheads.none { it.path == ANY_PATH }) server.createContext(ANY_PATH, handler)
+        if (bulkheads.none { it.pathPrefix == ANY_PATH }) server.createContext(ANY_PATH, handler)
         for (bulkhead in bulkheads) {
-            val pool = createPool("$name-lane", bulkhead.threads, bulkhead.maxWaiting, bulkhead.metrics)
+            val pool = createPool("$name-lane", bulkhead.threadCount, bulkhead.maxWaiting, bulkhead.metrics)
             pools += pool
-            server.createContext(bulkhead.path) { exchange -> enqueue(exchange, handler, pool, bulkhead) }
+            server.createContext(bulkhead.pathPrefix) { exchange -> enqueue(exchange, handler, pool, bulkhead) }
         }
         return object : Http4kServer {
             override fun start() = apply { server.start() }
@@ -62,10 +62,10 @@
         }
     }
 
-    private fun createPool(name: String, threads: Int, maxWaiting: Int, metrics: QueueMetrics): ThreadPoolExecutor {
+    private fun createPool(name: String, threadCount: Int, maxWaiting: Int, metrics: QueueMetrics): ThreadPoolExecutor {
         val pool = object : ThreadPoolExecutor(
-            threads,
-            threads,
+            threadCount,
+            threadCount,
             THREAD_IDLE_S,
             TimeUnit.SECONDS,
             LinkedBlockingQueue(maxWaiting),
@@ -87,13 +87,13 @@
                 if (bulkhead.isWorthAnswering(waitedMs)) answer(exchange, handler) else refuse(exchange, bulkhead)
             }
         } catch (e: RejectedExecutionException) {
-            log.debug("request refused, as its bulkhead takes no more: {}", e.message)
+            log.debug("request refused, as its bulkhead takes no more requests: {}", e.message)
             refuse(exchange, bulkhead)
         }
     }
 
     private fun refuse(exchange: HttpExchange, bulkhead: RequestBulkhead) {
-        bulkhead.metrics.refused.add()
+        bulkhead.metrics.refusedRequests.add()
         try {
             exchange.responseHeaders.add("Retry-After", "1")
             exchange.sendResponseHeaders(HttpURLConnection.HTTP_UNAVAILABLE, NO_BODY)
@@ -117,14 +117,14 @@
         val queuedAt = System.nanoTime()
         return Runnable {
             val waitedMs = (System.nanoTime() - queuedAt) / NANOS_PER_MS
-            metrics.wait.record(waitedMs)
+            metrics.waitTiming.record(waitedMs)
             if (waitedMs >= SLOW_REQUEST_MS) log.debug("a request waited {} ms for a thread", waitedMs)
             task.run()
         }
     }
 
     companion object {
-        /** Number of threads that read the requests of users and workers; bulkheads answer them. */
+        /** Number of threads that read the requests of users and workers; the threads of bulkheads answer the requests. */
         const val PUBLIC_READER_THREADS = 4
         private const val ANY_PATH = "/"
         private const val MIN_BACKLOG = 128
