--- a/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/AutoscalingContext.kt
@@ -16,7 +16,7 @@
     val signals: TermSignals
 
     /** The machine types to write to the store, or null if the store holds the current ones. */
-    var pendingTypes: MachineTypes?
+    var pendingMachineTypes: MachineTypes?
 
     /** The open tasks that found no machine in the last scheduling cycle. */
     val unplacedTasks: List<UnplacedTasks>
@@ -25,5 +25,5 @@
     val unreachableTimeoutMs: Long
 
     /** Whether so many workers are unreachable that the fault must lie with this node. */
-    fun areMostUnreached(): Boolean
+    fun areMostMachinesUnreachable(): Boolean
 }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/MachineInventory.kt
@@ -39,15 +39,15 @@
             cloud.machineTypes()
         } catch (e: CloudException) {
             // The types stay known, from the store after an election, so that jobs can be submitted during an outage of the cloud.
-            if (context.lock.withLock { cluster.types.isEmpty() }) throw e
+            if (context.lock.withLock { cluster.machineTypes.isEmpty() }) throw e
             return
         }
         typesReadAt = now
         context.lock.withLock {
-            val isChanged = withoutPrices(cluster.types.values) != withoutPrices(types)
+            val isChanged = withoutPrices(cluster.machineTypes.values) != withoutPrices(types)
             cluster.replaceTypes(MachineTypes(types))
             if (isChanged) {
-                context.pendingTypes = MachineTypes(types)
+                context.pendingMachineTypes = MachineTypes(types)
                 context.signals.wakeWriter()
             }
         }
--- a/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/OfferingHistory.kt
@@ -38,7 +38,7 @@
      * requested for the tasks that wait for it; if [machine] still comes up, it is used. False if its type is not known.
      */
     fun isBootOverdue(machine: Machine, now: MonotonicTime): Boolean {
-        val type = cluster.types[machine.type] ?: return false
+        val type = cluster.machineTypes[machine.type] ?: return false
         return now - machine.rentedAt > (type.bootS * OVERDUE_BOOT_FACTOR * MS_PER_S).toLong() + OVERDUE_BOOT_MARGIN_MS
     }
 
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleInRules.kt
@@ -39,7 +39,7 @@
 
     /** Whether [machine] is to be scaled in at [now]; false as long as its type is not known. */
     fun shouldScaleIn(machine: Machine, now: MonotonicTime): Boolean {
-        val type = context.cluster.types[machine.type] ?: return false
+        val type = context.cluster.machineTypes[machine.type] ?: return false
         return machine.isListedFailed ||
             when (machine.state) {
                 // A machine that hung or was partitioned is kept for one more lease duration: it comes back with its images sooner
@@ -47,7 +47,8 @@
                 MachineState.EXPIRED -> now - machine.expiredAt > timing.leaseExpiryMs
                 MachineState.SILENT -> false
                 MachineState.BOOTING -> hasBootTimedOut(machine, type, now)
-                MachineState.UP -> isUnreachableTooLong(machine, now) || (machine.live.isEmpty() && isUnneeded(machine, type, now))
+                MachineState.UP -> isUnreachableTooLong(machine, now) ||
+                    (machine.unreleasedAssignments.isEmpty() && isUnneeded(machine, type, now))
             }
     }
 
@@ -63,7 +64,7 @@
      */
     private fun isUnreachableTooLong(machine: Machine, now: MonotonicTime): Boolean {
         val since = machine.unreachableSince ?: return false
-        return now - since > context.unreachableTimeoutMs && !context.areMostUnreached()
+        return now - since > context.unreachableTimeoutMs && !context.areMostMachinesUnreachable()
     }
 
     private fun isUnneeded(machine: Machine, type: MachineType, now: MonotonicTime): Boolean {
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOut.kt
@@ -64,7 +64,7 @@
         val outcome = try {
             cloud.rent(request)
         } catch (e: CloudException) {
-            if (!e.mayBeCarriedOut) inDoubtRequest = null
+            if (!e.mayHaveTakenEffect) inDoubtRequest = null
             throw e
         }
         inDoubtRequest = null
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ScaleOutPlanner.kt
@@ -45,7 +45,7 @@
             return cluster.machines.values
                 .filter { isExpectedSoon(it, now) || (!hasAlternative && it.offering() in overdueOfferings) }
                 .mapNotNull { it.offering() }
-                .mapNotNull { offering -> cluster.types[offering.type]?.let { TypedOffering(offering, it) } }
+                .mapNotNull { offering -> cluster.machineTypes[offering.type]?.let { TypedOffering(offering, it) } }
         }
 
         /** Reserves capacity for [count] tasks of [job] on expected machines, then on machines that it adds to [machinesToRequest]. */
@@ -78,7 +78,7 @@
          * run there or the offering is backed off.
          */
         private fun price(offering: MachineOffering, job: Job, wanted: Int, zones: ZoneBudget): PricedOffering? {
-            val type = cluster.types[offering.type] ?: return null
+            val type = cluster.machineTypes[offering.type] ?: return null
             val taskCount = job.perTask.instancesWithin(type.capacity, minOf(wanted, zones.remaining(offering.zone)))
             if (taskCount <= 0 || !offering.isAllowedFor(job.spec) || backoff.isBackedOff(offering, now)) return null
             val price = (if (offering.isSpot) type.spotPrice else type.price) * history.priceFactor(offering)
@@ -86,7 +86,7 @@
         }
     }
 
-    private fun allOfferings(): Sequence<MachineOffering> = cluster.types.values.asSequence().flatMap { type ->
+    private fun allOfferings(): Sequence<MachineOffering> = cluster.machineTypes.values.asSequence().flatMap { type ->
         type.zones.asSequence().flatMap { zone -> sequenceOf(MachineOffering(type.id, zone, true), MachineOffering(type.id, zone, false)) }
     }
 
@@ -99,7 +99,10 @@
         when (machine.state) {
             MachineState.BOOTING ->
                 if (machine.isListedRunning) now - machine.knownAt < firstHeartbeatMs else !history.isBootOverdue(machine, now)
-            MachineState.UP -> !machine.hasShownCurrentTerm && machine.live.isEmpty() && now - machine.incarnationSince < firstHeartbeatMs
+            MachineState.UP ->
+                !machine.hasShownCurrentTerm &&
+                    machine.unreleasedAssignments.isEmpty() &&
+                    now - machine.incarnationSince < firstHeartbeatMs
             else -> false
         }
 
--- a/src/main/kotlin/mountmast/coordination/autoscaling/ZoneBudget.kt
+++ b/src/main/kotlin/mountmast/coordination/autoscaling/ZoneBudget.kt
@@ -26,7 +26,9 @@
     companion object {
         /** Returns the budget that remains to [job] besides its tasks that are already on machines. */
         fun of(job: Job) = ZoneBudget(job.spec).apply {
-            if (job.spec.singleZone || job.spec.spreadAcrossZones) for (assignment in job.live.values) consume(assignment.zone, 1)
+            if (job.spec.singleZone || job.spec.spreadAcrossZones) {
+                for (assignment in job.unreleasedAssignments.values) consume(assignment.zone, 1)
+            }
         }
     }
 }
--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -106,7 +106,7 @@
     fun electionStep() = electionLoop.step()
 
     /** Waits up to [waitMs] while another node leads, until the leader key changes; [StepResult.IDLE] if it was not watched. */
-    fun awaitVacancy(waitMs: Long): StepResult = StepResult.of(election.awaitVacancy(waitMs) == VacancyWait.WATCHED)
+    fun awaitVacancy(waitMs: Long): StepResult = StepResult.didWorkIf(election.awaitVacancy(waitMs) == VacancyWait.WATCHED)
 
     /** Refreshes the machine types and the negotiated format from the store. Called about once a second. */
     fun refreshSharedData() = periodicRefresh.refreshTypesAndFormat()
@@ -116,7 +116,7 @@
 
     /** Prefetches the records of jobs that other nodes accept, unless this node leads; waits up to [waitMs] for the next change. */
     fun prefetchJobs(waitMs: Long): StepResult =
-        StepResult.of(leaderComponents.get() == null && jobPrefetcher.prefetch(waitMs) == PrefetchResult.WATCHED)
+        StepResult.didWorkIf(leaderComponents.get() == null && jobPrefetcher.prefetch(waitMs) == PrefetchResult.WATCHED)
 
     /** Exchanges heartbeats with each of the other nodes, one after another. */
     fun exchangePeerHeartbeats() = membership.exchangeHeartbeats()
@@ -125,7 +125,7 @@
 
     override fun onPeerHeartbeat(from: PeerHeartbeat): PeerHeartbeat = membership.onHeartbeat(from)
 
-    private fun canServe(): Boolean = jobService.knowsTypes && store.isReachable
+    private fun canServe(): Boolean = jobService.knowsMachineTypes && store.isReachable
 
     private inner class BroadcastJobCache : NodeJobCache {
         override fun isCancelled(id: JobId) = id in cancellations
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderTerm.kt
@@ -73,7 +73,7 @@
     private val reachabilityMonitor = ReachabilityMonitor(cluster, leaderLease, timing)
 
     /** Machine types that the store does not hold yet, or null; guarded by [lock]. */
-    override var pendingTypes: MachineTypes? = null
+    override var pendingMachineTypes: MachineTypes? = null
 
     private val jobDependencies = JobDependencies(cluster)
 
@@ -128,7 +128,7 @@
                 "term={} loaded: {} jobs, {} assignments on {} machines",
                 leaderLease.token,
                 cluster.jobs.size,
-                cluster.machines.values.sumOf { it.live.size },
+                cluster.machines.values.sumOf { it.unreleasedAssignments.size },
                 cluster.machines.size,
             )
         }
@@ -156,7 +156,7 @@
 
     override fun onStartCommitted(machine: MachineId) = commandDispatcher.queueDelivery(machine)
 
-    override fun areMostUnreached(): Boolean = reachabilityMonitor.areMostMachinesUnreachable()
+    override fun areMostMachinesUnreachable(): Boolean = reachabilityMonitor.areMostMachinesUnreachable()
 
     private inner class JobsListener : JobInformerListener {
         override fun isCancelledElsewhere(id: JobId) = jobCache.isCancelled(id)
--- a/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LeaderWork.kt
@@ -29,7 +29,7 @@
     fun load(): StepResult {
         val leaderTerm = leaderComponents.get()?.leaderTerm ?: return StepResult.IDLE
         return try {
-            StepResult.of(leaderTerm.load())
+            StepResult.didWorkIf(leaderTerm.load())
         } catch (e: StoreException) {
             log.debug("cannot load the cluster state for term={}: {}", leaderTerm.leaderLease.token, e.message)
             StepResult.FAILED
@@ -44,7 +44,8 @@
     }
 
     /** Commits one batch of pending changes; returns [StepResult.IDLE] if there was none, and also if the store failed. */
-    fun commitPendingChanges(): StepResult = StepResult.of(leaderComponents.getIfLoaded()?.committer?.commitNext() == CommitStep.Written)
+    fun commitPendingChanges(): StepResult =
+        StepResult.didWorkIf(leaderComponents.getIfLoaded()?.committer?.commitNext() == CommitStep.Written)
 
     /** Watches the jobs in the store: waits up to [waitMs] for new or cancelled jobs and applies them to the cluster state. */
     fun watchJobs(waitMs: Long): StepResult {
@@ -62,7 +63,7 @@
     fun resolvePrerequisites(): StepResult {
         val leaderTerm = leaderTerm() ?: return StepResult.IDLE
         return try {
-            StepResult.of(leaderTerm.jobs.resolvePrerequisites())
+            StepResult.didWorkIf(leaderTerm.jobs.resolvePrerequisites())
         } catch (e: StoreException) {
             log.debug("cannot resolve prerequisites: {}", e.message)
             StepResult.FAILED
@@ -81,8 +82,8 @@
 
     /** Delivers the outstanding commands of one worker; waits up to [waitMs] if no worker is queued. May run on several threads. */
     fun deliverCommands(waitMs: Long): StepResult =
-        StepResult.of(leaderTerm()?.commandDispatcher?.deliverNextCommands(waitMs) == DeliveryStep.DONE)
+        StepResult.didWorkIf(leaderTerm()?.commandDispatcher?.deliverNextCommands(waitMs) == DeliveryStep.DONE)
 
     /** Announces this leader to one worker that has not shown the token of this term yet. May run on several threads. */
-    fun announceLeader(): StepResult = StepResult.of(leaderTerm()?.commandDispatcher?.sendNextAnnouncement() == DeliveryStep.DONE)
+    fun announceLeader(): StepResult = StepResult.didWorkIf(leaderTerm()?.commandDispatcher?.sendNextAnnouncement() == DeliveryStep.DONE)
 }
--- a/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/LoadMonitor.kt
@@ -42,7 +42,7 @@
         metrics.gauge(MetricNames.PENDING_CHANGES) { readTerm { it.cluster.pendingChanges.size } }
         metrics.gauge(MetricNames.LAST_WRITE_AGE) { readTerm { term -> term.journal.lastCommitAt?.let { clock.now() - it } ?: NO_VALUE } }
         metrics.gauge(MetricNames.MACHINES_UP) { readTerm { term -> term.cluster.machines.values.count { it.state == MachineState.UP } } }
-        metrics.gauge(MetricNames.ASSIGNMENTS) { readTerm { term -> term.cluster.machines.values.sumOf { it.live.size } } }
+        metrics.gauge(MetricNames.ASSIGNMENTS) { readTerm { term -> term.cluster.machines.values.sumOf { it.unreleasedAssignments.size } } }
         metrics.gauge(MetricNames.JOBS) { readTerm { it.cluster.jobs.size } }
         metrics.gauge(MetricNames.HEAP_USED) { heapUsedMb() }
         // The log line leaves garbage collections out: loading the garbage collector beans costs a cold node processor time.
@@ -93,7 +93,7 @@
     }
 
     private fun formatProcess(): String {
-        val lost = LossCause.entries.joinToString { "${taskLosses.of(it)} ${it.label}" }
+        val lost = LossCause.entries.joinToString { "${taskLosses.countOf(it)} ${it.label}" }
         return "woke up to ${wakeLag.readAndResetLongestMs()} ms late, heap ${heapUsedMb()} MB; tasks lost so far: $lost"
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/PeriodicRefresh.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/PeriodicRefresh.kt
@@ -14,8 +14,8 @@
     /** Reads the machine types if they are unknown or [STEPS_BETWEEN_TYPE_READS] steps old; negotiates the format. Called once a second. */
     fun refreshTypesAndFormat() {
         try {
-            if (!jobService.knowsTypes || stepsSinceTypesRead++ >= STEPS_BETWEEN_TYPE_READS) {
-                jobService.refreshTypes()
+            if (!jobService.knowsMachineTypes || stepsSinceTypesRead++ >= STEPS_BETWEEN_TYPE_READS) {
+                jobService.refreshMachineTypes()
                 stepsSinceTypesRead = 0
             }
         } catch (e: StoreException) {
--- a/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SchedulingCycle.kt
@@ -101,7 +101,7 @@
         reserveMachine(machine.id, preemption.forJob, now)
         log.info("machine={} drained for job={}: {} tasks preempted", machine.id, preemption.forJob, preemption.victims.size)
         val victims = ArrayList<String>()
-        for (assignment in machine.live.values) {
+        for (assignment in machine.unreleasedAssignments.values) {
             if (assignment.terminationGraceS != null) continue
             assignment.preempt()
             victims += assignment.taskName
@@ -125,7 +125,7 @@
 
     private inline fun drainMachine(machine: Machine, mustStop: (Assignment) -> Boolean) {
         if (machine.state != MachineState.UP) return
-        for (assignment in machine.live.values) {
+        for (assignment in machine.unreleasedAssignments.values) {
             val isStopping = assignment.terminationGraceS != null
             if (isStopping || assignment.phase != Phase.COMMITTED || !mustStop(assignment)) continue
             assignment.stopGracefully()
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -81,7 +81,7 @@
     }
 
     private fun findOrCreateView(machine: Machine): MachineView? {
-        val type = cluster.types[machine.type] ?: return null
+        val type = cluster.machineTypes[machine.type] ?: return null
         val zone = machine.zone ?: return null
         var cached = cachedViews[machine.id]
         if (cached == null || !cached.isCurrent(machine, type)) {
@@ -98,9 +98,15 @@
 
     private fun createMachineView(machine: Machine, type: MachineType, zone: Zone): MachineView {
         val images = HashSet(machine.images.keys)
-        return MachineView(machine.id, MachineKind(type, zone, machine.spot), type.capacity - machine.used, images, machine.reservedFor) {
+        return MachineView(
+            machine.id,
+            MachineKind(type, zone, machine.spot),
+            type.capacity - machine.usedResources,
+            images,
+            machine.reservedFor,
+        ) {
             val now = clock.now()
-            machine.live.values.map { createAssignedTask(it, now) }
+            machine.unreleasedAssignments.values.map { createAssignedTask(it, now) }
         }
     }
 
@@ -137,10 +143,12 @@
         val livePerZone = if (!job.spec.singleZone && !job.spec.spreadAcrossZones) {
             emptyMap()
         } else {
-            job.live.values.groupingBy { it.zone }.eachCount()
+            job.unreleasedAssignments.values.groupingBy { it.zone }.eachCount()
         }
-        val tasks = JobTasks(job.openCount, job.spec.tasks - job.doneCount, job.live.size, livePerZone) { count -> job.firstOpen(count) }
-        val jobTiming = JobTiming(job.waitingFrom, estimateS, secondsUntilDue(job) - estimateS, (now - job.lastProgress) / 1000.0)
+        val tasks = JobTasks(job.openCount, job.spec.tasks - job.doneCount, job.unreleasedAssignments.size, livePerZone) { count ->
+            job.firstOpen(count)
+        }
+        val jobTiming = JobTiming(job.waitingFrom, estimateS, secondsUntilDue(job) - estimateS, (now - job.lastProgressAt) / 1000.0)
         return JobView(job.schedulingSpec, tasks, jobTiming, job.failedMachines, job.isPoisoned, now >= job.notBefore)
     }
 
--- a/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StalledJobReporter.kt
@@ -19,8 +19,13 @@
         }
     }
 
-    private fun logLate(job: Job) =
-        log.info("job={} is late: {} of {} tasks are done, {} placed", job.id, job.doneCount, job.spec.tasks, job.live.size)
+    private fun logLate(job: Job) = log.info(
+        "job={} is late: {} of {} tasks are done, {} placed",
+        job.id,
+        job.doneCount,
+        job.spec.tasks,
+        job.unreleasedAssignments.size,
+    )
 
     private fun logLateDependent(job: Job) {
         val open = job.unmetDependencies.open
@@ -34,7 +39,7 @@
     fun logStalledJobs(unplacedTasks: List<UnplacedTasks>, now: MonotonicTime) {
         for (unplaced in unplacedTasks) {
             val job = cluster.jobs[unplaced.job] ?: continue
-            val stalledMs = now - job.lastProgress
+            val stalledMs = now - job.lastProgressAt
             val loggedAt = job.lastStallReport
             if (stalledMs < STALL_TIMEOUT_MS || (loggedAt != null && now - loggedAt < MIN_REPORT_INTERVAL_MS)) continue
             job.recordStallReport(now)
--- a/src/main/kotlin/mountmast/coordination/controller/StepResult.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/StepResult.kt
@@ -14,6 +14,6 @@
 
     internal companion object {
         /** Returns [DID_WORK] or [IDLE], for a step that does not distinguish a failure from having nothing to do. */
-        fun of(didWork: Boolean): StepResult = if (didWork) DID_WORK else IDLE
+        fun didWorkIf(didWork: Boolean): StepResult = if (didWork) DID_WORK else IDLE
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobService.kt
@@ -44,13 +44,13 @@
     private val forwarder = RequestForwarder(node)
 
     /** Whether machine types have been read; without them, no job can be accepted. */
-    val knowsTypes: Boolean get() = machineTypeCache.types.isNotEmpty()
+    val knowsMachineTypes: Boolean get() = machineTypeCache.types.isNotEmpty()
 
     /**
      * Reads the machine types that the leader has stored. Throws [StoreException] if a request to the state service fails, and
      * [IllegalArgumentException] if the machine types cannot be decoded.
      */
-    fun refreshTypes() = machineTypeCache.refresh()
+    fun refreshMachineTypes() = machineTypeCache.refresh()
 
     /** Caches the record of a live job that another component watched or listed, unless one of the same or a later revision is cached. */
     fun cacheRecord(record: JobRecord, modRevision: ModRevision) = recordCache.putIfNewer(record, modRevision)
--- a/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/JournalReplay.kt
@@ -38,7 +38,7 @@
         // A job that is not known finished after the entry was written: its live record is deleted, and none of its tasks runs.
         val job = cluster.jobs[task.job] ?: return
         if (task.index >= job.spec.tasks || job.done.get(task.index)) return
-        job.live.get(task.index)?.let { older ->
+        job.unreleasedAssignments.get(task.index)?.let { older ->
             log.error("task={} has two live assignments: machine={} and machine={}", task, older.machine, machine)
             cluster.assignments.release(older, now)
         }
@@ -49,10 +49,10 @@
         val job = cluster.jobs[task.job] ?: return
         if (end == TaskEnd.DONE && task.index < job.spec.tasks) cluster.completeTask(job, task.index)
         if (end == TaskEnd.PREEMPTED) job.countPreemption(task.index)
-        job.live.get(task.index)?.let { cluster.assignments.release(it, now) }
+        job.unreleasedAssignments.get(task.index)?.let { cluster.assignments.release(it, now) }
     }
 
     override fun reserved(machine: MachineId, job: JobId, victims: List<TaskId>) {
-        for (victim in victims) cluster.jobs[victim.job]?.live?.get(victim.index)?.preempt()
+        for (victim in victims) cluster.jobs[victim.job]?.unreleasedAssignments?.get(victim.index)?.preempt()
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/MachineTypesWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/MachineTypesWriter.kt
@@ -13,7 +13,7 @@
     private var limits: WriteLimits? = null
 
     override fun contribute(batch: WriteBatch, options: BatchOptions) {
-        val pendingTypes = context.pendingTypes ?: return
+        val pendingTypes = context.pendingMachineTypes ?: return
         val limits = options.limits
         if (types !== pendingTypes || this.limits != limits) {
             types = pendingTypes
@@ -31,7 +31,7 @@
         if (batch.machineTypes == null || batch.machineTypes !== types) return
         remainingPuts = remainingPuts.drop(batch.machineTypesWriteCount)
         if (remainingPuts.isNotEmpty()) return
-        if (context.pendingTypes === types) context.pendingTypes = null
+        if (context.pendingMachineTypes === types) context.pendingMachineTypes = null
         types = null
     }
 }
--- a/src/main/kotlin/mountmast/coordination/persistence/PersistenceContext.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/PersistenceContext.kt
@@ -29,7 +29,7 @@
     val signals: TermSignals
 
     /** Machine types that the store does not hold yet; null once it holds the current ones. */
-    var pendingTypes: MachineTypes?
+    var pendingMachineTypes: MachineTypes?
 
     /** Called, with [lock] held, when the start of a task on [machine] is committed: it may now be sent to the worker. */
     fun onStartCommitted(machine: MachineId)
--- a/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
+++ b/src/main/kotlin/mountmast/coordination/persistence/ProgressWriter.kt
@@ -65,8 +65,9 @@
 
     private fun formatProgress(): String = buildString {
         for (job in cluster.jobs.values) {
-            if (job.live.isEmpty() && job.doneCount == 0) continue
-            append(job.id.text).append(' ').append(job.doneCount).append(' ').append(job.live.size).append(TextCodec.ENTRY_END)
+            if (job.unreleasedAssignments.isEmpty() && job.doneCount == 0) continue
+            append(job.id.text).append(' ').append(job.doneCount).append(' ')
+                .append(job.unreleasedAssignments.size).append(TextCodec.ENTRY_END)
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
+++ b/src/main/kotlin/mountmast/coordination/state/AssignmentLifecycle.kt
@@ -40,7 +40,7 @@
         val placement = Placement(machine.id, checkNotNull(machine.incarnation), checkNotNull(machine.zone))
         val assignment = Assignment(job, index, placement, Attempt(++lastAttempt), Phase.INTENDED)
         place(assignment, machine)
-        machine.touchImage(job.spec.image, job.spec.imageGb, cluster.types[machine.type]?.cacheGb ?: 0.0)
+        machine.touchImage(job.spec.image, job.spec.imageGb, cluster.machineTypes[machine.type]?.cacheGb ?: 0.0)
         job.recordPlacement(now)
         cluster.pendingChanges += PendingChange.Started(assignment)
         return assignment
@@ -63,7 +63,7 @@
     /** Adds [assignment] to its job, to [machine] and to the usage of its team. */
     private fun place(assignment: Assignment, machine: Machine) {
         val job = assignment.job
-        job.live.put(assignment.index, assignment)
+        job.unreleasedAssignments.put(assignment.index, assignment)
         job.setOpen(assignment.index, false)
         machine.addAssignment(assignment)
         usage.add(job.spec.team, job.perTask)
@@ -88,7 +88,7 @@
 
     /** Ends the assignments on [machine] that belong to incarnations before [incarnation], or all of them if [incarnation] is null. */
     fun endIncarnation(machine: Machine, incarnation: WorkerIncarnation?, cause: LossCause) {
-        for (assignment in machine.live.values) {
+        for (assignment in machine.unreleasedAssignments.values) {
             val isEnded = incarnation == null || assignment.incarnation < incarnation
             if (!isEnded || assignment.phase >= Phase.ENDED) continue
             losses.record(cause)
@@ -101,11 +101,13 @@
         if (assignment.phase == Phase.RELEASED) return
         assignment.markReleased()
         val job = assignment.job
-        job.live.remove(assignment.index)
+        job.unreleasedAssignments.remove(assignment.index)
         if (!job.done.get(assignment.index)) job.setOpen(assignment.index, true)
         cluster.machines[assignment.machine]?.let { machine ->
             machine.removeAssignment(assignment, now)
-            if (machine.live.isEmpty() && machine.isDeleting && machine.id in cluster.tombstones) cluster.machines.remove(machine.id)
+            if (machine.unreleasedAssignments.isEmpty() && machine.isDeleting && machine.id in cluster.tombstones) {
+                cluster.machines.remove(machine.id)
+            }
         }
         usage.subtract(job.spec.team, job.perTask)
     }
--- a/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterState.kt
@@ -26,7 +26,7 @@
     val tombstones = LinkedHashMap<MachineId, MonotonicTime>()
 
     /** The machine types that the cloud offers. */
-    val types = LinkedHashMap<TypeId, MachineType>()
+    val machineTypes = LinkedHashMap<TypeId, MachineType>()
 
     /** Sizes in GB of the images that the previous leader recorded for machines whose type this leader does not know yet. */
     val restoredImages = HashMap<MachineId, Map<ImageId, Double>>()
@@ -46,10 +46,10 @@
     /** Detects failing and slow machines, and failing jobs. */
     val health = Health(this)
 
-    /** Replaces the machine types by [machineTypes], which were read from the cloud or the store. */
-    fun replaceTypes(machineTypes: MachineTypes) {
-        types.clear()
-        for (type in machineTypes.types) types[type.id] = type
+    /** Replaces the machine types by [newTypes], which were read from the cloud or the store. */
+    fun replaceTypes(newTypes: MachineTypes) {
+        machineTypes.clear()
+        for (type in newTypes.types) machineTypes[type.id] = type
     }
 
     /**
@@ -92,7 +92,7 @@
 
     /** Removes a finished job and releases the assignments that it still has. */
     fun removeJob(job: Job, now: MonotonicTime) {
-        for (assignment in job.live.values.toList()) assignments.release(assignment, now)
+        for (assignment in job.unreleasedAssignments.values.toList()) assignments.release(assignment, now)
         jobs.remove(job.id)
         finishingJobs.remove(job)
     }
@@ -114,7 +114,7 @@
         tombstones[id] = now
         val machine = machines[id] ?: return
         assignments.endIncarnation(machine, null, LossCause.MACHINE_DELETED)
-        if (machine.live.isEmpty()) machines.remove(id) else machine.rental.beginDeletion()
+        if (machine.unreleasedAssignments.isEmpty()) machines.remove(id) else machine.rental.beginDeletion()
     }
 
     /** Removes the tombstones of the machines that were deleted more than [ageMs] milliseconds before [now]. */
--- a/src/main/kotlin/mountmast/coordination/state/ClusterStateText.kt
+++ b/src/main/kotlin/mountmast/coordination/state/ClusterStateText.kt
@@ -16,7 +16,9 @@
         for (job in jobs) {
             for (ranges in Ranges.encode(job.done, MAX_RANGES_LENGTH)) text.done(job.id, ranges)
             for (times in job.preemptions.int2IntEntrySet()) text.preemptedBefore("${job.id}/${times.intKey}", times.intValue)
-            for (it in job.live.values) if (it.isJournaled) text.started(it.taskName, it.machine, it.incarnation, it.attempt, it.zone)
+            for (it in job.unreleasedAssignments.values) {
+                if (it.isJournaled) text.started(it.taskName, it.machine, it.incarnation, it.attempt, it.zone)
+            }
         }
         return text.take()
     }
--- a/src/main/kotlin/mountmast/coordination/state/Health.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Health.kt
@@ -118,7 +118,7 @@
     fun detectStragglers(now: MonotonicTime) {
         for (machine in cluster.machines.values) {
             if (machine.state != MachineState.UP) continue
-            for (assignment in machine.live.values) {
+            for (assignment in machine.unreleasedAssignments.values) {
                 val since = assignment.runningSince ?: continue
                 if (assignment.phase == Phase.COMMITTED &&
                     isSlow(assignment.job, machine.id, (now - since) / 1000.0)
--- a/src/main/kotlin/mountmast/coordination/state/Job.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Job.kt
@@ -43,7 +43,7 @@
             isCancelled = true
             cancelledAfter = committedAfter
             // The results of a cancelled job are not needed, so its tasks get no time to save their progress.
-            for (assignment in live.values) assignment.stopAtOnce()
+            for (assignment in unreleasedAssignments.values) assignment.stopAtOnce()
         }
         isCancellationRecorded = isCancellationRecorded || isRecorded
     }
@@ -83,7 +83,7 @@
     val done get() = progress.done
 
     /** Tasks that may be placed: neither done nor assigned. */
-    val open get() = progress.open
+    val openTasks get() = progress.open
 
     /** How many tasks may be placed. */
     val openCount: Int get() = progress.openCount
@@ -92,7 +92,7 @@
     val doneCount: Int get() = progress.doneCount
 
     /** The job's assignments that are not released, by the task's index. */
-    val live = Int2ObjectOpenHashMap<Assignment>()
+    val unreleasedAssignments = Int2ObjectOpenHashMap<Assignment>()
 
     /** How often each task of the job was preempted, by the task's index. */
     val preemptions = Int2IntOpenHashMap()
@@ -110,7 +110,7 @@
     val notBefore by recentFailures::notBefore
 
     /** When a task of the job was last placed, or the job became known or was released. Used to detect jobs that stall. */
-    var lastProgress = MonotonicTime(0)
+    var lastProgressAt = MonotonicTime(0)
         private set
 
     /** When operators were last informed that the job stalls; null if it has not stalled since a task was last placed. */
@@ -131,7 +131,7 @@
     val isComplete: Boolean get() = spec.shape == Shape.ARRAY && doneCount == spec.tasks
 
     /** Whether all assignments of the job that are not released have ended, so that none of its tasks runs. */
-    fun hasNoLiveAssignments() = live.values.all { it.phase == Phase.ENDED }
+    fun hasNoLiveAssignments() = unreleasedAssignments.values.all { it.phase == Phase.ENDED }
 
     /** The indices of the first [count] open tasks; there must be as many. */
     fun firstOpen(count: Int): IntArray = progress.firstOpen(count)
@@ -154,12 +154,12 @@
 
     /** Records that the job became ready to run at [now], since it became known or was released. */
     fun recordReady(now: MonotonicTime) {
-        lastProgress = now
+        lastProgressAt = now
     }
 
     /** Records that a task was placed at [now], so that the job does not stall. */
     fun recordPlacement(now: MonotonicTime) {
-        lastProgress = now
+        lastProgressAt = now
         lastStallReport = null
     }
 
--- a/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
+++ b/src/main/kotlin/mountmast/coordination/state/JobInformer.kt
@@ -114,7 +114,7 @@
 
     private fun cancel(job: Job, isRecorded: Boolean) {
         job.cancel(knownUpTo.wall, isRecorded)
-        job.live.values.forEach { listener.onCommandsDue(it) }
+        job.unreleasedAssignments.values.forEach { listener.onCommandsDue(it) }
     }
 
     /** Removes [job], whose final state [record] is committed in the state service; the caller holds the lock. */
--- a/src/main/kotlin/mountmast/coordination/state/Machine.kt
+++ b/src/main/kotlin/mountmast/coordination/state/Machine.kt
@@ -79,14 +79,17 @@
         private set
 
     /** The machine's assignments that are not released, by [Assignment.taskName]. */
-    val live = LinkedHashMap<String, Assignment>()
+    val unreleasedAssignments = LinkedHashMap<String, Assignment>()
 
     /** Increases with each change of the machine that the scheduler sees, other than a change of [isUsable]. */
     var changeCount = 0
         private set
 
-    /** The resources that [live] takes. Kept up to date, so that a scheduling cycle need not add up every task of every machine. */
-    var used = Resources.NONE
+    /**
+     * The resources that [unreleasedAssignments] take. Kept up to date, so that a scheduling cycle need not add up every task of every
+     * machine.
+     */
+    var usedResources = Resources.NONE
         private set(value) {
             field = value
             changeCount++
@@ -115,23 +118,23 @@
 
     /** Takes over the assignments of [before], the entry of this machine while only its name was known. */
     fun inheritAssignments(before: Machine) {
-        live.putAll(before.live)
-        used = before.used
+        unreleasedAssignments.putAll(before.unreleasedAssignments)
+        usedResources = before.usedResources
     }
 
-    /** Adds [assignment] to the machine's assignments and its resources to [used]. */
+    /** Adds [assignment] to the machine's assignments and its resources to [usedResources]. */
     internal fun addAssignment(assignment: Assignment) {
-        live[assignment.taskName] = assignment
-        used += assignment.job.perTask
+        unreleasedAssignments[assignment.taskName] = assignment
+        usedResources += assignment.job.perTask
     }
 
     /** Removes [assignment] and frees its resources; a machine without any other assignment is idle from [now] on. */
     internal fun removeAssignment(assignment: Assignment, now: MonotonicTime) {
-        if (live.remove(assignment.taskName) != null) used -= assignment.job.perTask
-        if (live.isNotEmpty()) return
+        if (unreleasedAssignments.remove(assignment.taskName) != null) usedResources -= assignment.job.perTask
+        if (unreleasedAssignments.isNotEmpty()) return
         rental.markIdle(now)
         // Sets the sum to exactly zero, so that rounding errors do not accumulate over the machine's life.
-        used = Resources.NONE
+        usedResources = Resources.NONE
     }
 
     /** Adds the images that the previous leader recorded for this machine, with their sizes in GB. */
--- a/src/main/kotlin/mountmast/coordination/state/TaskLosses.kt
+++ b/src/main/kotlin/mountmast/coordination/state/TaskLosses.kt
@@ -27,5 +27,5 @@
     fun record(cause: LossCause) = counters.getValue(cause).add()
 
     /** How many tasks were lost by [cause] since the process started. */
-    fun of(cause: LossCause): Long = counters.getValue(cause).value
+    fun countOf(cause: LossCause): Long = counters.getValue(cause).value
 }
--- a/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandSender.kt
@@ -78,7 +78,7 @@
     private inline fun forEachStart(machine: Machine, commands: List<WorkerCommand>, action: (Assignment) -> Unit) {
         for (command in commands) {
             if (command.type != CommandType.START) continue
-            machine.live[command.task]?.takeIf { it.attempt == command.attempt }?.let(action)
+            machine.unreleasedAssignments[command.task]?.takeIf { it.attempt == command.attempt }?.let(action)
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatHandler.kt
@@ -104,7 +104,7 @@
      * not list them, and no start of them can still be executed.
      */
     private fun endUnstartedAssignments(machine: Machine, heartbeat: Heartbeat) {
-        for (assignment in machine.live.values) {
+        for (assignment in machine.unreleasedAssignments.values) {
             // The heartbeat has been reconciled, so every attempt that it lists has a reported state by now.
             val isStoppedUnreported = assignment.terminationGraceS != null && assignment.reportedState == null
             val mayEnd = assignment.phase == Phase.COMMITTED && isStoppedUnreported && !mayStillStart(assignment, machine, heartbeat)
--- a/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/HeartbeatReconciler.kt
@@ -72,7 +72,7 @@
     private fun reconcileTasks(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime) {
         val unassignedTasks = ArrayList<UnassignedTask>()
         for (reported in heartbeat.tasks) {
-            val assignment = machine.live[reported.task]
+            val assignment = machine.unreleasedAssignments[reported.task]
                 ?.takeIf { it.attempt == reported.attempt && it.incarnation == heartbeat.incarnation }
             if (assignment == null) unassignedTasks += toUnassignedTask(reported) else reconcileTask(machine, assignment, reported, now)
         }
--- a/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/LeaderAnnouncer.kt
@@ -48,7 +48,7 @@
         if (machine.delivery.isRequestInFlight || !needsAnnouncement(machine, now)) return null
         machine.delivery.beginAnnouncement(now)
         // The request contains no command, so any incarnation is valid if the worker's incarnation is unknown.
-        val incarnation = machine.incarnation ?: machine.live.values.firstOrNull()?.incarnation ?: WorkerIncarnation(1u)
+        val incarnation = machine.incarnation ?: machine.unreleasedAssignments.values.firstOrNull()?.incarnation ?: WorkerIncarnation(1u)
         return OutgoingRequest(machine, incarnation, commands = emptyList())
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/OutstandingCommands.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/OutstandingCommands.kt
@@ -31,7 +31,7 @@
      * held up until after its job was cancelled starts nothing once its worker has shown a higher token".
      */
     fun fenceOffStoppedTasks(machine: Machine) {
-        for (assignment in machine.live.values) {
+        for (assignment in machine.unreleasedAssignments.values) {
             val isStoppedUnreported = assignment.terminationGraceS != null && assignment.reportedState == null
             if (isStoppedUnreported) machine.delivery.fenceOffStart(assignment.taskName, assignment.attempt)
         }
@@ -70,7 +70,7 @@
     private inline fun addAssignmentCommands(commands: MutableList<WorkerCommand>, machine: Machine, onStart: (Assignment) -> Unit) {
         // A job may have been cancelled since the jobs were last read, and no task of a cancelled job may start.
         val maySendStarts = areCancellationsKnown(context.clock.now())
-        for (assignment in machine.live.values) {
+        for (assignment in machine.unreleasedAssignments.values) {
             if (assignment.phase != Phase.COMMITTED || assignment.incarnation != machine.incarnation) continue
             val graceS = assignment.terminationGraceS
             if (graceS != null) {
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -70,7 +70,7 @@
         val answered = machine.answeredSequence
         val isTokenBehind = answered != null && answered < heartbeat.sequence && heartbeat.token < leaderLease.token
         val hasOutlivedLease = now - machine.incarnationSince > timing.leaseExpiryMs && heartbeat.token.term == leaderLease.token.term
-        val sentStarts = machine.live.values.filter { wasStartSentBefore(it, heartbeat) }
+        val sentStarts = machine.unreleasedAssignments.values.filter { wasStartSentBefore(it, heartbeat) }
         val (missing, shown) = sentStarts.partition { it.reportedState == null }
         for (assignment in shown) assignment.startDelivery.confirm()
         return Evidence(isTokenBehind || missing.isNotEmpty(), hasOutlivedLease || shown.isNotEmpty())
--- a/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/WorkerLivenessMonitor.kt
@@ -31,7 +31,7 @@
         val now = context.clock.now()
         for (machine in cluster.machines.values) {
             if (!isLeaseExpired(machine, confirmedUntil, readyAt) || !isExpiryConfirmed(machine, confirmedUntil)) continue
-            log.info("machine={} lease expired: {} tasks lost", machine.id, machine.live.size)
+            log.info("machine={} lease expired: {} tasks lost", machine.id, machine.unreleasedAssignments.size)
             cluster.assignments.endIncarnation(machine, null, LossCause.LEASE_EXPIRED)
             machine.expireLease(now)
             context.signals.wakeWriter()
--- a/src/main/kotlin/mountmast/storage/HttpStateStore.kt
+++ b/src/main/kotlin/mountmast/storage/HttpStateStore.kt
@@ -148,7 +148,11 @@
         } catch (e: NoAnswerException) {
             wasLastCallAnswered = false
             failures.add()
-            throw if (e.mayBeCarriedOut) StoreTimeoutException("$path: ${e.message}") else StoreUnavailableException("$path: ${e.message}")
+            throw if (e.mayHaveTakenEffect) {
+                StoreTimeoutException("$path: ${e.message}")
+            } else {
+                StoreUnavailableException("$path: ${e.message}")
+            }
         }
     }
 
--- a/src/main/kotlin/mountmast/transport/Cloud.kt
+++ b/src/main/kotlin/mountmast/transport/Cloud.kt
@@ -14,8 +14,8 @@
 import java.net.URLEncoder
 import java.util.concurrent.TimeUnit
 
-/** Thrown when a call to the cloud did not succeed. [mayBeCarriedOut] is false only if the call certainly had no effect. */
-class CloudException(message: String, val mayBeCarriedOut: Boolean) : Exception(message)
+/** Thrown when a call to the cloud did not succeed. [mayHaveTakenEffect] is false only if the call certainly had no effect. */
+class CloudException(message: String, val mayHaveTakenEffect: Boolean) : Exception(message)
 
 /** How the cloud answered a [RentalRequest]. */
 sealed interface RentalOutcome {
@@ -61,7 +61,7 @@
         return when {
             reply.isOk -> RentalOutcome.Rented(decode<MachineNames>(reply).machines)
             reply.status == 503 && "no capacity" in reply.text -> RentalOutcome.NoCapacity
-            else -> throw CloudException("rental failed: status ${reply.status}", mayBeCarriedOut = false)
+            else -> throw CloudException("rental failed: status ${reply.status}", mayHaveTakenEffect = false)
         }
     }
 
@@ -76,23 +76,25 @@
 
     private fun callOrThrow(method: String, path: String, body: String?): Reply {
         val reply = call(method, path, body)
-        if (!reply.isOk) throw CloudException("$path failed: status ${reply.status}", mayBeCarriedOut = false)
+        if (!reply.isOk) throw CloudException("$path failed: status ${reply.status}", mayHaveTakenEffect = false)
         return reply
     }
 
     private fun call(method: String, path: String, body: String?): Reply {
-        if (!limiter.tryAcquire(RATE_WAIT_S, TimeUnit.SECONDS)) throw CloudException("$path: over the rate limit", mayBeCarriedOut = false)
+        if (!limiter.tryAcquire(RATE_WAIT_S, TimeUnit.SECONDS)) {
+            throw CloudException("$path: over the rate limit", mayHaveTakenEffect = false)
+        }
         try {
             return caller.call(address, method, path, body?.encodeToByteArray(), TIMEOUT_MS)
         } catch (e: NoAnswerException) {
-            throw CloudException("$path: ${e.message}", e.mayBeCarriedOut)
+            throw CloudException("$path: ${e.message}", e.mayHaveTakenEffect)
         }
     }
 
     private inline fun <reified T> decode(reply: Reply): T = try {
         WireJson.decodeFromString<T>(reply.text)
     } catch (e: IllegalArgumentException) {
-        throw CloudException("malformed answer of the cloud: ${e.message}", mayBeCarriedOut = true)
+        throw CloudException("malformed answer of the cloud: ${e.message}", mayHaveTakenEffect = true)
     }
 
     private companion object {
--- a/src/main/kotlin/mountmast/transport/HttpCaller.kt
+++ b/src/main/kotlin/mountmast/transport/HttpCaller.kt
@@ -7,8 +7,8 @@
 import java.net.NoRouteToHostException
 import java.net.URI
 
-/** Thrown when a call got no answer. [mayBeCarriedOut] is false only if the request certainly never left this node. */
-class NoAnswerException(message: String, val mayBeCarriedOut: Boolean) : IOException(message)
+/** Thrown when a call got no answer. [mayHaveTakenEffect] is false only if the request certainly never left this node. */
+class NoAnswerException(message: String, val mayHaveTakenEffect: Boolean) : IOException(message)
 
 /** Status and body of an HTTP response. */
 class Reply(val status: Int, val bytes: ByteArray) {
@@ -49,11 +49,11 @@
             if (body != null) connection.outputStream.use { it.write(body) }
             return connection.readReply()
         } catch (e: ConnectException) {
-            throw connection.noAnswer(to, e, mayBeCarriedOut = false)
+            throw connection.noAnswer(to, e, mayHaveTakenEffect = false)
         } catch (e: NoRouteToHostException) {
-            throw connection.noAnswer(to, e, mayBeCarriedOut = false)
+            throw connection.noAnswer(to, e, mayHaveTakenEffect = false)
         } catch (e: IOException) {
-            throw connection.noAnswer(to, e, mayBeCarriedOut = true)
+            throw connection.noAnswer(to, e, mayHaveTakenEffect = true)
         }
     }
 
@@ -77,7 +77,7 @@
         try {
             connection.connect()
         } catch (e: IOException) {
-            throw NoAnswerException("$to: ${e.message}", mayBeCarriedOut = false)
+            throw NoAnswerException("$to: ${e.message}", mayHaveTakenEffect = false)
         }
     }
 
@@ -87,8 +87,8 @@
         return Reply(status, stream?.use { it.readBytes() } ?: ByteArray(0))
     }
 
-    private fun HttpURLConnection.noAnswer(to: InetSocketAddress, cause: IOException, mayBeCarriedOut: Boolean): NoAnswerException {
+    private fun HttpURLConnection.noAnswer(to: InetSocketAddress, cause: IOException, mayHaveTakenEffect: Boolean): NoAnswerException {
         disconnect()
-        return NoAnswerException("$to: ${cause.message}", mayBeCarriedOut)
+        return NoAnswerException("$to: ${cause.message}", mayHaveTakenEffect)
     }
 }
--- a/src/main/kotlin/mountmast/transport/WorkerClient.kt
+++ b/src/main/kotlin/mountmast/transport/WorkerClient.kt
@@ -40,7 +40,7 @@
                 else -> CommandOutcome.Unknown
             }
         } catch (e: NoAnswerException) {
-            return if (e.mayBeCarriedOut) CommandOutcome.Unknown else CommandOutcome.NotSent
+            return if (e.mayHaveTakenEffect) CommandOutcome.Unknown else CommandOutcome.NotSent
         } catch (e: IllegalArgumentException) {
             return CommandOutcome.Unknown
         }
--- a/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
+++ b/src/test/kotlin/mountmast/contract/PublicAnswersTest.kt
@@ -111,7 +111,7 @@
         time.clock(0.0, 0),
         StateLimits(80.0, 30.0, 2.0, 8),
         FixedHostNode(forward, isReady, acceptsPrerequisites),
-    ).also { if (knowsTypes) it.refreshTypes() }
+    ).also { if (knowsTypes) it.refreshMachineTypes() }
 
     private fun routes(users: UserService, metrics: Metrics = Metrics()) =
         publicRoutes(users, heartbeatService, AdmissionLimits(AdmissionLimit(1, 1), AdmissionLimit(1, 1)), metrics)
--- a/src/test/kotlin/mountmast/coordination/autoscaling/LargeClusterTest.kt
+++ b/src/test/kotlin/mountmast/coordination/autoscaling/LargeClusterTest.kt
@@ -76,8 +76,8 @@
             world.invariants.startCount <= ALL_TASKS,
             "${world.invariants.startCount - started} starts, ${ALL_TASKS - started} were left",
         )
-        assertTrue(leader().cluster.machines.values.sumOf { it.live.size } in started..ALL_TASKS)
-        assertTrue(leader().cluster.machines.values.filter { it.live.isNotEmpty() }.all { it.hasShownCurrentTerm })
+        assertTrue(leader().cluster.machines.values.sumOf { it.unreleasedAssignments.size } in started..ALL_TASKS)
+        assertTrue(leader().cluster.machines.values.filter { it.unreleasedAssignments.isNotEmpty() }.all { it.hasShownCurrentTerm })
     }
 
     /** Every third busy machine is lost: the cloud reclaims half of them, and the others are partitioned for 9 s. */
@@ -90,7 +90,9 @@
         world.run(40_000, busy = false)
         val commandsLost = world.network.commandsLost - lostBefore
         assertTrue(commandsLost < lost.size, "$commandsLost commands to silent machines")
-        val running = leader().cluster.machines.values.sumOf { machine -> machine.live.values.count { it.runningSince != null } }
+        val running = leader().cluster.machines.values.sumOf { machine ->
+            machine.unreleasedAssignments.values.count { it.runningSince != null }
+        }
         assertTrue(running > started * 9 / 10, "$running of $started run again")
     }
 
--- a/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/CombinedFailuresTest.kt
@@ -305,7 +305,7 @@
         val thirdJob = world.accept(smallJob(62))
         world.run(1000, busy = false)
         val cluster = checkNotNull(leaderHost.controller?.leaderTerm()).cluster
-        val assigned = checkNotNull(cluster.machines[chosenWorker.id]).live.values.map { it.job.id }
+        val assigned = checkNotNull(cluster.machines[chosenWorker.id]).unreleasedAssignments.values.map { it.job.id }
         assertTrue(firstJob in assigned, "the lease of the machine has expired already")
         assertTrue(thirdJob !in assigned, "a machine whose lease will expire got work")
     }
--- a/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/LargeClusterTest.kt
@@ -50,7 +50,7 @@
         world.run(15_000, busy = false)
     }
 
-    private fun countAssignments() = leaderTerm().cluster.machines.values.sumOf { it.live.size }
+    private fun countAssignments() = leaderTerm().cluster.machines.values.sumOf { it.unreleasedAssignments.size }
 
     @Test
     fun `4000 machines are filled, reconnect at once, fail over, are cut in part and meet lower limits`() {
@@ -73,7 +73,9 @@
             "${world.invariants.startCount - started} starts after a failover",
         )
         assertTrue(countAssignments() > ALL_TASKS * 0.9, "${countAssignments()} assignments after the failover")
-        assertTrue(leaderTerm().cluster.machines.values.filter { it.live.isNotEmpty() }.count { it.hasShownCurrentTerm } > 3500)
+        assertTrue(
+            leaderTerm().cluster.machines.values.filter { it.unreleasedAssignments.isNotEmpty() }.count { it.hasShownCurrentTerm } > 3500,
+        )
 
         // The limits have fallen by now. A quarter of the machines is partitioned for longer than a lease, and the leader crashes.
         val partitionedWorkers = world.cloud.workers.filter { it.isAlive && it.hasRunningTasks }.filterIndexed { i, _ -> i % 4 == 0 }
--- a/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
+++ b/src/test/kotlin/mountmast/coordination/controller/RecoveryTest.kt
@@ -149,7 +149,7 @@
         val leaderController = world.hosts.first { it.controller?.leaderTerm() != null }.controller!!
         leaderController.leaderWork.watchJobs(0)
         leaderController.leaderWork.runSchedulingCycle()
-        assertTrue(world.leaderTerm().cluster.jobs.getValue(id).live.values.all { it.phase == Phase.INTENDED })
+        assertTrue(world.leaderTerm().cluster.jobs.getValue(id).unreleasedAssignments.values.all { it.phase == Phase.INTENDED })
         assertEquals(200, world.cancel(id))
         world.run(5000, busy = false)
         assertEquals(null, world.leaderTerm().cluster.jobs[id])
@@ -289,7 +289,7 @@
         assertTrue(successor !== leaderHost.controller?.leaderTerm())
         assertTrue(
             successor.cluster.machines.values.filter {
-                it.live.isNotEmpty()
+                it.unreleasedAssignments.isNotEmpty()
             }.all { it.hasShownCurrentTerm },
             "workers are still with the old leader",
         )
--- a/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
+++ b/src/test/kotlin/mountmast/coordination/persistence/ProductionFormsTest.kt
@@ -249,7 +249,7 @@
         val leaderTerm = loaded(world.store.Connection(Random(1), ProcessFaults(world.time)))
         val productionLedger = replayedByProduction(written)
         val currentAssignments = leaderTerm.cluster.jobs.values.flatMap { job ->
-            job.live.values.map { "${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone}" }
+            job.unreleasedAssignments.values.map { "${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone}" }
         }
         val productionAssignments = productionLedger.placed.filterKeys { JobId(it.job.text) in leaderTerm.cluster.jobs }
             .map { (task, at) -> "$task ${at.machine} ${at.session} ${at.attempt} ${at.zone}" }
@@ -344,7 +344,7 @@
         for (job in leaderTerm.cluster.jobs.values.sortedBy { it.id }) {
             lines += "job ${job.id} cancelled ${job.isCancelled} done ${job.done}"
             for (it in job.preemptions.int2IntEntrySet().sortedBy { it.intKey }) lines += "evicted ${job.id}/${it.intKey} ${it.intValue}"
-            for (it in job.live.values.sortedBy { it.index }) {
+            for (it in job.unreleasedAssignments.values.sortedBy { it.index }) {
                 val end = "evicted ${it.isPreempted} stop ${it.terminationGraceS}"
                 lines += "live ${it.taskName} ${it.machine} ${it.incarnation} ${it.attempt} ${it.zone} $end"
             }
--- a/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
+++ b/src/test/kotlin/mountmast/coordination/state/ClusterStateTest.kt
@@ -75,10 +75,10 @@
         heartbeat("vm-1", 100, assignment.shown(TaskState.EXITED, ExitCause.STOPPED))
         assertEquals(Phase.ENDED, assignment.phase)
         assertEquals(spec.cpus, cluster.assignments.usageOf(spec.team).cpus)
-        assertFalse(job.open.get(0))
+        assertFalse(job.openTasks.get(0))
         cluster.assignments.release(assignment, MonotonicTime(200))
         assertEquals(0.0, cluster.assignments.usageOf(spec.team).cpus)
-        assertTrue(job.open.get(0))
+        assertTrue(job.openTasks.get(0))
         assertTrue(place(0, "vm-1", 300).attempt > assignment.attempt, "an attempt number was reused")
     }
 
@@ -136,7 +136,7 @@
         val replay = JournalReplay(cluster, MonotonicTime(0))
         replay.started(TaskId(spec.id, 3), MachineId("vm-7"), WorkerIncarnation(3u), Attempt(9u), Zone("a"))
         assertTrue(heartbeat("vm-7", 100, incarnation = 2u))
-        val assignment = job.live.get(3)
+        val assignment = job.unreleasedAssignments.get(3)
         assertEquals(Phase.COMMITTED, assignment.phase, "a copy from an older incarnation ended a newer one's task")
         val machine = cluster.machines.getValue(MachineId("vm-7"))
         assertFalse(machine.isUsable(MonotonicTime(200)), "a machine that may have been deleted long ago would get tasks")
--- a/src/test/kotlin/mountmast/soak/CloudServer.kt
+++ b/src/test/kotlin/mountmast/soak/CloudServer.kt
@@ -27,7 +27,7 @@
     private fun respond(request: LoopbackHttpRequest): LoopbackHttpResponse? = try {
         route(request)
     } catch (e: CloudException) {
-        if (e.mayBeCarriedOut) null else LoopbackHttpResponse(503, """{"error":"trouble"}""")
+        if (e.mayHaveTakenEffect) null else LoopbackHttpResponse(503, """{"error":"trouble"}""")
     }
 
     private fun route(request: LoopbackHttpRequest): LoopbackHttpResponse = when (request.path) {
--- a/src/test/kotlin/mountmast/standin/SimulatedCloud.kt
+++ b/src/test/kotlin/mountmast/standin/SimulatedCloud.kt
@@ -101,17 +101,17 @@
             try {
                 return callWithFaults(request).also { answer -> time.record { "cloud ${faults.number} answers ${responseText(answer)}" } }
             } catch (e: CloudException) {
-                time.record { "cloud ${faults.number} fails ${e.mayBeCarriedOut}" }
+                time.record { "cloud ${faults.number} fails ${e.mayHaveTakenEffect}" }
                 throw e
             }
         }
 
         private fun <T> callWithFaults(request: () -> T): T {
             faults.interruptIfDue(random)
-            if (time.now < outageUntil) throw CloudException("outage", mayBeCarriedOut = false)
+            if (time.now < outageUntil) throw CloudException("outage", mayHaveTakenEffect = false)
             if (random.nextDouble() < faults.lossRate) {
                 if (random.nextBoolean()) request() else time.schedule(random.nextLong(100, 15_000)) { request() }
-                throw CloudException("answer lost", mayBeCarriedOut = true)
+                throw CloudException("answer lost", mayHaveTakenEffect = true)
             }
             faults.repeatLaterIfDue(random) { request() }
             return request().also { faults.interruptIfDue(random) }
