--- a/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
+++ b/src/main/kotlin/mountmast/coordination/membership/PeerMembership.kt
@@ -58,7 +58,8 @@
 
     private fun exchangeHeartbeatWith(member: Member) {
         val cancelled = cancellations.unacknowledgedBy(member.node)
-        val response = peerClient.exchangeHeartbeats(member, localNode.ownHeartbeat().copy(cancelledJobs = cancelled.map { it.text })) ?: return
+        val response =
+            peerClient.exchangeHeartbeats(member, localNode.ownHeartbeat().copy(cancelledJobs = cancelled.map { it.text })) ?: return
         cancellations.acknowledge(member.node, cancelled)
         recordHeartbeat(response)
     }
