--- a/src/main/kotlin/mountmast/coordination/controller/Controller.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/Controller.kt
@@ -57,7 +57,7 @@
     private val cancellations = CancellationBroadcast(settings.members.map { it.node }, clock, timing.cancellationRetentionMs)
     private val leaseRenewalDelegate = LeaseRenewalDelegate(election, cancellations)
 
-    /** Negotiates whether every node of the deployment reads the current format. */
+    /** Negotiates whether every node of the deployment reads the current format of stored records and sent messages. */
     val formats = FormatNegotiation(store, settings.members.map { it.node })
     private val leaderComponents = CurrentLeaderComponents()
     private val localState = LocalPeerState(settings.node, election, cancellations, formats, leaderComponents, ::canServe)
--- a/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
+++ b/src/main/kotlin/mountmast/coordination/controller/SnapshotCache.kt
@@ -105,12 +105,12 @@
     }
 
     private fun removeUnusedViews() {
-        val views = cachedViews.values.iterator()
-        while (views.hasNext()) {
-            val cached = views.next()
+        val cachedViewIterator = cachedViews.values.iterator()
+        while (cachedViewIterator.hasNext()) {
+            val cached = cachedViewIterator.next()
             if (cached.usedInCycle == cycleNumber) continue
             machineIndex.remove(cached.view)
-            views.remove()
+            cachedViewIterator.remove()
         }
     }
 
--- a/src/main/kotlin/mountmast/coordination/jobs/JobCancellation.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobCancellation.kt
@@ -14,7 +14,7 @@
 import mountmast.storage.Write
 
 /** Cancels jobs in the state service; cancelling a job again changes nothing. Thread-safe. */
-internal class JobCancellation(private val store: StateStore, private val statusReader: JobStatusReader, private val node: HostNode) {
+internal class JobCancellation(private val store: StateStore, private val statusReader: JobStatusReader, private val localNode: HostNode) {
     /**
      * Cancels [id] unless it is finished, and returns its status. Rejects the request if the job was never accepted, or if its record
      * changed between the read and the write at each of [MAX_COMMIT_ATTEMPTS] attempts. Throws `StoreException` if a request to the
@@ -42,7 +42,7 @@
     }
 
     private fun broadcastAndCache(record: JobRecord): RequestOutcome {
-        node.onCancelled(record.spec.id)
+        localNode.onCancelled(record.spec.id)
         return RequestOutcome.Existing(statusReader.cacheCancelled(record))
     }
 
--- a/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/JobReader.kt
@@ -133,7 +133,7 @@
     }
 
     private companion object {
-        /** Less than the two seconds that users wait for an answer. */
+        /** The default of [maxWaitMs]: less than the two seconds that users wait for an answer. */
         const val DEFAULT_MAX_WAIT_MS = 1800L
     }
 }
--- a/src/main/kotlin/mountmast/coordination/jobs/RequestForwarder.kt
+++ b/src/main/kotlin/mountmast/coordination/jobs/RequestForwarder.kt
@@ -9,7 +9,7 @@
 private val log = LoggerFactory.getLogger("mountmast.jobs")
 
 /** Serves users' requests, and forwards to another node those for which this node does not reach the state service. Thread-safe. */
-internal class RequestForwarder(private val node: HostNode) {
+internal class RequestForwarder(private val localNode: HostNode) {
     /**
      * Serves [request] by calling [serve]. If [serve] fails because the state service does not answer, forwards the request to another
      * node, unless it was already forwarded to this node. If no node can serve it, rejects it as one to be sent again later.
@@ -21,7 +21,7 @@
         log.debug("the state service rejected the job record of a user's request, request path={}: {}", request.path, e.message)
         RequestRejection.RecordRejectedByStore.toUserAnswer()
     } catch (e: StoreException) {
-        val forwarded = if (isForwarded) null else node.forward(request)
+        val forwarded = if (isForwarded) null else localNode.forward(request)
         forwarded ?: RequestRejection.StoreUnavailable.toUserAnswer()
     } catch (e: IllegalArgumentException) {
         // The stored record is at fault, not the request, so the answer must differ from that to a malformed request.
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementCandidates.kt
@@ -17,7 +17,10 @@
     private val image = job.spec.image
     private val sortedRuns = PriorityQueue<SortedRun>()
 
-    /** Machines that got a task of this job: they are queued one by one if at all, so the sorted runs of groups skip them. */
+    /**
+     * Machines that got a task of this job. The [SortedRun]s of the groups skip them; one that can take another task of the job is queued
+     * again by [requeue], in a run of its own.
+     */
     private val movedMachines = HashSet<MachineView>()
 
     init {
--- a/src/main/kotlin/mountmast/coordination/scheduling/PlacementScore.kt
+++ b/src/main/kotlin/mountmast/coordination/scheduling/PlacementScore.kt
@@ -18,10 +18,10 @@
      */
     fun of(job: JobView, group: MachineGroup, holdsImage: Boolean): Double {
         val spec = job.spec
-        val type = group.kind.type
-        val fetchS = if (holdsImage) 0.0 else spec.imageGb / type.fetchGbPerS
+        val machineType = group.kind.type
+        val fetchS = if (holdsImage) 0.0 else spec.imageGb / machineType.fetchGbPerS
         val freeAfter = group.freeCapacity - spec.perTask
-        val freeShareAfter = maxOf(freeAfter.cpus / type.cpus, freeAfter.memoryGb / type.memoryGb)
+        val freeShareAfter = maxOf(freeAfter.cpus / machineType.cpus, freeAfter.memoryGb / machineType.memoryGb)
         return fetchS + freeShareAfter + (if (isSpotMismatch(job, group.kind)) SPOT_MISMATCH_PENALTY else 0.0)
     }
 
--- a/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/CommandDispatcher.kt
@@ -46,7 +46,7 @@
         return DeliveryStep.DONE
     }
 
-    /** Queues this leader's announcement to each worker that has not shown its token; see [LeaderAnnouncer.queueAnnouncements]. */
+    /** Queues this leader's announcement to each worker that has not shown this term's token; see [LeaderAnnouncer.queueAnnouncements]. */
     fun queueLeaderAnnouncements(readyAt: MonotonicTime, now: MonotonicTime) = announcer.queueAnnouncements(readyAt, now)
 
     /** Sends the next queued announcement of this leader; see [LeaderAnnouncer.sendNextAnnouncement]. */
--- a/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
+++ b/src/main/kotlin/mountmast/coordination/workers/ReachabilityMonitor.kt
@@ -67,8 +67,8 @@
     }
 
     private fun collectEvidence(machine: Machine, heartbeat: Heartbeat, now: MonotonicTime): Evidence {
-        val answered = machine.answeredSequence
-        val isTokenBehind = answered != null && answered < heartbeat.sequence && heartbeat.token < leaderLease.token
+        val answeredSequence = machine.answeredSequence
+        val isTokenBehind = answeredSequence != null && answeredSequence < heartbeat.sequence && heartbeat.token < leaderLease.token
         val hasOutlivedLease = now - machine.incarnationSince > timing.leaseExpiryMs && heartbeat.token.term == leaderLease.token.term
         val sentStarts = machine.live.values.filter { wasStartSentBefore(it, heartbeat) }
         val (missing, shown) = sentStarts.partition { it.reportedState == null }
--- a/src/test/kotlin/mountmast/coordination/election/LeaseTimingTest.kt
+++ b/src/test/kotlin/mountmast/coordination/election/LeaseTimingTest.kt
@@ -8,7 +8,7 @@
 class LeaseTimingTest {
     private fun timing(leaseS: Double, cancelS: Double) = LeaseTiming.of(leaseS, cancelS, maxClockOffsetMs = 29.5, heartbeatIntervalS = 1.5)
 
-    /** With 0.25 of a worker's lease, a single renewal that timed out ended a leader's term (docs/incidents/inc-0e16.md). */
+    /** With a store lease of 0.25 of a worker's lease, one renewal that timed out ended the leader's term (docs/incidents/inc-0e16.md). */
     @Test
     fun `a leader lease is 0,35 of a worker's lease, between 2 and 5 seconds`() {
         assertEquals(3500, timing(leaseS = 10.0, cancelS = 40.0).ttlMs)
--- a/src/test/kotlin/mountmast/standin/FallingLimits.kt
+++ b/src/test/kotlin/mountmast/standin/FallingLimits.kt
@@ -27,18 +27,18 @@
     fun enforcedAt(time: VirtualTime): StateLimits = if (time.now < fallsAtMs) initial else next
 }
 
-/** A rate limiter of the state service; a burst may take the tokens of one second. */
+/** A token bucket that limits a rate of the state service; a burst may take the tokens of one second. */
 class ServiceRateLimiter(private val time: VirtualTime) {
-    private var tokens = Double.MAX_VALUE
+    private var availableTokens = Double.MAX_VALUE
     private var refilledAt = 0L
 
     /** Takes [count] tokens, refilled at [perSecond]. Returns whether there were enough. */
     fun tryAcquire(count: Int, perSecond: Double): Boolean {
-        tokens = minOf(perSecond, tokens + (time.now - refilledAt) / MS_PER_S * perSecond)
+        availableTokens = minOf(perSecond, availableTokens + (time.now - refilledAt) / MS_PER_S * perSecond)
         refilledAt = time.now
         // A refused request also takes tokens, down to zero.
-        val allowed = tokens >= count
-        tokens = maxOf(0.0, tokens - count)
+        val allowed = availableTokens >= count
+        availableTokens = maxOf(0.0, availableTokens - count)
         return allowed
     }
 
--- a/src/test/kotlin/mountmast/standin/SimulatedCluster.kt
+++ b/src/test/kotlin/mountmast/standin/SimulatedCluster.kt
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Returns a random job with the id of [number], after [change]. */
+    /** Returns a job whose id contains [number] and whose other properties are random, with [change] applied to it. */
     fun job(number: Int, change: (JobSpec) -> JobSpec = { it }): JobSpec {
         val cpus = listOf(1.0, 2.0, 4.0, 7.0).random(random)
         return change(
@@ -96,7 +96,7 @@
         )
     }
 
-    /** Returns an array job of four tasks that may run on any machine, after [change]. */
+    /** Returns an array job of four tasks that may run on any machine, with [change] applied to it. */
     fun plainJob(number: Int, change: (JobSpec) -> JobSpec = { it }) = job(number) { drawn ->
         change(
             drawn.copy(
--- a/src/test/kotlin/mountmast/transport/HeartbeatLoad.kt
+++ b/src/test/kotlin/mountmast/transport/HeartbeatLoad.kt
@@ -13,10 +13,10 @@
 
     private class Request(val worker: Worker, val sentAt: Long, var queuedAt: Long = 0)
 
-    private class Event(val at: Long, val action: () -> Unit)
+    private class Event(val dueAtMicros: Long, val action: () -> Unit)
 
     private val random = Random(seed)
-    private val events = PriorityQueue<Event>(compareBy { it.at })
+    private val events = PriorityQueue<Event>(compareBy { it.dueAtMicros })
     private var nowMicros = 0L
     private var pausedUntil = 0L
     private val unread = ArrayDeque<Request>()
@@ -46,9 +46,9 @@
     fun run(ms: Long) {
         val until = nowMicros + ms * MICROS_PER_MS
         while (true) {
-            val next = events.peek()?.takeIf { it.at <= until } ?: break
+            val next = events.peek()?.takeIf { it.dueAtMicros <= until } ?: break
             events.poll()
-            nowMicros = maxOf(nowMicros, next.at)
+            nowMicros = maxOf(nowMicros, next.dueAtMicros)
             next.action()
         }
         nowMicros = until
